--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -29,8 +29,8 @@
 // Category is what the rules need of one.
 type Category struct {
 	Name   string
-	Repeat dispatch.Repeat
-	Group  dispatch.Group
+	Repeat dispatch.RepeatPolicy
+	Group  dispatch.DedupScope
 	Window float64
 }
 
@@ -123,7 +123,7 @@
 }
 
 type told struct {
-	state dispatch.State
+	state dispatch.WorkerState
 	at    float64 // since when it knows this state
 	since float64 // the worker's start, as told
 }
@@ -249,7 +249,7 @@
 		a.convict(at, Lost, id, it.d, "", "served with what no worker made for it")
 	}
 	if c := a.r.Categories[it.category]; comeAgain && c.Repeat != dispatch.Rerunnable &&
-		!(c.Repeat == dispatch.Ticketed && c.Group == dispatch.GroupAll) { // whose ticket holds for a retry as well
+		!(c.Repeat == dispatch.Ticketed && c.Group == dispatch.DedupAll) { // whose ticket holds for a retry as well
 		for _, h := range it.hos {
 			if !h.unrun {
 				a.convict(at, Twice, id, it.d, h.worker, "told to come again, though it may have run")
@@ -260,7 +260,7 @@
 }
 
 // Told: discovery has told the dispatcher of a worker, and of when it started.
-func (a *Audit) Told(at float64, d int, worker string, s dispatch.State, since float64) {
+func (a *Audit) Told(at float64, d int, worker string, s dispatch.WorkerState, since float64) {
 	was, known := a.told[d][worker]
 	switch {
 	case known && was.state == s:
@@ -312,9 +312,9 @@
 	a.budget(at, d, id, to, hint)
 }
 
-func (a *Audit) sameGroup(g dispatch.Group, one, other string) bool {
+func (a *Audit) sameGroup(g dispatch.DedupScope, one, other string) bool {
 	x, y := a.workers[one], a.workers[other]
-	return g != dispatch.GroupZone || x != nil && y != nil && x.site == y.site
+	return g != dispatch.DedupZone || x != nil && y != nil && x.site == y.site
 }
 
 // budget adds up what a cold worker is sent in a window, by all. One work item alone is always allowed, of those that know
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -48,7 +48,7 @@
 	if shared.sent == nil {
 		shared.sent = map[string][]spent{}
 	}
-	return &Baseline{s: s, way: w, shared: shared, rnd: rand.New(rand.NewPCG(s.Seed, uint64(s.Number))),
+	return &Baseline{s: s, way: w, shared: shared, rnd: rand.New(rand.NewPCG(s.Seed, uint64(s.Position))),
 		items: map[uint64]*item{}, byID: map[string]*worker{}}
 }
 
@@ -59,7 +59,7 @@
 	shared *Shared
 	rnd    *rand.Rand
 	now    float64
-	out    dispatch.Writer
+	out    dispatch.Executor
 	items  map[uint64]*item
 	held   []*item // no worker was there for them
 	list   []*worker
@@ -97,7 +97,7 @@
 )
 
 // Round takes in what came and places what is held.
-func (b *Baseline) Round(now float64, in dispatch.Inbox, out dispatch.Writer) {
+func (b *Baseline) Round(now float64, in dispatch.Inbox, out dispatch.Executor) {
 	b.now, b.out = now, out
 	in.Deliver(b)
 	held := b.held
@@ -107,16 +107,16 @@
 	}
 	if now >= b.beatAt {
 		b.beatAt = now + beat
-		out.Timer(0, beat)
-		if b.s.MustAsk {
-			out.Watch(true)
+		out.SetTimer(0, beat)
+		if b.s.DiscoveryOnRequest {
+			out.WatchDiscovery(true)
 		}
 	}
 }
 
 // Arrived takes a work item.
 func (b *Baseline) Arrived(wi dispatch.WorkItem) {
-	it := &item{WorkItem: wi, expiry: b.now + wi.Left}
+	it := &item{WorkItem: wi, expiry: b.now + wi.TimeLeft}
 	b.items[wi.ID] = it
 	if wi.Hint > 0 {
 		if len(b.hints) < hintMost {
@@ -130,23 +130,23 @@
 }
 
 // Left forgets one whose client is gone.
-func (b *Baseline) Left(wi uint64) {
+func (b *Baseline) ClientLeft(wi uint64) {
 	if it := b.items[wi]; it != nil {
 		b.end(it)
 	}
 }
 
 // Noticed, Streaming and Heard tell a baseline nothing.
-func (b *Baseline) Noticed(uint64, int, bool, float64) {}
+func (b *Baseline) HandOffProgressed(uint64, int, bool, float64) {}
 
 // Streaming as Noticed.
-func (b *Baseline) Streaming(uint64, int) {}
+func (b *Baseline) ResponseStarted(uint64, int) {}
 
 // Heard as Noticed.
-func (b *Baseline) Heard(int, []byte) {}
+func (b *Baseline) PeerMessageReceived(int, []byte) {}
 
 // Answered ends a hand-off: what finished is done, what never ran or may run again is placed anew, the rest given up.
-func (b *Baseline) Answered(a dispatch.Answer) {
+func (b *Baseline) HandOffEnded(a dispatch.HandOffResult) {
 	it := b.items[a.WI]
 	if it == nil || a.HO >= len(it.hos) || it.hos[a.HO].over {
 		return
@@ -154,18 +154,18 @@
 	h := &it.hos[a.HO]
 	h.over = true
 	h.w.out--
-	if a.Outcome == dispatch.ConnectFailed || a.Outcome == dispatch.Reset {
+	if a.Outcome == dispatch.ConnectFailed || a.Outcome == dispatch.ConnReset {
 		h.w.rest = b.now + rest
 	}
 	switch {
 	case it.ended:
 	case a.Final:
 		b.end(it)
-	case !a.Outcome.ProvesUnrun() && b.category(it).Repeat != dispatch.Rerunnable:
+	case !a.Outcome.ProvesNotRun() && b.category(it).Repeat != dispatch.Rerunnable:
 		it.risk = true
 		b.giveUp(it)
 	default:
-		it.risk = it.risk || !a.Outcome.ProvesUnrun()
+		it.risk = it.risk || !a.Outcome.ProvesNotRun()
 		b.held = append(b.held, it)
 	}
 	if it.ended && !slices.ContainsFunc(it.hos, func(h handoff) bool { return !h.over }) {
@@ -174,11 +174,11 @@
 }
 
 // Listed keeps the list in order of ids.
-func (b *Baseline) Listed(form dispatch.Form, entries []dispatch.Entry) {
-	if form == dispatch.Unavailable {
+func (b *Baseline) Listed(form dispatch.ListType, entries []dispatch.Entry) {
+	if form == dispatch.ListUnavailable {
 		return
 	}
-	if form == dispatch.Complete || form == dispatch.Restored {
+	if form == dispatch.ListComplete || form == dispatch.ListRestored {
 		for _, w := range b.list {
 			w.State = dispatch.Gone
 		}
@@ -224,9 +224,9 @@
 	for _, w := range b.list {
 		switch {
 		case w.State != dispatch.Up || b.now < w.rest:
-		case w.Since == 0 || b.now >= w.Since+b.s.Cold:
+		case w.Since == 0 || b.now >= w.Since+b.s.WarmUpTime:
 			warm = append(warm, w)
-		case w.out == 0 && b.now > w.Since+b.s.Cold/4:
+		case w.out == 0 && b.now > w.Since+b.s.WarmUpTime/4:
 			cold = append(cold, w)
 		}
 	}
@@ -237,10 +237,10 @@
 }
 
 func (b *Baseline) giveUp(it *item) {
-	if c := b.category(it); it.risk && (c.Repeat == dispatch.Exclusive || c.Repeat == dispatch.Ticketed && c.Group != dispatch.GroupAll) {
+	if c := b.category(it); it.risk && (c.Repeat == dispatch.Exclusive || c.Repeat == dispatch.Ticketed && c.DedupScope != dispatch.DedupAll) {
 		b.out.WriteOff(it.ID)
 	} else {
-		b.out.Defer(it.ID, min(1000, b.s.MaxPause))
+		b.out.Defer(it.ID, min(1000, b.s.MaxRetryAfter))
 	}
 	b.end(it)
 }
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -87,7 +87,7 @@
 			func(n float64) (float64, string) { return idleCPU + cost*starts/n, costBasis }),
 		row(fmt.Sprintf("%g tasks running: clients that wait at a dispatcher", running), "internal/platform", "connections", "half of limits.sockets 1024", 512,
 			func(n float64) (float64, string) { return running / n, "arithmetic" }),
-		row("the same: tasks on one worker", fmt.Sprintf("internal/dispatch (what fits is learned up to %d)", dispatch.MostFit), "tasks", fmt.Sprint(dispatch.MostFit), dispatch.MostFit, alike(running/workers, "arithmetic")),
+		row("the same: tasks on one worker", fmt.Sprintf("internal/dispatch (what fits is learned up to %d)", dispatch.MaxConcurrency), "tasks", fmt.Sprint(dispatch.MaxConcurrency), dispatch.MaxConcurrency, alike(running/workers, "arithmetic")),
 		lack(fmt.Sprintf("gangs of up to %g", s.value("gang")), "work items start one by one; nothing holds workers for others"),
 		lack(fmt.Sprintf("%g teams: quotas", teams), "a tenant has an allowance a second, counted by each dispatcher alone; nobody holds its running tasks to a quota"),
 		row(fmt.Sprintf("%g teams: memory for their allowances", teams), "internal/dispatch", "MB", fmt.Sprintf("%g MB", memory), memory, alike(teamMB-teamMB0, teamBasis)),
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -246,9 +246,9 @@
 		l.MaxOpen = most
 	}
 	if s := &c.Settings; len(c.Peers) == 0 || !c.PeerListen.IsValid() {
-		s.MayTell = false // no way to tell anybody
-	} else if len(c.Peers) != s.Siblings {
-		return c, fmt.Errorf("peers: %d addresses for %d siblings", len(c.Peers), s.Siblings)
+		s.MayNotifyPeers = false // no way to tell anybody
+	} else if len(c.Peers) != s.Dispatchers {
+		return c, fmt.Errorf("peers: %d addresses for %d siblings", len(c.Peers), s.Dispatchers)
 	}
 	return c, nil
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -46,12 +46,12 @@
 )
 
 // Round takes in what came in and decides. Nothing is decided outside it.
-func (d *Dispatcher) Round(now float64, in Inbox, out Writer) {
+func (d *Dispatcher) Round(now float64, in Inbox, out Executor) {
 	d.now, d.out = now, out
 	in.Deliver(d)
 	if now >= d.beatAt {
 		d.beatAt, d.stirred = now+d.beat, true
-		out.Timer(0, d.beat)
+		out.SetTimer(0, d.beat)
 		d.sweep()
 		d.ask()
 		// While no sibling is heard their work is unseen: the books would show workers free that are not.
@@ -122,7 +122,7 @@
 	d.tellings -= d.shares - 1
 	for _, to := range w.sharers[:d.shares] {
 		if to != d.f.number {
-			d.out.Tell(to, message)
+			d.out.SendToPeer(to, message)
 		}
 	}
 }
@@ -144,22 +144,22 @@
 	}
 	if d.f.mustAsk && (d.asked < 0 || d.now-d.asked >= gap) {
 		d.asked, d.askWait = d.now, d.f.askMost // its answer may take long
-		d.out.Watch(true)
+		d.out.WatchDiscovery(true)
 	}
 }
 
 // Listed takes what discovery says.
-func (d *Dispatcher) Listed(form Form, entries []Entry) {
-	if form == Unavailable { // guards against sending to workers whose drain nobody told
+func (d *Dispatcher) Listed(form ListType, entries []Entry) {
+	if form == ListUnavailable { // guards against sending to workers whose drain nobody told
 		d.watched, d.asked = false, d.now
 		d.askWait = min(d.askGap, d.f.askMost) * (0.5 + d.chance())
 		d.askGap = 2 * min(d.askGap, d.f.askMost)
 		return
 	}
-	if form != Restored && d.asked >= 0 {
+	if form != ListRestored && d.asked >= 0 {
 		d.watched, d.asked, d.askGap = true, d.now, d.f.askFirst
 	}
-	fleet := form != Changes
+	fleet := form != ListChanges
 	if fleet {
 		for _, w := range d.workers {
 			d.drop(w)
@@ -209,7 +209,7 @@
 
 // Arrived takes a new work item.
 func (d *Dispatcher) Arrived(wi WorkItem) {
-	it := &item{WorkItem: wi, cat: &d.f.categories[wi.Category], expiry: d.now + wi.Left}
+	it := &item{WorkItem: wi, cat: &d.f.categories[wi.Category], expiry: d.now + wi.TimeLeft}
 	if it.Hint, it.guessed = wi.Hint, wi.Hint <= 0; it.guessed {
 		it.Hint = d.guess(wi.Category)
 	} else if !d.hinted {
@@ -226,12 +226,12 @@
 		remember(&d.keys, &d.keyed, it.key)
 	}
 	// A retry counts from its first try: what is gone of the time that a first try has is past.
-	d.most[wi.Category] = max(d.most[wi.Category], wi.Left)
-	spent := d.most[wi.Category] - wi.Left
-	if wi.Within > 0 { // what is taken must be answered by then
-		it.expiry = min(it.expiry, d.now+wi.Within)
+	d.most[wi.Category] = max(d.most[wi.Category], wi.TimeLeft)
+	spent := d.most[wi.Category] - wi.TimeLeft
+	if wi.ShutdownIn > 0 { // what is taken must be answered by then
+		it.expiry = min(it.expiry, d.now+wi.ShutdownIn)
 	}
-	it.until = min(d.now-spent+min(it.cat.Due+it.cat.Stretch*it.Hint, it.cat.Expiry), it.expiry)
+	it.until = min(d.now-spent+min(it.cat.DueTime+it.cat.DueStretch*it.Hint, it.cat.Expiry), it.expiry)
 	it.rank = it.cat.Credit
 	if part := d.excess(wi.Tenant); part > 0 && d.chance() < part {
 		it.excess, it.rank = true, it.rank*d.f.excessCredit
@@ -271,7 +271,7 @@
 }
 
 // Noticed takes a start or progress notice.
-func (d *Dispatcher) Noticed(wi uint64, ho int, start bool, _ float64) {
+func (d *Dispatcher) HandOffProgressed(wi uint64, ho int, start bool, _ float64) {
 	it := d.items[wi]
 	if it == nil || ho < 0 || ho >= len(it.hos) || it.hos[ho].done {
 		return
@@ -313,17 +313,17 @@
 }
 
 // Answered takes the end of a hand-off.
-func (d *Dispatcher) Answered(a Answer) {
+func (d *Dispatcher) HandOffEnded(a HandOffResult) {
 	it := d.items[a.WI]
 	if it == nil || a.HO < 0 || a.HO >= len(it.hos) || it.hos[a.HO].done {
 		return
 	}
 	h := &it.hos[a.HO]
-	h.done, h.unsure, d.stirred = true, a.Outcome.MayGoOn(), true
+	h.done, h.unsure, d.stirred = true, a.Outcome.MayStillRun(), true
 	it.out--
 	d.off(h)
 	d.judge(it, h, a)
-	if a.Outcome.ProvesUnrun() {
+	if a.Outcome.ProvesNotRun() {
 		h.unrun = true
 		it.risk--
 	}
@@ -339,15 +339,15 @@
 }
 
 // judge learns from the end of a hand-off: speed from answers, sickness from failures in a row.
-func (d *Dispatcher) judge(it *item, h *handoff, a Answer) {
+func (d *Dispatcher) judge(it *item, h *handoff, a HandOffResult) {
 	w, k := h.w, &d.kinds[h.w.Kind]
-	k.free = max(k.free, int(a.Load.Free))
+	k.free = max(k.free, int(a.Load.FreeSlots))
 	switch a.Outcome {
 	case Finished:
 		d.tally(it, w, 0)
 		w.fails, w.errs, w.mute, w.outTill, w.full, w.step = 0, 0, 0, 0, 0, min(1, 2*w.step)
 		d.silent *= 1 - failPace
-		run := a.Spent
+		run := a.Elapsed
 		if h.started >= 0 {
 			run = d.now - h.started // its running time; without notices, its latency
 		}
@@ -383,7 +383,7 @@
 	case Failed:
 		d.tally(it, w, 1)
 		d.blame(it, w)
-	case ConnectFailed, Reset:
+	case ConnectFailed, ConnReset:
 		d.fail(w)
 	}
 }
@@ -423,7 +423,7 @@
 }
 
 // Left takes a client's departure.
-func (d *Dispatcher) Left(wi uint64) {
+func (d *Dispatcher) ClientLeft(wi uint64) {
 	if it := d.items[wi]; it != nil && !it.ended {
 		d.end(it)
 	}
@@ -435,7 +435,7 @@
 	if it.ended {
 		return
 	}
-	if it.risk == 0 || it.cat.Repeat == Rerunnable || it.cat.Repeat == Ticketed && it.cat.Group == GroupAll {
+	if it.risk == 0 || it.cat.Repeat == Rerunnable || it.cat.Repeat == Ticketed && it.cat.DedupScope == DedupAll {
 		d.out.Defer(it.ID, min(d.mean, d.f.maxPause))
 	} else {
 		d.out.WriteOff(it.ID)
@@ -813,9 +813,9 @@
 		if h.unrun {
 			continue
 		}
-		if it.cat.Repeat == Exclusive || d.now-h.sent > it.cat.Window || w != nil &&
-			(it.cat.Group == GroupZone && h.w.Zone != w.Zone ||
-				it.cat.Group == GroupCell && h.w.Cell != w.Cell) {
+		if it.cat.Repeat == Exclusive || d.now-h.sent > it.cat.DedupWindow || w != nil &&
+			(it.cat.DedupScope == DedupZone && h.w.Zone != w.Zone ||
+				it.cat.DedupScope == DedupCell && h.w.Cell != w.Cell) {
 			return false
 		}
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -27,11 +27,11 @@
 
 // plain are settings with nothing special: two kinds, a rerunnable and an exclusive category.
 func plain() Settings {
-	return Settings{Seed: 7, Grain: 1, Siblings: 1, Kinds: 2, TellsStart: true, Progress: 1000,
-		MayCancel: true, MayPause: true, MaxPause: 2000, MaxHandOffs: 3, AnswerSlack: 20, AskWithin: 10000,
-		StartShare: 0.1, Cold: 20000, FallMultiple: 3, Fall: 2000, Categories: []Category{
-			{Due: 300, Stretch: 3, Expiry: 5000, Credit: 1, Kind: -1},
-			{Repeat: Exclusive, Due: 300, Stretch: 3, Expiry: 5000, Credit: 1, Kind: -1}}}
+	return Settings{Seed: 7, RoundInterval: 1, Dispatchers: 1, Kinds: 2, StartNotices: true, ProgressInterval: 1000,
+		MayCancel: true, MayAdviseRetryAfter: true, MaxRetryAfter: 2000, MaxHandOffs: 3, AnswerSlack: 20, DiscoveryAskWithin: 10000,
+		StartCapacity: 0.1, WarmUpTime: 20000, OverloadMultiple: 3, OverloadWindow: 2000, Categories: []Category{
+			{DueTime: 300, DueStretch: 3, Expiry: 5000, Credit: 1, Kind: -1},
+			{Repeat: Exclusive, DueTime: 300, DueStretch: 3, Expiry: 5000, Credit: 1, Kind: -1}}}
 }
 
 func (tr *trace) note(format string, a ...any) {
@@ -59,26 +59,26 @@
 		for _, n := range names {
 			list = append(list, Entry{Worker: n, Kind: strings.Index("fs", n[:1])})
 		}
-		d.Listed(Complete, list)
+		d.Listed(ListComplete, list)
 	})
 }
 
 // run hands in an item of the category, lets it start at once and end after the given running time.
 func (tr *trace) run(id uint64, category int, hint, running float64) {
 	tr.at(tr.now+5, func(d *Dispatcher) {
-		d.Arrived(WorkItem{ID: id, Category: category, Tenant: -1, Left: 5000, Hint: hint})
+		d.Arrived(WorkItem{ID: id, Category: category, Tenant: -1, TimeLeft: 5000, Hint: hint})
 	})
-	tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, 0, true, 0) })
+	tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 	tr.at(tr.now+running, func(d *Dispatcher) { tr.end(id, 0, Finished) })
 }
 
 func (tr *trace) end(id uint64, ho int, o Outcome) {
-	tr.d.Answered(Answer{WI: id, HO: ho, Outcome: o, Final: o == Finished, Load: NoLoad})
+	tr.d.HandOffEnded(HandOffResult{WI: id, HO: ho, Outcome: o, Final: o == Finished, Load: UnknownLoad})
 }
 
 func (tr *trace) arrive(id uint64, category int, hint float64) {
 	tr.at(tr.now+5, func(d *Dispatcher) {
-		d.Arrived(WorkItem{ID: id, Category: category, Tenant: -1, Left: 5000, Hint: hint})
+		d.Arrived(WorkItem{ID: id, Category: category, Tenant: -1, TimeLeft: 5000, Hint: hint})
 	})
 }
 
@@ -88,7 +88,7 @@
 	kept.Check(tr.t, name, tr.log.String())
 }
 
-func (tr *trace) Deliver(d Receiver) { tr.in(d.(*Dispatcher)) }
+func (tr *trace) Deliver(d EventHandler) { tr.in(d.(*Dispatcher)) }
 
 func (tr *trace) HandOff(wi uint64, worker string, _ float64) {
 	tr.sum[worker]++
@@ -97,9 +97,9 @@
 func (tr *trace) Cancel(wi uint64, ho int)       { tr.note("cancel %d hand-off %d", wi, ho) }
 func (tr *trace) Defer(wi uint64, pause float64) { tr.note("defer %d, come back in %.0f", wi, pause) }
 func (tr *trace) WriteOff(wi uint64)             { tr.note("write off %d", wi) }
-func (tr *trace) Timer(uint64, float64)          {}
-func (tr *trace) Watch(on bool)                  { tr.note("watch %v", on) }
-func (tr *trace) Tell(to int, data []byte)       { tr.note("tell %d: %x", to, data) }
+func (tr *trace) SetTimer(uint64, float64)       {}
+func (tr *trace) WatchDiscovery(on bool)         { tr.note("watch %v", on) }
+func (tr *trace) SendToPeer(to int, data []byte) { tr.note("tell %d: %x", to, data) }
 
 func TestOneFinalAnswer(t *testing.T) {
 	tr := start(t, plain())
@@ -107,11 +107,11 @@
 	tr.say("rerunnable work on a worker that goes quiet: deferred at its expiry, nothing after it")
 	tr.arrive(1, 0, 100)
 	tr.at(5200, func(*Dispatcher) {})
-	tr.at(5201, func(d *Dispatcher) { tr.end(1, 0, Cancelled); tr.end(1, 0, Finished); d.Left(1) })
+	tr.at(5201, func(d *Dispatcher) { tr.end(1, 0, Cancelled); tr.end(1, 0, Finished); d.ClientLeft(1) })
 	tr.say("a client that leaves: its hand-off is called off, no answer")
 	tr.up("f2")
 	tr.arrive(2, 0, 100)
-	tr.at(tr.now+5, func(d *Dispatcher) { d.Left(2) })
+	tr.at(tr.now+5, func(d *Dispatcher) { d.ClientLeft(2) })
 	tr.say("no worker at all: deferred as soon as it cannot end in time")
 	tr.up()
 	tr.arrive(3, 0, 100)
@@ -123,8 +123,8 @@
 	s := plain()
 	s.MaxHandOffs = 9
 	s.Categories = append(s.Categories,
-		Category{Repeat: Ticketed, Group: GroupZone, Window: 400, Due: 5000, Expiry: 5000, Credit: 1, Kind: -1},
-		Category{Repeat: Ticketed, Group: GroupAll, Window: 400, Due: 5000, Expiry: 5000, Credit: 1, Kind: -1})
+		Category{Repeat: Ticketed, DedupScope: DedupZone, DedupWindow: 400, DueTime: 5000, Expiry: 5000, Credit: 1, Kind: -1},
+		Category{Repeat: Ticketed, DedupScope: DedupAll, DedupWindow: 400, DueTime: 5000, Expiry: 5000, Credit: 1, Kind: -1})
 	tr := start(t, s)
 	tr.up("f1", "f2", "s1")
 	tr.say("exclusive: sent again after a refusal, which proves that it never ran; written off after an error")
@@ -137,12 +137,12 @@
 	tr.at(5100, func(*Dispatcher) {})
 	tr.say("ticketed, known in one zone: sent again there only")
 	tr.at(5200, func(d *Dispatcher) {
-		d.Listed(Complete, []Entry{{Worker: "f3", Zone: 0}, {Worker: "f4", Zone: 1}, {Worker: "f6", Zone: 0}})
+		d.Listed(ListComplete, []Entry{{Worker: "f3", Zone: 0}, {Worker: "f4", Zone: 1}, {Worker: "f6", Zone: 0}})
 	})
 	tr.arrive(3, 2, 100)
-	tr.at(tr.now+5, func(*Dispatcher) { tr.end(3, 0, Reset) })
+	tr.at(tr.now+5, func(*Dispatcher) { tr.end(3, 0, ConnReset) })
 	tr.say("the window has passed: no further send, and no deferral for what may have run")
-	tr.at(tr.now+500, func(*Dispatcher) { tr.end(3, 1, Reset) })
+	tr.at(tr.now+500, func(*Dispatcher) { tr.end(3, 1, ConnReset) })
 	tr.at(10500, func(*Dispatcher) {})
 	tr.check("effects")
 }
@@ -151,9 +151,9 @@
 	tr := start(t, plain())
 	tr.up("f1", "f2")
 	tr.say("f1 drains, then f2 is gone: nothing goes there any more")
-	tr.at(10, func(d *Dispatcher) { d.Listed(Changes, []Entry{{Worker: "f1", State: Draining}}) })
+	tr.at(10, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f1", State: Draining}}) })
 	tr.arrive(1, 0, 100)
-	tr.at(20, func(d *Dispatcher) { d.Listed(Changes, []Entry{{Worker: "f2", State: Gone}}); tr.end(1, 0, Full) })
+	tr.at(20, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f2", State: Gone}}); tr.end(1, 0, Full) })
 	tr.at(700, func(*Dispatcher) {})
 	tr.say("absent from a complete list is gone as well")
 	tr.up("f3")
@@ -164,11 +164,11 @@
 
 func TestColdWorker(t *testing.T) {
 	s := plain()
-	s.Siblings = 4
-	s.Categories[0].Due = 5000
+	s.Dispatchers = 4
+	s.Categories[0].DueTime = 5000
 	tr := start(t, s)
 	tr.say("a cold worker alone: work goes to it at this dispatcher's part of the budget, more as it warms up")
-	tr.at(100000, func(d *Dispatcher) { d.Listed(Complete, []Entry{{Worker: "f1", Since: 99000}}) })
+	tr.at(100000, func(d *Dispatcher) { d.Listed(ListComplete, []Entry{{Worker: "f1", Since: 99000}}) })
 	for id := uint64(1); id < 12; id++ {
 		tr.run(id, 0, 100, 30)
 		tr.at(tr.now+100, func(*Dispatcher) {})
@@ -178,14 +178,14 @@
 
 func TestDiscoveryIsKeptAlive(t *testing.T) {
 	s := plain()
-	s.MustAsk = true
+	s.DiscoveryOnRequest = true
 	tr := start(t, s)
 	tr.say("asks at start, again after failures ever more slowly, and when it heard nothing for long")
-	tr.at(1, func(d *Dispatcher) { d.Listed(Restored, nil) })
+	tr.at(1, func(d *Dispatcher) { d.Listed(ListRestored, nil) })
 	for k := 1; k < 5; k++ {
-		tr.at(float64(k*700), func(d *Dispatcher) { d.Listed(Unavailable, nil) })
+		tr.at(float64(k*700), func(d *Dispatcher) { d.Listed(ListUnavailable, nil) })
 	}
-	tr.at(6000, func(d *Dispatcher) { d.Listed(Changes, nil) })
+	tr.at(6000, func(d *Dispatcher) { d.Listed(ListChanges, nil) })
 	tr.at(40000, func(*Dispatcher) {})
 	tr.check("discovery")
 }
@@ -198,8 +198,8 @@
 		if id%3 == 0 {
 			hint = 400
 		}
-		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: id, Tenant: -1, Left: 5000, Hint: hint}) })
-		tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, 0, true, 0) })
+		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: id, Tenant: -1, TimeLeft: 5000, Hint: hint}) })
+		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		slow := 0.5
 		if tr.d.items[id].hos[0].w.Kind == 1 {
 			slow = 1
@@ -222,14 +222,14 @@
 		tr.arrive(id, 0, 400)
 	}
 	for id := uint64(11); id <= 14; id++ {
-		tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, 0, true, 0); tr.end(id, 0, Finished) })
+		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0); tr.end(id, 0, Finished) })
 	}
 	tr.say("slow workers refuse: the leak rises by a step each time, and fades")
 	for id := uint64(21); id <= 24; id++ {
 		tr.arrive(id, 0, 400)
 		tr.at(tr.now+1, func(*Dispatcher) { tr.end(id, 0, Full) })
 		tr.note("leak %.3f", tr.d.leakNow())
-		tr.at(tr.now+600, func(d *Dispatcher) { d.Noticed(id, 1, true, 0); tr.end(id, 1, Finished) })
+		tr.at(tr.now+600, func(d *Dispatcher) { d.HandOffProgressed(id, 1, true, 0); tr.end(id, 1, Finished) })
 	}
 	tr.at(tr.now+10000, func(*Dispatcher) {})
 	tr.note("leak %.3f", tr.d.leakNow())
@@ -245,7 +245,7 @@
 	tr.log.Reset()
 	anew := func(id uint64) { // the first hand-off is called off, the second runs
 		tr.at(tr.now+1, func(*Dispatcher) { tr.end(id, 0, Cancelled) })
-		tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, 1, true, 0) })
+		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 1, true, 0) })
 		tr.at(tr.now+100, func(*Dispatcher) { tr.end(id, 1, Finished) })
 	}
 	tr.say("1 never starts: lost when it has not started in twice the time of what may be before it, and sent anew")
@@ -282,7 +282,7 @@
 			tr.at(tr.now+1, func(*Dispatcher) { tr.end(id, 0, Failed) })
 		}
 		if k := len(it.hos) - 1; !it.ended && k >= 0 && !it.hos[k].done {
-			tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, k, true, 0) })
+			tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, k, true, 0) })
 			tr.at(tr.now+100, func(*Dispatcher) { tr.end(id, k, Finished) })
 		}
 	}
@@ -291,9 +291,9 @@
 
 func TestShortCapacity(t *testing.T) {
 	s := plain()
-	s.Tenants = []Tenant{{PerSec: 4}, {PerSec: 4}}
+	s.Tenants = []Tenant{{AllowancePerSec: 4}, {AllowancePerSec: 4}}
 	s.ExcessCredit = 0.1
-	s.Categories[1] = Category{Due: 300, Expiry: 5000, Credit: 2, Kind: -1}
+	s.Categories[1] = Category{DueTime: 300, Expiry: 5000, Credit: 2, Kind: -1}
 	tr := start(t, s)
 	tr.up("f1")
 	for id := uint64(100); id < 105; id++ {
@@ -302,19 +302,19 @@
 	tr.log.Reset()
 	tr.say("full: tenant 0 sends far beyond its share, the excess is deferred at once; tenant 1 waits")
 	for id := uint64(1); id <= 60; id++ {
-		wi := WorkItem{ID: id, Tenant: int(id % 20 / 19), Left: 5000, Hint: 100}
+		wi := WorkItem{ID: id, Tenant: int(id % 20 / 19), TimeLeft: 5000, Hint: 100}
 		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(wi) })
 	}
 	tr.at(tr.now+1000, func(d *Dispatcher) { tr.end(1, 0, Cancelled) })
 	tr.up("f1")
 	tr.say("f1 is busy with 89: what waits and can no longer end in time is given up at once")
 	one := func(id uint64, category int) {
-		wi := WorkItem{ID: id, Category: category, Tenant: 1, Left: 5000, Hint: 100}
+		wi := WorkItem{ID: id, Category: category, Tenant: 1, TimeLeft: 5000, Hint: 100}
 		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(wi) })
 	}
 	one(89, 0)
 	one(90, 1)
-	tr.at(tr.now+400, func(d *Dispatcher) { d.Noticed(89, 0, true, 0) })
+	tr.at(tr.now+400, func(d *Dispatcher) { d.HandOffProgressed(89, 0, true, 0) })
 	one(91, 0)
 	tr.at(tr.now+1, func(*Dispatcher) { tr.end(89, 0, Finished) })
 	tr.check("short")
@@ -322,7 +322,7 @@
 
 func TestSiblings(t *testing.T) {
 	s := plain()
-	s.Siblings, s.MayTell = 2, true
+	s.Dispatchers, s.MayNotifyPeers = 2, true
 	tr := start(t, s)
 	tr.up("f1", "f2")
 	tr.say("siblings are told of a hand-off at once, for longer when it is still out, and when it ends early")
@@ -333,15 +333,15 @@
 	tr.say("cut short, unknown worker, unknown sender, our own number: passed over")
 	tell := func(from int, worker string, span float64) {
 		w := named(tr.d, worker)
-		tr.d.Heard(from, append([]byte(nil), tr.d.pack(w, span)...))
+		tr.d.PeerMessageReceived(from, append([]byte(nil), tr.d.pack(w, span)...))
 	}
 	tr.at(2200, func(d *Dispatcher) {
 		for range 2 {
 			tell(1, "f1", 2000)
 			tell(1, "f2", 500)
 		}
-		d.Heard(1, []byte{1})
-		d.Heard(1, nil)
+		d.PeerMessageReceived(1, []byte{1})
+		d.PeerMessageReceived(1, nil)
 		tell(1, "f9", 500)
 		tell(9, "f1", 0)
 		tell(0, "f1", 0)
@@ -366,10 +366,10 @@
 // TestDeal looks at many siblings: each computes the same deal by itself.
 func TestDeal(t *testing.T) {
 	s := plain()
-	s.Siblings, s.MayTell = 577, true
+	s.Dispatchers, s.MayNotifyPeers = 577, true
 	tr := start(t, s)
 	var all []*Dispatcher
-	for s.Number = range s.Siblings {
+	for s.Position = range s.Dispatchers {
 		all = append(all, New(s))
 	}
 	list := func(n int) (listed []Entry) {
@@ -381,7 +381,7 @@
 	deal := func(listed []Entry) map[string][]int {
 		dealt := map[string][]int{}
 		for k, d := range all {
-			d.Listed(Complete, listed)
+			d.Listed(ListComplete, listed)
 			for _, w := range d.workers {
 				if w.mine && w.State == Up {
 					dealt[w.Worker] = append(dealt[w.Worker], k)
@@ -416,7 +416,7 @@
 	others := slices.DeleteFunc(list(20), own)
 	tr.at(100000, func(d *Dispatcher) {
 		others[0].Since = 99000
-		d.Listed(Complete, others[:2])
+		d.Listed(ListComplete, others[:2])
 	})
 	for id := uint64(1); id <= 2; id++ {
 		tr.arrive(id, 0, 100)
@@ -429,7 +429,7 @@
 // share by its own list; who may warm a worker must not depend on it, or more than its budget allows for would.
 func TestShares(t *testing.T) {
 	s := plain()
-	s.Siblings, s.MayTell = 80, true
+	s.Dispatchers, s.MayNotifyPeers = 80, true
 	tr := start(t, s)
 	warmers, most := map[string]int{}, 0
 	for turn, up := range []int{10, 30, 60, 300} {
@@ -437,10 +437,10 @@
 		for k := range up {
 			listed = append(listed, Entry{Worker: "w" + strconv.Itoa(k), Since: 1})
 		}
-		for s.Number = turn; s.Number < s.Siblings; s.Number += 4 {
+		for s.Position = turn; s.Position < s.Dispatchers; s.Position += 4 {
 			d := New(s)
 			d.now = 10
-			d.Listed(Complete, listed)
+			d.Listed(ListComplete, listed)
 			d.reset()
 			for _, w := range d.workers {
 				if d.allowed(&item{WorkItem: WorkItem{Hint: 1e-6}, cat: &d.f.categories[0], expiry: 1e6}, w) {
@@ -463,16 +463,16 @@
 	calls  int
 }
 
-func (c *caller) Watch(bool) { c.called, c.calls = c.now, c.calls+1 }
+func (c *caller) WatchDiscovery(bool) { c.called, c.calls = c.now, c.calls+1 }
 
 // TestAsking starts a whole fleet at once before a discovery that serves a call in 62.5 ms, in turn. One that has waited
 // for 2 s has failed, and takes its turn all the same.
 func TestAsking(t *testing.T) {
 	s := plain()
-	s.Siblings, s.MustAsk = 80, true
+	s.Dispatchers, s.DiscoveryOnRequest = 80, true
 	tr := start(t, s)
 	var all []*caller
-	for range s.Siblings {
+	for range s.Dispatchers {
 		s.Seed += 77777
 		all = append(all, &caller{trace: trace{t: t, d: New(s)}, called: -1})
 	}
@@ -483,7 +483,7 @@
 			c.now, c.in = tr.now, func(d *Dispatcher) {
 				if c.called >= 0 && c.called+2000 <= c.now {
 					c.called = -1
-					d.Listed(Unavailable, nil)
+					d.Listed(ListUnavailable, nil)
 				}
 			}
 			if c.d.Round(c.now, &c.trace, c); c.calls == before {
@@ -492,7 +492,7 @@
 			calls++
 			if free = max(free, c.now) + 62.5; free <= c.now+2000 {
 				c.called = math.Inf(1)
-				c.d.Listed(Complete, nil)
+				c.d.Listed(ListComplete, nil)
 				heard++
 			}
 		}
@@ -505,7 +505,7 @@
 // of another kind or from nobody who shares it change nothing; a wrong one costs a turn at most.
 func TestSuspicion(t *testing.T) {
 	s := plain()
-	s.Siblings, s.MayTell = 3, true
+	s.Dispatchers, s.MayNotifyPeers = 3, true
 	tr := start(t, s)
 	tr.up("f1", "f2")
 	id := uint64(0)
@@ -521,14 +521,14 @@
 	word := append(slices.Clone(tr.d.pack(tr.d.byID["f1"], 0)), suspicion)
 	other := append(slices.Clone(word[:3]), suspicion+1)
 	tr.at(tr.now+5, func(d *Dispatcher) {
-		d.Heard(1, other)
-		d.Heard(1, append(word, 0))
-		d.Heard(0, word)
-		d.Heard(3, word)
-		d.Heard(-1, word)
+		d.PeerMessageReceived(1, other)
+		d.PeerMessageReceived(1, append(word, 0))
+		d.PeerMessageReceived(0, word)
+		d.PeerMessageReceived(3, word)
+		d.PeerMessageReceived(-1, word)
 	})
 	draw("after words that are none")
-	tr.at(tr.now+5, func(d *Dispatcher) { d.Heard(1, word); d.Heard(1, word) })
+	tr.at(tr.now+5, func(d *Dispatcher) { d.PeerMessageReceived(1, word); d.PeerMessageReceived(1, word) })
 	draw("suspected by a sibling")
 	tr.at(tr.now+10000, func(*Dispatcher) {})
 	draw("10 s later")
@@ -536,7 +536,7 @@
 	tr.at(tr.now+5, func(d *Dispatcher) { d.suspect(d.byID["f1"]); d.suspect(d.byID["f1"]) })
 	tr.up("f1")
 	draw("f1 alone is left, and suspected")
-	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(Complete, []Entry{{Worker: "f1", Since: 1}, {Worker: "f2"}}) })
+	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListComplete, []Entry{{Worker: "f1", Since: 1}, {Worker: "f2"}}) })
 	draw("a new process of f1 is not suspected")
 	var lines []string
 	for _, l := range strings.Split(tr.log.String(), "\n") {
@@ -549,14 +549,14 @@
 
 func TestManySiblings(t *testing.T) {
 	s := plain()
-	s.Siblings, s.MayTell = 200, true
+	s.Dispatchers, s.MayNotifyPeers = 200, true
 	tr := start(t, s)
 	tr.at(1000, func(d *Dispatcher) {
 		var list []Entry
 		for k := range 40 {
 			list = append(list, Entry{Worker: "w" + strconv.Itoa(k)})
 		}
-		d.Listed(Complete, list)
+		d.Listed(ListComplete, list)
 	})
 	for id := uint64(1); id <= 3; id++ {
 		tr.arrive(id, 1, 400)
@@ -582,25 +582,25 @@
 		}
 	}
 	tr.d.part = []*worker{v, w}
-	tr.d.Heard(from, tr.d.pack(v, 1000))
+	tr.d.PeerMessageReceived(from, tr.d.pack(v, 1000))
 	stranger := 1
 	for shares(v, stranger) || shares(w, stranger) {
 		stranger++
 	}
-	tr.d.Heard(stranger, tr.d.pack(v, 1000))
+	tr.d.PeerMessageReceived(stranger, tr.d.pack(v, 1000))
 	tr.note("hand-offs told of at one: %d, at the other: %d", len(v.theirs), len(w.theirs))
 	tr.check("many")
 }
 
 func TestColdBudgetOfAll(t *testing.T) {
 	s := plain()
-	s.Siblings, s.Categories[0].Due = 200, 5000
+	s.Dispatchers, s.Categories[0].DueTime = 200, 5000
 	tr := start(t, s)
 	tr.say("200 dispatchers meet one worker 14 s after its start, each with work for it alone: few may send there")
 	sent := 0
-	for s.Number = range s.Siblings {
+	for s.Position = range s.Dispatchers {
 		one := start(t, s)
-		one.at(100000, func(d *Dispatcher) { d.Listed(Complete, []Entry{{Worker: "f1", Since: 86000}}) })
+		one.at(100000, func(d *Dispatcher) { d.Listed(ListComplete, []Entry{{Worker: "f1", Since: 86000}}) })
 		for id := uint64(1); id < 20; id++ {
 			one.arrive(id, 0, 100)
 		}
@@ -614,12 +614,12 @@
 
 func TestOneMoreWhenPressed(t *testing.T) {
 	s := plain()
-	s.Siblings = 3
+	s.Dispatchers = 3
 	tr := start(t, s)
 	tr.up("f1", "f2")
 	for id := uint64(1); id <= 5; id++ {
 		tr.arrive(id, 0, 400)
-		tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, 0, true, 0) })
+		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		r := tr.d.kinds[0].room[unseen]
 		tr.note("sure beyond the first: %d, likely: %d", r.more, r.most)
 		if id == 2 {
@@ -655,7 +655,7 @@
 func TestSureCapacity(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		s := plain()
-		s.TellsStart = told
+		s.StartNotices = told
 		d := New(s)
 		d.kinds[0].each = 6
 		d.kinds[0].slow = -math.Log(2)
--- a/internal/dispatch/blame_test.go
+++ b/internal/dispatch/failing_work_test.go
@@ -6,7 +6,7 @@
 // one, no worker is taken out for long and good work goes on; a worker that fails everything is taken out all the same.
 func TestFailsAnywhere(t *testing.T) {
 	s := plain()
-	s.Categories[0].Due = 5000
+	s.Categories[0].DueTime = 5000
 	tr := start(t, s)
 	tr.up("f1", "f2", "f3")
 	sent := map[bool]int{}
@@ -26,7 +26,7 @@
 				o = Failed
 			}
 			sent[o == Failed]++
-			tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, ho, true, 0) })
+			tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, ho, true, 0) })
 			tr.at(tr.now+40, func(d *Dispatcher) { tr.end(id, ho, o) })
 			if o == Finished {
 				return
--- a/internal/dispatch/learned.go
+++ b/internal/dispatch/learned.go
@@ -179,7 +179,7 @@
 		for i := range min(len(lk.Rooms), len(kd.room)) {
 			r, lr := &kd.room[i], lk.Rooms[i]
 			copy(r.fit[:], lr.Fit) // the older process may have had fewer places, or more
-			r.more, r.most, r.tried, r.explore = min(lr.More, MostFit-1), min(lr.Most, MostFit-1), lr.Tried, lr.Explore
+			r.more, r.most, r.tried, r.explore = min(lr.More, MaxConcurrency-1), min(lr.Most, MaxConcurrency-1), lr.Tried, lr.Explore
 		}
 	}
 	for _, lw := range l.Workers {
@@ -216,7 +216,7 @@
 // Adopt takes a work item over with its hand-offs, in the order in which they were made. What is out counts as load, is
 // doubted and moved as any other; the due time is not known, so all of the client's time is there.
 func (d *Dispatcher) Adopt(wi WorkItem, hos []Taken) {
-	it := &item{WorkItem: wi, cat: &d.f.categories[wi.Category], expiry: d.now + wi.Left}
+	it := &item{WorkItem: wi, cat: &d.f.categories[wi.Category], expiry: d.now + wi.TimeLeft}
 	if it.Hint, it.guessed = wi.Hint, wi.Hint <= 0; it.guessed {
 		it.Hint = max(d.median, 1)
 	}
--- a/internal/dispatch/learned_test.go
+++ b/internal/dispatch/learned_test.go
@@ -22,7 +22,7 @@
 	}
 	tr.d.Succeed()
 	next := start(t, s)
-	next.at(tr.now, func(d *Dispatcher) { d.Listed(Complete, list) })
+	next.at(tr.now, func(d *Dispatcher) { d.Listed(ListComplete, list) })
 	next.at(tr.now+1, func(d *Dispatcher) { d.Recall(l) })
 	return next
 }
@@ -31,14 +31,14 @@
 // meanwhile is another.
 func TestLearned(t *testing.T) {
 	s := plain()
-	s.Siblings, s.Tenants, s.Keyed, s.LiveWeights = 3, []Tenant{{PerSec: 100}}, true, true
+	s.Dispatchers, s.Tenants, s.KeyAffinity, s.LiveWeights = 3, []Tenant{{AllowancePerSec: 100}}, true, true
 	tr := start(t, s)
 	tr.learn()
 	tr.d.silent, tr.d.kinds[0].size, tr.d.kinds[0].fetch, tr.d.kinds[0].hint = 0.2, 8, 50, 90
 	tr.at(tr.now+5, func(d *Dispatcher) {
-		d.Heard(1, d.pack(named(d, "s1"), 3000))
-		d.Arrived(WorkItem{ID: 1, Left: 5000, Hint: 100, Key: "a"})
-		d.Arrived(WorkItem{ID: 2, Left: 5000, Hint: 400, Category: 1})
+		d.PeerMessageReceived(1, d.pack(named(d, "s1"), 3000))
+		d.Arrived(WorkItem{ID: 1, TimeLeft: 5000, Hint: 100, Key: "a"})
+		d.Arrived(WorkItem{ID: 2, TimeLeft: 5000, Hint: 400, Category: 1})
 	})
 	tr.at(tr.now+5, func(d *Dispatcher) { tr.end(1, 0, Failed) })
 	var list []Entry
@@ -65,18 +65,18 @@
 // and moved if it may be.
 func TestSucceeded(t *testing.T) {
 	s := plain()
-	s.Siblings, s.Categories[0].Due = 4, 5000
+	s.Dispatchers, s.Categories[0].DueTime = 4, 5000
 	list := []Entry{{Worker: "f1", Since: 99000}}
 	tr := start(t, s)
-	tr.at(100000, func(d *Dispatcher) { d.Listed(Complete, list) })
+	tr.at(100000, func(d *Dispatcher) { d.Listed(ListComplete, list) })
 	tr.run(1, 0, 100, 690)
 	spent := tr.now
 	tr.say("the older one has spent the budget of the window; neither sends in what is left of it")
 	next := tr.succeed(t, s, list)
 	alone := start(t, s)
-	alone.at(spent, func(d *Dispatcher) { d.Listed(Complete, list) })
+	alone.at(spent, func(d *Dispatcher) { d.Listed(ListComplete, list) })
 	for _, one := range []*trace{tr, next, alone} {
-		one.at(spent+10, func(d *Dispatcher) { d.Arrived(WorkItem{ID: 10, Tenant: -1, Left: 5000, Hint: 100}) })
+		one.at(spent+10, func(d *Dispatcher) { d.Arrived(WorkItem{ID: 10, Tenant: -1, TimeLeft: 5000, Hint: 100}) })
 		one.at(spent+300, func(*Dispatcher) {})
 	}
 	tr.note("the newer one sent %d, one that was told nothing %d", next.sum["f1"], alone.sum["f1"])
@@ -89,8 +89,8 @@
 	at := over.now
 	taken := []Taken{{Worker: "gone", Sent: at - 900, Done: true, Unrun: true}, {Worker: "f1", Sent: at - 500, Started: at - 490}}
 	over.at(at+5, func(d *Dispatcher) {
-		d.Adopt(WorkItem{ID: 1, Category: 1, Tenant: -1, Left: 9000, Hint: 100}, taken)
-		d.Adopt(WorkItem{ID: 2, Category: 0, Tenant: -1, Left: 9000, Hint: 100}, taken)
+		d.Adopt(WorkItem{ID: 1, Category: 1, Tenant: -1, TimeLeft: 9000, Hint: 100}, taken)
+		d.Adopt(WorkItem{ID: 2, Category: 0, Tenant: -1, TimeLeft: 9000, Hint: 100}, taken)
 	})
 	over.say("both stand still; the exclusive one is left alone, the other is moved")
 	over.at(at+4000, func(*Dispatcher) {})
@@ -102,13 +102,13 @@
 // TestManyAtOnce: a worker that starts each at once is found to take as many as MostFit, and no more than are started at once
 // where it starts fewer. A process that learned from one with fewer or more places takes over what it has room for.
 func TestManyAtOnce(t *testing.T) {
-	for _, slots := range []int{5, 17, MostFit} {
+	for _, slots := range []int{5, 17, MaxConcurrency} {
 		s := plain()
 		tr := start(t, s)
 		tr.up("f1")
 		for id := uint64(1); id <= uint64(slots); id++ {
 			tr.arrive(id, 0, 400)
-			tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, 0, true, 0) })
+			tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		}
 		if got := tr.sum["f1"]; got != slots {
 			t.Errorf("of %d that start at once %d were handed off", slots, got)
@@ -116,7 +116,7 @@
 		if got := tr.d.kinds[0].slots(); got != slots {
 			t.Errorf("%d slots are taken for %d", slots, got)
 		}
-		for _, places := range []int{16, MostFit + 1, 200} { // of the process that learned
+		for _, places := range []int{16, MaxConcurrency + 1, 200} { // of the process that learned
 			l := tr.d.Learned()
 			want := min(slots, places-1)
 			for k := range l.Kinds[0].Rooms {
@@ -125,8 +125,8 @@
 					r.Fit = append(r.Fit, 1)
 				}
 				r.Fit, r.Most = r.Fit[:places], min(r.Most, places-2)
-				if places > MostFit+1 {
-					r.Most, r.More, want = places-2, places-2, MostFit
+				if places > MaxConcurrency+1 {
+					r.Most, r.More, want = places-2, places-2, MaxConcurrency
 				}
 			}
 			next := start(t, s)
--- a/internal/dispatch/hintless_test.go
+++ b/internal/dispatch/no_hint_test.go
@@ -6,15 +6,15 @@
 // category's cost is learned, and what it may take grows with it. Each category has its own.
 func TestCategoryCosts(t *testing.T) {
 	s := plain()
-	s.Categories = []Category{{Due: 100, Stretch: 2.5, Expiry: 5000, Credit: 5, Kind: -1},
-		{Due: 600, Stretch: 2, Expiry: 8000, Credit: 5, Kind: -1}}
+	s.Categories = []Category{{DueTime: 100, DueStretch: 2.5, Expiry: 5000, Credit: 5, Kind: -1},
+		{DueTime: 600, DueStretch: 2, Expiry: 8000, Credit: 5, Kind: -1}}
 	tr := start(t, s)
 	tr.up("f1", "f2", "s1")
 	takes := [2]float64{365, 90}
 	var took, expected [2]float64 // of the last of each
 	for id := uint64(1); id <= 60; id++ {
 		c := int(id % 2)
-		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: id, Category: c, Tenant: -1, Left: 5000}) })
+		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: id, Category: c, Tenant: -1, TimeLeft: 5000}) })
 		it := tr.d.items[id]
 		if it == nil || len(it.hos) == 0 {
 			t.Fatalf("work item %d of category %d was given up, with every worker free", id, c)
@@ -24,7 +24,7 @@
 			run *= 1.5
 		}
 		took[c], expected[c] = run, tr.d.cost(it, it.hos[0].w)
-		tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, 0, true, 0) })
+		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		tr.at(tr.now+run, func(d *Dispatcher) { tr.end(id, 0, Finished) })
 	}
 	for c, want := range took {
@@ -37,7 +37,7 @@
 // TestCostFades: work that was once far too long for its time is tried again: else nothing could tell otherwise.
 func TestCostFades(t *testing.T) {
 	s := plain()
-	s.Categories[0] = Category{Due: 100, Expiry: 5000, Credit: 1, Kind: -1}
+	s.Categories[0] = Category{DueTime: 100, Expiry: 5000, Credit: 1, Kind: -1}
 	tr := start(t, s)
 	tr.up("f1")
 	tr.run(1, 0, 0, 900)
@@ -73,16 +73,16 @@
 		s.SecondCopies, s.MaxHandOffs = true, 6
 		tr := start(t, s)
 		tr.at(tr.now+1, func(d *Dispatcher) {
-			d.Listed(Complete, []Entry{{Worker: "f1", Zone: zone}, {Worker: "f2", Zone: zone}})
+			d.Listed(ListComplete, []Entry{{Worker: "f1", Zone: zone}, {Worker: "f2", Zone: zone}})
 		})
 		for id := uint64(1); id <= 10; id++ {
-			tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: id, Tenant: -1, Left: 5000, Hint: 100}) })
-			tr.at(tr.now+gap, func(d *Dispatcher) { d.Noticed(id, 0, true, 0) })
+			tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: id, Tenant: -1, TimeLeft: 5000, Hint: 100}) })
+			tr.at(tr.now+gap, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 			tr.at(tr.now+100, func(d *Dispatcher) { tr.end(id, 0, Finished) })
 		}
-		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: 20, Tenant: -1, Left: 5000, Hint: 100}) })
+		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: 20, Tenant: -1, TimeLeft: 5000, Hint: 100}) })
 		tr.at(tr.now+gap+3*gap, func(*Dispatcher) {}) // a new connection: three trips more
-		tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(20, 0, true, 0) })
+		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(20, 0, true, 0) })
 		if n := len(tr.d.items[20].hos); n != 1 {
 			t.Errorf("zone %d: %d hand-offs", zone, n)
 		}
--- a/internal/dispatch/siblings.go
+++ b/internal/dispatch/peers.go
@@ -61,7 +61,7 @@
 }
 
 // Heard takes a sibling's message.
-func (d *Dispatcher) Heard(from int, data []byte) {
+func (d *Dispatcher) PeerMessageReceived(from int, data []byte) {
 	if from < 0 || from >= d.f.siblings || from == d.f.number {
 		return
 	}
--- a/internal/dispatch/shape_test.go
+++ b/internal/dispatch/placement_test.go
@@ -12,7 +12,7 @@
 func TestLastHandOffIsKept(t *testing.T) {
 	for allowed, moves := range map[int]int{2: 0, 3: 1} {
 		s := plain()
-		s.SecondCopies, s.MaxHandOffs, s.Siblings = true, allowed, 2
+		s.SecondCopies, s.MaxHandOffs, s.Dispatchers = true, allowed, 2
 		tr := start(t, s)
 		tr.up("f1", "f2")
 		for id := uint64(100); id < 110; id++ {
@@ -33,7 +33,7 @@
 	at := map[string]map[string]bool{}
 	for number := range 40 {
 		s := plain()
-		s.Seed, s.Siblings, s.Number, s.Keyed, s.Categories[0].Due = uint64(number+1), 40, number, keyed, 5000
+		s.Seed, s.Dispatchers, s.Position, s.KeyAffinity, s.Categories[0].DueTime = uint64(number+1), 40, number, keyed, 5000
 		tr := start(t, s)
 		var names []string
 		for k := range 40 {
@@ -43,13 +43,13 @@
 		for id := range uint64(keys * 8) {
 			key := "key" + strconv.Itoa(int(id)%keys)
 			tr.at(tr.now+5, func(d *Dispatcher) {
-				d.Arrived(WorkItem{ID: id, Tenant: -1, Left: 5000, Hint: 20, Key: key})
+				d.Arrived(WorkItem{ID: id, Tenant: -1, TimeLeft: 5000, Hint: 20, Key: key})
 			})
 			if at[key] == nil {
 				at[key] = map[string]bool{}
 			}
 			at[key][tr.d.items[id].hos[0].w.Worker] = true
-			tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, 0, true, 0) })
+			tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 			tr.at(tr.now+20, func(*Dispatcher) { tr.end(id, 0, Finished) })
 		}
 	}
@@ -78,18 +78,18 @@
 // both are busy it waits, though six others are idle: anywhere else it would be one more fetch.
 func TestKeyMovesOn(t *testing.T) {
 	s := plain()
-	s.Keyed, s.Categories[0].Due = true, 5000
+	s.KeyAffinity, s.Categories[0].DueTime = true, 5000
 	tr := start(t, s)
 	tr.up("f1", "f2", "f3", "f4", "f5", "f6", "f7", "f8")
 	where := map[uint64]string{}
 	send := func(id uint64, key string) {
 		tr.at(tr.now+5, func(d *Dispatcher) {
-			d.Arrived(WorkItem{ID: id, Tenant: -1, Left: 5000, Hint: 50, Key: key})
+			d.Arrived(WorkItem{ID: id, Tenant: -1, TimeLeft: 5000, Hint: 50, Key: key})
 		})
 		where[id] = tr.d.items[id].hos[0].w.Worker
 	}
 	end := func(id uint64) {
-		tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, 0, true, 0) })
+		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		tr.at(tr.now+50, func(*Dispatcher) { tr.end(id, 0, Finished) })
 	}
 	for id := uint64(100); id < 180; id++ { // the keys of this one are one in eight of all
@@ -99,7 +99,7 @@
 	tr.at(tr.now+6000, func(*Dispatcher) {})
 	send(1, "key1")
 	send(2, "key1")
-	tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: 4, Tenant: -1, Left: 5000, Hint: 50, Key: "key1"}) })
+	tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: 4, Tenant: -1, TimeLeft: 5000, Hint: 50, Key: "key1"}) })
 	if n := len(tr.d.items[4].hos); n != 0 {
 		t.Errorf("sent to a third worker, %s", tr.d.items[4].hos[0].w.Worker)
 	}
@@ -124,9 +124,9 @@
 	}
 	silent := func(id uint64, category int, span float64) (handOffs, running int) {
 		tr.arrive(id, category, 400)
-		tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, 0, true, 0) })
+		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		w := tr.d.items[id].hos[0].w
-		tr.at(tr.now+span, func(d *Dispatcher) { d.Noticed(id, 1, true, 0) })
+		tr.at(tr.now+span, func(d *Dispatcher) { d.HandOffProgressed(id, 1, true, 0) })
 		it := tr.d.items[id]
 		return len(it.hos), w.running
 	}
@@ -159,7 +159,7 @@
 // connection broke or it was called off, and a second one elsewhere was turned away, the third never goes to the first's worker,
 // though nobody else has room; where the first ended for certain it does.
 func TestOneAtATime(t *testing.T) {
-	for _, first := range []Outcome{-1, Reset, Cancelled, TimedOut, Failed, Full} {
+	for _, first := range []Outcome{-1, ConnReset, Cancelled, TimedOut, Failed, Full} {
 		s := plain()
 		s.SecondCopies, s.MaxHandOffs = true, 5
 		tr := start(t, s)
@@ -171,7 +171,7 @@
 		tr.arrive(1, 0, 400)
 		it := tr.d.items[1]
 		w := it.hos[0].w
-		tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(1, 0, true, 0) })
+		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(1, 0, true, 0) })
 		if first >= 0 {
 			tr.at(tr.now+1, func(*Dispatcher) { tr.end(1, 0, first) })
 		}
@@ -213,7 +213,7 @@
 		first, avoided int
 	}{{0, false, 1, 1}, {0.2, false, 1, 0}, {0.2, false, 2, 1}, {0.2, true, 1, 1}} {
 		s := plain()
-		s.Keyed = c.keyed
+		s.KeyAffinity = c.keyed
 		tr := start(t, s)
 		tr.up("f1")
 		for id := uint64(100); id < 130; id++ {
@@ -222,7 +222,7 @@
 		avoided := 0
 		for id := range uint64(c.first) {
 			tr.arrive(id, 1, 100)
-			tr.at(tr.now+1, func(d *Dispatcher) { d.Noticed(id, 0, true, 0) })
+			tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 			tr.d.silent = c.silent
 			for end := tr.now + 2600; tr.now < end; {
 				tr.at(tr.now+100, func(*Dispatcher) {})
@@ -249,7 +249,7 @@
 				for k, w := range weights {
 					list = append(list, Entry{Worker: "f" + strconv.Itoa(k+1), Weight: w})
 				}
-				d.Listed(Changes, list)
+				d.Listed(ListChanges, list)
 			})
 		}
 		list(8, 8)
@@ -282,7 +282,7 @@
 // TestFetchesApart: a fetch adds the same to small work and large; it must not pass for slowness of the kind.
 func TestFetchesApart(t *testing.T) {
 	s := plain()
-	s.Keyed, s.Categories[0].Due = true, 5000
+	s.KeyAffinity, s.Categories[0].DueTime = true, 5000
 	tr := start(t, s)
 	tr.up("f1", "f2")
 	for id := uint64(100); id < 500; id++ {
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -19,7 +19,7 @@
 				list = append(list, Entry{Worker: fmt.Sprintf("%c%d", 'a'+k, w), Kind: k, Zone: len(list) % 4})
 			}
 		}
-		d.Listed(Complete, list)
+		d.Listed(ListComplete, list)
 	})
 	return tr
 }
@@ -31,7 +31,7 @@
 	for seed := range uint64(400) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		s := plain()
-		s.Seed, s.Kinds, s.NearFirst = seed, 3, seed%2 == 0
+		s.Seed, s.Kinds, s.PreferOwnZone = seed, 3, seed%2 == 0
 		tr := wide(t, s, 1+r.IntN(1200), 1+r.IntN(1200), many)
 		d := tr.d
 		d.mean, d.cutoff = 20, 20
@@ -92,7 +92,7 @@
 // where all are looked at.
 func TestManyEven(t *testing.T) {
 	s := plain()
-	s.Categories[0].Due = 5000
+	s.Categories[0].DueTime = 5000
 	const items, workers = 30000, 1500
 	tr := wide(t, s, workers)
 	for id := range uint64(items) {
@@ -122,7 +122,7 @@
 		for id := range uint64(20) {
 			tr.at(tr.now+5, func(d *Dispatcher) {
 				for k := range uint64(10) {
-					d.Arrived(WorkItem{ID: 10*id + k, Tenant: -1, Left: 5000, Hint: 20})
+					d.Arrived(WorkItem{ID: 10*id + k, Tenant: -1, TimeLeft: 5000, Hint: 20})
 				}
 			})
 			count := 0
@@ -137,7 +137,7 @@
 		racks := map[int]bool{} // of the list's first kind, by tens: neighbours there stand side by side
 		tr.at(tr.now+5, func(d *Dispatcher) {
 			for k := range uint64(100) {
-				d.Arrived(WorkItem{ID: 1000 + k, Tenant: -1, Left: 5000, Hint: 20})
+				d.Arrived(WorkItem{ID: 1000 + k, Tenant: -1, TimeLeft: 5000, Hint: 20})
 			}
 		})
 		for _, it := range tr.d.open[len(tr.d.open)-100:] {
@@ -180,7 +180,7 @@
 // TestManyNear: where crossing to another zone has a price, of many workers the near ones are drawn first.
 func TestManyNear(t *testing.T) {
 	s := plain()
-	s.NearFirst = true
+	s.PreferOwnZone = true
 	tr := wide(t, s, 1000)
 	for id := range uint64(100) {
 		tr.run(id, 0, 20, 2)
@@ -196,21 +196,21 @@
 // TestNamed: a message is understood of workers that came after others were named.
 func TestNamed(t *testing.T) {
 	s := plain()
-	s.Siblings, s.MayTell = 2, true
+	s.Dispatchers, s.MayNotifyPeers = 2, true
 	tr := wide(t, s, 300)
 	tell := func(id string) int {
 		w := tr.d.byID[id]
-		tr.at(tr.now+5, func(d *Dispatcher) { d.Heard(1, []byte{byte(w.hash >> 8), byte(w.hash), 200}) })
+		tr.at(tr.now+5, func(d *Dispatcher) { d.PeerMessageReceived(1, []byte{byte(w.hash >> 8), byte(w.hash), 200}) })
 		return len(w.theirs)
 	}
 	if n := tell("a7"); n != 1 {
 		t.Errorf("%d hand-offs were heard of at a worker", n)
 	}
-	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(Changes, []Entry{{Worker: "new"}}) })
+	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "new"}}) })
 	if n := tell("new"); n != 1 {
 		t.Errorf("%d hand-offs were heard of at a worker that came later", n)
 	}
-	tr.at(tr.now+5, func(d *Dispatcher) { d.Heard(1, nil) }) // nothing to be named
+	tr.at(tr.now+5, func(d *Dispatcher) { d.PeerMessageReceived(1, nil) }) // nothing to be named
 }
 
 // TestManySome: where a look at some is enough, these are others each time, and in the end all.
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -45,20 +45,20 @@
 }
 
 func derive(s Settings) figures {
-	siblings := max(s.Siblings, 1)
+	siblings := max(s.Dispatchers, 1)
 	parts := min(siblings, mostShare)
 	f := figures{categories: s.Categories, excessCredit: s.ExcessCredit, siblings: siblings, parts: parts,
-		number: min(max(s.Number, 0), siblings-1), zone: s.Zone,
-		nearFirst: s.NearFirst, keyed: s.Keyed, liveWeights: s.LiveWeights, tellsStart: s.TellsStart, mustAsk: s.MustAsk, onlyDraining: s.OnlyDraining, mayTell: s.MayTell,
-		mayCancel: s.MayCancel, copies: s.SecondCopies, maxHandOffs: s.MaxHandOffs, twoGrains: 2 * s.Grain,
-		still: stillAfter * s.Progress, askFirst: askFirst * s.AskWithin, askMost: s.AskWithin, askAgain: askAgain * s.AskWithin,
-		startShare: s.StartShare, warming: (1 - s.StartShare) / max(s.Cold, 1), cold: s.Cold, fall: max(s.Fall, 1),
-		fallPart: s.FallMultiple / float64(min(parts, mostWarm))}
-	if s.MayPause {
-		f.maxPause = s.MaxPause
+		number: min(max(s.Position, 0), siblings-1), zone: s.Zone,
+		nearFirst: s.PreferOwnZone, keyed: s.KeyAffinity, liveWeights: s.LiveWeights, tellsStart: s.StartNotices, mustAsk: s.DiscoveryOnRequest, onlyDraining: s.OnlyDrainingBinds, mayTell: s.MayNotifyPeers,
+		mayCancel: s.MayCancel, copies: s.SecondCopies, maxHandOffs: s.MaxHandOffs, twoGrains: 2 * s.RoundInterval,
+		still: stillAfter * s.ProgressInterval, askFirst: askFirst * s.DiscoveryAskWithin, askMost: s.DiscoveryAskWithin, askAgain: askAgain * s.DiscoveryAskWithin,
+		startShare: s.StartCapacity, warming: (1 - s.StartCapacity) / max(s.WarmUpTime, 1), cold: s.WarmUpTime, fall: max(s.OverloadWindow, 1),
+		fallPart: s.OverloadMultiple / float64(min(parts, mostWarm))}
+	if s.MayAdviseRetryAfter {
+		f.maxPause = s.MaxRetryAfter
 	}
 	for _, t := range s.Tenants {
-		f.shares = append(f.shares, t.PerSec*tenantSpan/1000)
+		f.shares = append(f.shares, t.AllowancePerSec*tenantSpan/1000)
 	}
 	return f
 }
@@ -113,15 +113,15 @@
 )
 
 // MostFit is how many work items that run at once on one worker can be learned.
-const MostFit = 64
+const MaxConcurrency = 64
 
 // A room is what was learned of how many work items run at once on one worker.
 type room struct {
-	fit     [MostFit + 1]float64 // smoothed: did the nth start at once? 1 always, -1 never, 0 not known
-	more    int                  // most that do, beyond the first
-	tried   int                  // how often one more did not
-	explore float64              // not before this time is one more tried
-	most    int                  // the same where it is only likelier than not
+	fit     [MaxConcurrency + 1]float64 // smoothed: did the nth start at once? 1 always, -1 never, 0 not known
+	more    int                         // most that do, beyond the first
+	tried   int                         // how often one more did not
+	explore float64                     // not before this time is one more tried
+	most    int                         // the same where it is only likelier than not
 }
 
 func (k *kind) slots() int { return max(1+k.room[seen].most, 1+k.room[unseen].most, k.free) }
@@ -231,7 +231,7 @@
 type Dispatcher struct {
 	f         figures
 	now       float64
-	out       Writer
+	out       Executor
 	mwc       uint64
 	workers   []*worker
 	part      []*worker // those that it uses: its share, or all if none of these is up
@@ -296,7 +296,7 @@
 	d := &Dispatcher{f: f, askGap: f.askFirst, byID: map[string]*worker{}, items: map[uint64]*item{},
 		resetAt: -1, shares: f.parts, mwc: s.Seed | 1, kinds: make([]kind, s.Kinds+1),
 		most: make([]float64, len(s.Categories)), costs: make([]cost, len(s.Categories)),
-		homes: map[uint64]*home{}, arrivals: make([]ring, len(s.Tenants)), beat: max(s.Grain, s.AnswerSlack/2, 1), beatAt: -1,
+		homes: map[uint64]*home{}, arrivals: make([]ring, len(s.Tenants)), beat: max(s.RoundInterval, s.AnswerSlack/2, 1), beatAt: -1,
 		asked: -1, heard: math.Inf(-1), wanted: sure}
 	d.pool()
 	for range 8 {
@@ -343,7 +343,7 @@
 }
 
 // Streaming marks an item whose answer has begun: it is the client's now and has no expiry.
-func (d *Dispatcher) Streaming(wi uint64, _ int) {
+func (d *Dispatcher) ResponseStarted(wi uint64, _ int) {
 	if it := d.items[wi]; it != nil {
 		it.stream = true
 	}
@@ -412,7 +412,7 @@
 // guess stands in for the hint of a work item that has none: the middle of those that others have; where nobody has one,
 // what its category's answers cost, faded back to half its due time, so that too high a guess keeps nothing out for good.
 func (d *Dispatcher) guess(category int) float64 {
-	half, c := max(d.f.categories[category].Due/2, 1), &d.costs[category]
+	half, c := max(d.f.categories[category].DueTime/2, 1), &d.costs[category]
 	switch {
 	case d.hinted && d.median > 0:
 		return d.median
--- a/internal/dispatch/lists_test.go
+++ b/internal/dispatch/worker_list_test.go
@@ -6,21 +6,21 @@
 // costs a few hand-offs that never ran, one seen as draining stays bound, one that no list named is never sent to.
 func TestWrongList(t *testing.T) {
 	s := plain()
-	s.OnlyDraining, s.Categories[0].Due = true, 5000
+	s.OnlyDrainingBinds, s.Categories[0].DueTime = true, 5000
 	tr := start(t, s)
 	tr.up("f1", "f2", "f3")
 	one := func(id uint64, end Outcome) {
 		tr.arrive(id, 0, 100)
 		tr.at(tr.now+1, func(d *Dispatcher) {
 			if it := d.items[id]; it != nil && it.out > 0 && end == Finished {
-				d.Noticed(id, len(it.hos)-1, true, 0)
+				d.HandOffProgressed(id, len(it.hos)-1, true, 0)
 			}
 		})
 		tr.at(tr.now+60, func(d *Dispatcher) {
 			if it := d.items[id]; it != nil && it.out > 0 {
 				tr.end(id, len(it.hos)-1, end)
 				if end != Finished {
-					d.Left(id)
+					d.ClientLeft(id)
 				}
 			}
 		})
@@ -29,27 +29,27 @@
 		one(id, Finished)
 	}
 	tr.say("f3 drains; then an empty list: f1 and f2 go on, f3 does not, nor does one that was never in service")
-	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(Changes, []Entry{{Worker: "f3", State: Draining}}) })
-	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(Complete, nil) })
-	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(Changes, []Entry{{Worker: "f4", State: Gone}}) })
+	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f3", State: Draining}}) })
+	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListComplete, nil) })
+	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f4", State: Gone}}) })
 	for id := uint64(10); id < 16; id++ {
 		one(id, Finished)
 	}
 	tr.say("f2 is listed again, f1 is not: with work out there its weight halves, and doubles as it answers")
-	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(Changes, []Entry{{Worker: "f2"}}) })
+	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f2"}}) })
 	for id := uint64(20); id < 26; id++ {
 		one(id, Finished)
 	}
 	f1 := named(tr.d, "f1")
 	tr.note("weight of f1 %.3f, listed workers %v", tr.d.weight(f1)/tr.d.kinds[0].each, first(tr.d.Pool()))
 	tr.say("f1 is gone indeed: three that cannot connect, then nothing more")
-	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(Changes, []Entry{{Worker: "f2", State: Draining}}) })
+	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f2", State: Draining}}) })
 	for id := uint64(30); id < 40; id++ {
 		one(id, ConnectFailed)
 		tr.at(tr.now+4000, func(*Dispatcher) {})
 	}
 	tr.say("listed again")
-	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(Complete, []Entry{{Worker: "f1"}}) })
+	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListComplete, []Entry{{Worker: "f1"}}) })
 	tr.at(tr.now+20000, func(*Dispatcher) {})
 	one(50, Finished)
 	tr.check("wronglist")
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -44,7 +44,7 @@
 // long has categories that wait far longer than the process has when it is told to stop.
 func long(s *dispatch.Settings) {
 	for k := range s.Categories {
-		s.Categories[k].Due, s.Categories[k].Expiry = 15000, 15000
+		s.Categories[k].DueTime, s.Categories[k].Expiry = 15000, 15000
 	}
 }
 
@@ -121,7 +121,7 @@
 	})
 	play("done and told to stop", func(*Client) values { return values{done, Stop{}} })
 	play("told to stop and the client leaves", func(a *Client) values { return values{Stop{}, Departed{a}} })
-	play("done and the connection breaks", func(*Client) values { return values{done, Ended{1, 0, dispatch.Reset}} })
+	play("done and the connection breaks", func(*Client) values { return values{done, Ended{1, 0, dispatch.ConnReset}} })
 	play("returned and its worker drains", func(*Client) values {
 		return values{Callback{ID: "a", From: "w1", State: Returned},
 			Listing{Watch: 1, Revision: 6, Members: []Member{member("w1", dispatch.Draining), member("w2", dispatch.Up)}}}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -426,7 +426,7 @@
 		n.usedFor = max(n.usedFor, c.Expiry)
 	}
 	n.take(o.Known.Members)
-	n.inbox = append(n.inbox, listed{dispatch.Restored, o.Known.Members})
+	n.inbox = append(n.inbox, listed{dispatch.ListRestored, o.Known.Members})
 	return n
 }
 
@@ -512,7 +512,7 @@
 func (n *Node) begin(front Front) {
 	n.front, n.now = front, n.Now()
 	n.startAt = n.now
-	if !n.s.MustAsk {
+	if !n.s.DiscoveryOnRequest {
 		n.ask()
 	}
 	n.round()
@@ -523,11 +523,11 @@
 	n.timers()
 	if n.gate != nil {
 		n.apply()
-		if n.now >= n.lastAt+n.s.Grain && !n.gate.Open() {
+		if n.now >= n.lastAt+n.s.RoundInterval && !n.gate.Open() {
 			n.shut()
 		}
 	}
-	if (len(n.inbox) > 0 || n.wake) && n.now >= n.lastAt+n.s.Grain {
+	if (len(n.inbox) > 0 || n.wake) && n.now >= n.lastAt+n.s.RoundInterval {
 		n.round()
 	}
 }
@@ -553,7 +553,7 @@
 		at = min(at, n.handAt)
 	}
 	if len(n.inbox) > 0 || n.wake {
-		at = min(at, n.lastAt+n.s.Grain)
+		at = min(at, n.lastAt+n.s.RoundInterval)
 	}
 	return at
 }
@@ -576,7 +576,7 @@
 		}
 	case Ended:
 		if it := n.items[v.WI]; it != nil {
-			it.hos[v.HO].never = v.Outcome.ProvesUnrun()
+			it.hos[v.HO].never = v.Outcome.ProvesNotRun()
 			n.ended(it, v.HO, v.Outcome, "")
 		}
 	case Callback:
@@ -707,16 +707,16 @@
 		return
 	case !n.allowed(): // others of the fleet will take it
 		r := Reply{Result: Deferred}
-		if n.s.MayPause {
-			r.Pause = min(fullPause, n.s.MaxPause)
+		if n.s.MayAdviseRetryAfter {
+			r.Pause = min(fullPause, n.s.MaxRetryAfter)
 		}
 		n.book(fleet.Deferred)
 		c.Answer(r)
 		return
 	case n.open >= min(n.maxOpen, n.room): // as the settings say, or no socket is left for one more client that waits
 		r := Reply{Result: Deferred}
-		if n.s.MayPause {
-			r.Pause = min(fullPause, n.s.MaxPause)
+		if n.s.MayAdviseRetryAfter {
+			r.Pause = min(fullPause, n.s.MaxRetryAfter)
 		}
 		c.Answer(r)
 		return
@@ -778,13 +778,13 @@
 		return
 	}
 	h := &it.hos[ho]
-	h.ended, h.unrun = true, o.ProvesUnrun()
+	h.ended, h.unrun = true, o.ProvesNotRun()
 	it.out--
 	if o == dispatch.Finished {
 		n.answer(it, Reply{Body: result})
 	}
-	n.inbox = append(n.inbox, dispatch.Answer{WI: it.wi, HO: ho, Outcome: o, Spent: n.now - h.sent,
-		Final: it.done, Load: dispatch.NoLoad})
+	n.inbox = append(n.inbox, dispatch.HandOffResult{WI: it.wi, HO: ho, Outcome: o, Elapsed: n.now - h.sent,
+		Final: it.done, Load: dispatch.UnknownLoad})
 	n.forget(it)
 }
 
@@ -818,7 +818,7 @@
 			return true
 		default:
 			n.ended(it, ho, map[CallbackState]dispatch.Outcome{Failed: dispatch.Failed,
-				Returned: dispatch.Full, Lost: dispatch.Reset}[c.State], "")
+				Returned: dispatch.Full, Lost: dispatch.ConnReset}[c.State], "")
 			return true
 		}
 	}
@@ -898,11 +898,11 @@
 		n.use(id)
 	}
 	if len(k.Members) > 0 && (!n.listed || k.Discovery == n.discovery && k.Revision > n.revision) {
-		if !n.s.OnlyDraining {
+		if !n.s.OnlyDrainingBinds {
 			clear(n.addrs)
 		}
 		n.take(k.Members)
-		n.inbox = append(n.inbox, listed{dispatch.Restored, k.Members})
+		n.inbox = append(n.inbox, listed{dispatch.ListRestored, k.Members})
 	}
 	n.inbox = append(n.inbox, k.Learned)
 	n.log.Info("takeover", "takeover", "inherited", "list", k.Revision, "own", n.revision, "members", len(k.Members),
@@ -914,7 +914,7 @@
 		switch {
 		case m.State != dispatch.Gone:
 			n.addrs[m.Worker] = m.Addr
-		case !n.s.OnlyDraining: // else it may still be sent to where it was
+		case !n.s.OnlyDrainingBinds: // else it may still be sent to where it was
 			delete(n.addrs, m.Worker)
 		}
 	}
@@ -928,9 +928,9 @@
 		n.unwatch(l.Watch)
 		n.spoke, n.watchAt = true, math.Inf(1)
 	}
-	form := dispatch.Changes
+	form := dispatch.ListChanges
 	if l.Complete {
-		if form = dispatch.Complete; !n.s.OnlyDraining {
+		if form = dispatch.ListComplete; !n.s.OnlyDrainingBinds {
 			clear(n.addrs)
 		}
 	}
@@ -970,9 +970,9 @@
 	}
 	n.watch++
 	n.watches = append(n.watches, n.watch)
-	n.asked = n.s.MustAsk
+	n.asked = n.s.DiscoveryOnRequest
 	pace := float64(watchPace)
-	if n.s.MustAsk {
+	if n.s.DiscoveryOnRequest {
 		pace = n.within(askPace)
 	}
 	n.watchAt = n.now + pace*(0.8+0.4*n.chance())
@@ -981,8 +981,8 @@
 
 // within shortens a time of asking to what the settings leave for it.
 func (n *Node) within(span float64) float64 {
-	if n.s.AskWithin > 0 {
-		span = min(span, askPart*n.s.AskWithin)
+	if n.s.DiscoveryAskWithin > 0 {
+		span = min(span, askPart*n.s.DiscoveryAskWithin)
 	}
 	return span
 }
@@ -1006,9 +1006,9 @@
 	n.watches = slices.DeleteFunc(n.watches, func(k int) bool { return k == watch })
 	gap := float64(watchGap)
 	switch {
-	case n.s.MustAsk && n.spoke:
+	case n.s.DiscoveryOnRequest && n.spoke:
 		gap = n.within(askGap)
-	case n.s.MustAsk: // a call that failed: many that fail would be made again and again
+	case n.s.DiscoveryOnRequest: // a call that failed: many that fail would be made again and again
 		gap = n.within(askPace)
 	case n.s.DrainGrace > 0:
 		gap = min(gap, n.s.DrainGrace/gracePart)
@@ -1016,8 +1016,8 @@
 	if n.spoke = false; len(n.watches) == 0 {
 		n.watchAt = min(n.watchAt, n.now+gap*(0.5+n.chance()))
 	}
-	if n.asked = n.asked && len(n.watches) > 0; n.s.MustAsk && !n.asked {
-		n.inbox = append(n.inbox, listed{dispatch.Unavailable, nil})
+	if n.asked = n.asked && len(n.watches) > 0; n.s.DiscoveryOnRequest && !n.asked {
+		n.inbox = append(n.inbox, listed{dispatch.ListUnavailable, nil})
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -85,7 +85,7 @@
 	c.Answer = func(r Reply) { s.replies[c] = append(s.replies[c], r) }
 }
 
-func member(worker string, state dispatch.State) Member {
+func member(worker string, state dispatch.WorkerState) Member {
 	return Member{Entry: dispatch.Entry{Worker: worker, State: state}, Addr: "at-" + worker}
 }
 
@@ -94,11 +94,11 @@
 // beginWith is the same with other settings.
 func beginWith(ask bool, change func(*dispatch.Settings), members ...Member) *script {
 	s := &script{clients: map[string]*Client{}, replies: map[*Client][]Reply{}}
-	o := Options{Settings: dispatch.Settings{Seed: 1 << 40, Grain: 5, Siblings: 1, Kinds: 1, TellsStart: true, MustAsk: ask,
-		MayCancel: true, SecondCopies: true, MaxHandOffs: 3, AnswerSlack: 20, AskWithin: 10000, StartShare: 0.1,
-		Cold: 1000, FallMultiple: 3, Fall: 100, MayPause: true, MaxPause: 2000, Categories: []dispatch.Category{
-			{Due: 1000, Expiry: 2000, Credit: 1, Kind: -1},
-			{Due: 1000, Expiry: 2000, Credit: 1, Kind: -1, Repeat: dispatch.Exclusive}}},
+	o := Options{Settings: dispatch.Settings{Seed: 1 << 40, RoundInterval: 5, Dispatchers: 1, Kinds: 1, StartNotices: true, DiscoveryOnRequest: ask,
+		MayCancel: true, SecondCopies: true, MaxHandOffs: 3, AnswerSlack: 20, DiscoveryAskWithin: 10000, StartCapacity: 0.1,
+		WarmUpTime: 1000, OverloadMultiple: 3, OverloadWindow: 100, MayAdviseRetryAfter: true, MaxRetryAfter: 2000, Categories: []dispatch.Category{
+			{DueTime: 1000, Expiry: 2000, Credit: 1, Kind: -1},
+			{DueTime: 1000, Expiry: 2000, Credit: 1, Kind: -1, Repeat: dispatch.Exclusive}}},
 		MaxOpen: 10, Discovery: "here", Known: Listing{Revision: 4, Members: members}}
 	if change != nil {
 		change(&o.Settings)
@@ -123,7 +123,7 @@
 			s.at(1010, s.client("a", 1, 2000))
 			s.at(1020, Callback{ID: "a", From: "w2", State: Done, Result: "not there"}, Callback{ID: "b", From: "w1"})
 			s.at(1030, Callback{ID: "a", From: "w1", State: Started}, Callback{ID: "a", From: "w1", State: Done, Result: "r"})
-			s.at(1040, Callback{ID: "a", From: "w1", State: Failed}, Ended{1, 0, dispatch.Reset})
+			s.at(1040, Callback{ID: "a", From: "w1", State: Failed}, Ended{1, 0, dispatch.ConnReset})
 		}},
 		{"exclusive work that never ran goes on, then may have run: written off", func(s *script) {
 			s.at(1010, s.client("a", 1, 2000))
--- a/internal/node/rounds.go
+++ b/internal/node/rounds.go
@@ -24,7 +24,7 @@
 		hos []JobHandOff
 	}
 	listed struct {
-		form    dispatch.Form
+		form    dispatch.ListType
 		members []Member
 	}
 )
@@ -40,15 +40,15 @@
 }
 
 // Deliver hands over what came in.
-func (n *Node) Deliver(d dispatch.Receiver) {
+func (n *Node) Deliver(d dispatch.EventHandler) {
 	for _, v := range n.inbox {
 		switch v := v.(type) {
 		case *item:
 			c := v.client
 			d.Arrived(dispatch.WorkItem{ID: v.wi, Category: c.Category, Tenant: c.Tenant,
-				Left: max(c.Expiry-n.now, 0), Within: v.within, Hint: c.Hint, Key: c.Key})
+				TimeLeft: max(c.Expiry-n.now, 0), ShutdownIn: v.within, Hint: c.Hint, Key: c.Key})
 		case left:
-			d.Left(uint64(v))
+			d.ClientLeft(uint64(v))
 		case shutOut:
 			if to, ok := d.(interface{ GiveUp(uint64) }); ok {
 				to.GiveUp(uint64(v))
@@ -57,12 +57,12 @@
 			if to, ok := d.(interface{ End(within float64) }); ok {
 				to.End(max(float64(v)-n.now, 0))
 			}
-		case dispatch.Answer:
-			d.Answered(v)
+		case dispatch.HandOffResult:
+			d.HandOffEnded(v)
 		case noticed:
-			d.Noticed(v.wi, v.ho, v.start, v.share)
+			d.HandOffProgressed(v.wi, v.ho, v.start, v.share)
 		case Heard:
-			d.Heard(v.From, v.Data)
+			d.PeerMessageReceived(v.From, v.Data)
 		case adopted:
 			if to, ok := d.(learner); ok {
 				var hos []dispatch.Taken
@@ -71,7 +71,7 @@
 				}
 				c := v.it.client
 				to.Adopt(dispatch.WorkItem{ID: v.it.wi, Category: c.Category, Tenant: c.Tenant,
-					Left: max(c.Expiry-n.now, 0), Hint: c.Hint, Key: c.Key}, hos)
+					TimeLeft: max(c.Expiry-n.now, 0), Hint: c.Hint, Key: c.Key}, hos)
 			}
 		case dispatch.Learned:
 			if to, ok := d.(learner); ok {
@@ -104,11 +104,11 @@
 	addr, known := n.addrs[worker]
 	switch {
 	case it.done || rest <= 0 || ho >= n.s.MaxHandOffs:
-		n.ended(it, ho, dispatch.Moot, "")
+		n.ended(it, ho, dispatch.NotSent, "")
 	case !known: // it left the list
 		n.ended(it, ho, dispatch.ConnectFailed, "")
 	case !n.allowed(): // what waits is given up with the next round
-		n.ended(it, ho, dispatch.Moot, "")
+		n.ended(it, ho, dispatch.NotSent, "")
 	default:
 		it.hos[ho].never, it.hos[ho].addr = false, addr
 		it.hos[ho].attempt = n.front.Send(Sending{WI: wi, HO: ho, ID: it.client.ID, Addr: addr,
@@ -140,15 +140,15 @@
 }
 
 // Timer brings on a round; the handle has no use beyond that.
-func (n *Node) Timer(_ uint64, span float64) { n.at(n.now+span, 0, 0) }
+func (n *Node) SetTimer(_ uint64, span float64) { n.at(n.now+span, 0, 0) }
 
 // Watch asks discovery for changes, where it tells nothing unasked. Each call has one answer: while that is
 // owed, asking again would only put it off.
-func (n *Node) Watch(on bool) {
+func (n *Node) WatchDiscovery(on bool) {
 	if on && !n.asked {
 		n.ask()
 	}
 }
 
 // Tell sends a message to siblings.
-func (n *Node) Tell(to int, data []byte) { n.front.Tell(to, data) }
+func (n *Node) SendToPeer(to int, data []byte) { n.front.Tell(to, data) }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -60,7 +60,7 @@
 	return l, nil
 }
 
-var memberStates = map[string]dispatch.State{"in_service": dispatch.Up, "terminating": dispatch.Draining,
+var memberStates = map[string]dispatch.WorkerState{"in_service": dispatch.Up, "terminating": dispatch.Draining,
 	"terminated": dispatch.Gone}
 
 // member is one member as it stands on the wire.
--- a/internal/platform/endings_test.go
+++ b/internal/platform/endings_test.go
@@ -46,7 +46,7 @@
 	in      dispatch.Inbox
 	mu      sync.Mutex
 	arrived int
-	states  map[string]dispatch.State // of workers, as told last
+	states  map[string]dispatch.WorkerState // of workers, as told last
 	lists   int
 }
 
@@ -56,12 +56,12 @@
 	return s.arrived
 }
 
-func (s *spy) Round(now float64, in dispatch.Inbox, out dispatch.Writer) {
+func (s *spy) Round(now float64, in dispatch.Inbox, out dispatch.Executor) {
 	s.in = in
 	s.Dispatcher.Round(now, s, out)
 }
 
-func (s *spy) Deliver(dispatch.Receiver) { s.in.Deliver(&heard{s.Dispatcher, s}) }
+func (s *spy) Deliver(dispatch.EventHandler) { s.in.Deliver(&heard{s.Dispatcher, s}) }
 
 type heard struct {
 	*dispatch.Dispatcher
@@ -75,11 +75,11 @@
 	h.Dispatcher.Arrived(wi)
 }
 
-func (h *heard) Listed(form dispatch.Form, entries []dispatch.Entry) {
+func (h *heard) Listed(form dispatch.ListType, entries []dispatch.Entry) {
 	h.s.mu.Lock()
 	h.s.lists++
-	if h.s.states == nil || form == dispatch.Complete {
-		h.s.states = map[string]dispatch.State{}
+	if h.s.states == nil || form == dispatch.ListComplete {
+		h.s.states = map[string]dispatch.WorkerState{}
 	}
 	for _, e := range entries {
 		h.s.states[e.Worker] = e.State
@@ -89,10 +89,10 @@
 }
 
 func options() (Options, node.Options) {
-	s := dispatch.Settings{Seed: 1 << 40, Grain: 5, Siblings: 1, Kinds: 1, TellsStart: true, MayCancel: true, SecondCopies: true,
-		MaxHandOffs: 3, AnswerSlack: 20, AskWithin: 10000, StartShare: 0.1, Cold: 1000, FallMultiple: 3, Fall: 100,
-		Categories: []dispatch.Category{{Due: 4000, Expiry: 5000, Credit: 1, Kind: -1},
-			{Due: 4000, Expiry: 5000, Credit: 1, Kind: -1, Repeat: dispatch.Exclusive}}}
+	s := dispatch.Settings{Seed: 1 << 40, RoundInterval: 5, Dispatchers: 1, Kinds: 1, StartNotices: true, MayCancel: true, SecondCopies: true,
+		MaxHandOffs: 3, AnswerSlack: 20, DiscoveryAskWithin: 10000, StartCapacity: 0.1, WarmUpTime: 1000, OverloadMultiple: 3, OverloadWindow: 100,
+		Categories: []dispatch.Category{{DueTime: 4000, Expiry: 5000, Credit: 1, Kind: -1},
+			{DueTime: 4000, Expiry: 5000, Credit: 1, Kind: -1, Repeat: dispatch.Exclusive}}}
 	return Options{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Names: settings.Names{Categories: []string{"plan", "order"}},
 			Links: settings.Links{Idle: 15000, Connect: 5000}, Expiries: []float64{5000, 5000}, Copies: true, Sockets: 400},
 		node.Options{Settings: s, MaxOpen: 100}
@@ -532,7 +532,7 @@
 }
 
 // state is what the dispatcher was told last of a worker; -1: nothing.
-func (s *spy) state(worker string) dispatch.State {
+func (s *spy) state(worker string) dispatch.WorkerState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state, ok := s.states[worker]; ok {
@@ -661,7 +661,7 @@
 		})
 	}
 	t.Run("a call that waits its turn", func(t *testing.T) {
-		r := newRig(t, func(o *Options, no *node.Options) { o.Asked, no.Settings.MustAsk = true, true })
+		r := newRig(t, func(o *Options, no *node.Options) { o.Asked, no.Settings.DiscoveryOnRequest = true, true })
 		first := await(t, "the first call", r.lists)
 		defer first.Close()
 		second := await(t, "the second, beside it", r.lists)
@@ -861,7 +861,7 @@
 		t.Run(head[9:16], func(t *testing.T) {
 			w := newWorker(t)
 			r := newRig(t, func(o *Options, no *node.Options) {
-				o.Expiries[1], no.Settings.Categories[1].Due, no.Settings.Categories[1].Expiry = 700, 600, 700
+				o.Expiries[1], no.Settings.Categories[1].DueTime, no.Settings.Categories[1].Expiry = 700, 600, 700
 			})
 			r.serve(w.addr)
 			c := r.dial()
--- a/internal/platform/workers.go
+++ b/internal/platform/workers.go
@@ -374,7 +374,7 @@
 	status := r.StatusCode()
 	switch {
 	case err != nil:
-		a.end(dispatch.Reset, err)
+		a.end(dispatch.ConnReset, err)
 	case status == fasthttp.StatusAccepted:
 		a.accepted()
 	case (status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusGatewayTimeout) &&
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -109,8 +109,8 @@
 	}
 	c.Links.MaxOpen = min(c.Links.MaxOpen, c.Sockets/2)
 	o := platform.Options{Listen: c.Listen, PeerListen: c.PeerListen, Peers: c.Peers,
-		PeersAll: c.PeersAll, Number: c.Settings.Number, Names: c.Names, Links: c.Links,
-		Copies: c.Settings.SecondCopies, Asked: c.Settings.MustAsk, Sockets: c.Sockets}
+		PeersAll: c.PeersAll, Number: c.Settings.Position, Names: c.Names, Links: c.Links,
+		Copies: c.Settings.SecondCopies, Asked: c.Settings.DiscoveryOnRequest, Sockets: c.Sockets}
 	for _, category := range c.Settings.Categories {
 		o.Expiries = append(o.Expiries, category.Expiry)
 	}
--- a/internal/scale/rounds.go
+++ b/internal/scale/rounds.go
@@ -13,11 +13,11 @@
 
 // rounder is the inbox and the writer of a dispatcher that is timed.
 type rounder struct {
-	in   func(dispatch.Receiver)
+	in   func(dispatch.EventHandler)
 	sent []uint64 // handed off in this round
 }
 
-func (r *rounder) Deliver(to dispatch.Receiver) {
+func (r *rounder) Deliver(to dispatch.EventHandler) {
 	if r.in != nil {
 		r.in(to)
 	}
@@ -27,9 +27,9 @@
 func (r *rounder) Cancel(uint64, int)                     {}
 func (r *rounder) Defer(uint64, float64)                  {}
 func (r *rounder) WriteOff(uint64)                        {}
-func (r *rounder) Timer(uint64, float64)                  {}
-func (r *rounder) Watch(bool)                             {}
-func (r *rounder) Tell(int, []byte)                       {}
+func (r *rounder) SetTimer(uint64, float64)               {}
+func (r *rounder) WatchDiscovery(bool)                    {}
+func (r *rounder) SendToPeer(int, []byte)                 {}
 
 // timedRounds is how many of each are timed in each of so many plays, and batch how many jobs come at once in some.
 const (
@@ -81,7 +81,7 @@
 		return t, fmt.Errorf("scale: %w", err)
 	}
 	d, r, now := dispatch.New(s), &rounder{}, 1e6
-	round := func(in func(dispatch.Receiver)) float64 {
+	round := func(in func(dispatch.EventHandler)) float64 {
 		now += 5
 		r.in = in
 		began := time.Now()
@@ -92,22 +92,22 @@
 	for w := range entries {
 		entries[w] = dispatch.Entry{Worker: workerName(w)}
 	}
-	round(func(to dispatch.Receiver) { to.Listed(dispatch.Complete, entries) })
+	round(func(to dispatch.EventHandler) { to.Listed(dispatch.ListComplete, entries) })
 	jobs, handed := uint64(0), 0
-	work := func(n int, more func(dispatch.Receiver)) float64 {
+	work := func(n int, more func(dispatch.EventHandler)) float64 {
 		ended := r.sent
 		r.sent = nil
-		took := round(func(to dispatch.Receiver) {
+		took := round(func(to dispatch.EventHandler) {
 			for _, wi := range ended {
-				to.Noticed(wi, 0, true, 0)
-				to.Answered(dispatch.Answer{WI: wi, Outcome: dispatch.Finished, Spent: 10, Final: true, Load: dispatch.NoLoad})
+				to.HandOffProgressed(wi, 0, true, 0)
+				to.HandOffEnded(dispatch.HandOffResult{WI: wi, Outcome: dispatch.Finished, Elapsed: 10, Final: true, Load: dispatch.UnknownLoad})
 			}
 			if more != nil {
 				more(to)
 			}
 			for range n {
 				jobs++
-				to.Arrived(dispatch.WorkItem{ID: jobs, Tenant: -1, Left: 5000, Hint: 20})
+				to.Arrived(dispatch.WorkItem{ID: jobs, Tenant: -1, TimeLeft: 5000, Hint: 20})
 			}
 		})
 		handed += len(r.sent)
@@ -122,7 +122,7 @@
 		if e.State = dispatch.Draining; k%2 == 1 {
 			e.State = dispatch.Up
 		}
-		t.Change += work(1, func(to dispatch.Receiver) { to.Listed(dispatch.Changes, []dispatch.Entry{e}) }) / timedRounds
+		t.Change += work(1, func(to dispatch.EventHandler) { to.Listed(dispatch.ListChanges, []dispatch.Entry{e}) }) / timedRounds
 	}
 	for range timedRounds / batch * b2i(workers >= 2*batch) { // fewer could not take them
 		t.Batch += work(batch, nil) / (timedRounds / batch)
--- a/internal/settings/flight.go
+++ b/internal/settings/flight.go
@@ -14,31 +14,31 @@
 func InFlight(now, next dispatch.Settings, sameNames bool) (s dispatch.Settings, waits []string) {
 	s = now
 	s.ExcessCredit, s.MaxHandOffs = next.ExcessCredit, next.MaxHandOffs
-	s.MayCancel, s.MayPause, s.MaxPause = next.MayCancel, next.MayPause, next.MaxPause
+	s.MayCancel, s.MayAdviseRetryAfter, s.MaxRetryAfter = next.MayCancel, next.MayAdviseRetryAfter, next.MaxRetryAfter
 	differ := func(name string, different bool) {
 		if different {
 			waits = append(waits, name)
 		}
 	}
-	differ("granularity", now.Grain != next.Grain)
-	differ("siblings", now.Siblings != next.Siblings)
-	differ("position", now.Number != next.Number)
+	differ("granularity", now.RoundInterval != next.RoundInterval)
+	differ("siblings", now.Dispatchers != next.Dispatchers)
+	differ("position", now.Position != next.Position)
 	differ("locality", now.Zone != next.Zone)
 	differ("machine_types", now.Kinds != next.Kinds)
-	differ("prices", now.NearFirst != next.NearFirst || now.Keyed != next.Keyed)
+	differ("prices", now.PreferOwnZone != next.PreferOwnZone || now.KeyAffinity != next.KeyAffinity)
 	differ("weights", now.LiveWeights != next.LiveWeights)
-	differ("family_info", now.TellsStart != next.TellsStart || now.Progress != next.Progress)
-	differ("discovery", now.MustAsk != next.MustAsk)
-	differ("allowed.peers", now.MayTell != next.MayTell)
+	differ("family_info", now.StartNotices != next.StartNotices || now.ProgressInterval != next.ProgressInterval)
+	differ("discovery", now.DiscoveryOnRequest != next.DiscoveryOnRequest)
+	differ("allowed.peers", now.MayNotifyPeers != next.MayNotifyPeers)
 	differ("allowed.second_copies", now.SecondCopies != next.SecondCopies)
-	differ("safety", now.AnswerSlack != next.AnswerSlack || now.AskWithin != next.AskWithin || now.OnlyDraining != next.OnlyDraining ||
-		now.StartShare != next.StartShare || now.Cold != next.Cold || now.FallMultiple != next.FallMultiple || now.Fall != next.Fall ||
+	differ("safety", now.AnswerSlack != next.AnswerSlack || now.DiscoveryAskWithin != next.DiscoveryAskWithin || now.OnlyDrainingBinds != next.OnlyDrainingBinds ||
+		now.StartCapacity != next.StartCapacity || now.WarmUpTime != next.WarmUpTime || now.OverloadMultiple != next.OverloadMultiple || now.OverloadWindow != next.OverloadWindow ||
 		now.DrainGrace != next.DrainGrace)
 	if sameNames && len(now.Categories) == len(next.Categories) {
 		s.Categories = slices.Clone(now.Categories)
 		other := false
 		for k, c := range next.Categories {
-			s.Categories[k].Due, s.Categories[k].Stretch, s.Categories[k].Credit = c.Due, c.Stretch, c.Credit
+			s.Categories[k].DueTime, s.Categories[k].DueStretch, s.Categories[k].Credit = c.DueTime, c.DueStretch, c.Credit
 			other = other || s.Categories[k] != c
 		}
 		differ("categories", other)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -201,20 +201,20 @@
 		"safety.start_capacity", "safety.cold", "safety.fall", "safety.fall_multiple")
 	n := Names{Zones: r.list("localities"), Kinds: r.list("machine_types")}
 	siblings := r.within("siblings", 1, 1, 1e6)
-	s := dispatch.Settings{Seed: seed, Grain: r.ms("granularity"),
-		Siblings: siblings, Number: r.within("position", 0, 0, siblings-1),
+	s := dispatch.Settings{Seed: seed, RoundInterval: r.ms("granularity"),
+		Dispatchers: siblings, Position: r.within("position", 0, 0, siblings-1),
 		Zone: slices.Index(n.Zones, r.text("locality")), Kinds: len(n.Kinds),
-		NearFirst: r.num("prices.cross_zone", 0) > 0, Keyed: r.num("prices.origin", 0) > 0, LiveWeights: r.word("weights", "nominal", "rough", "none", "live") == "live", ExcessCredit: r.num("excess_credit", 1),
-		TellsStart: r.yes("family_info.tells_start"), Progress: r.ms("family_info.progress"),
-		MustAsk: r.word("discovery", "push", "ask") == "ask", MayCancel: r.yes("allowed.may_cancel"),
-		MayTell: r.yes("allowed.peers"), MayPause: r.yes("allowed.retry_after"),
-		SecondCopies: r.yes("allowed.second_copies"), MaxPause: r.ms("allowed.max_retry_after"),
+		PreferOwnZone: r.num("prices.cross_zone", 0) > 0, KeyAffinity: r.num("prices.origin", 0) > 0, LiveWeights: r.word("weights", "nominal", "rough", "none", "live") == "live", ExcessCredit: r.num("excess_credit", 1),
+		StartNotices: r.yes("family_info.tells_start"), ProgressInterval: r.ms("family_info.progress"),
+		DiscoveryOnRequest: r.word("discovery", "push", "ask") == "ask", MayCancel: r.yes("allowed.may_cancel"),
+		MayNotifyPeers: r.yes("allowed.peers"), MayAdviseRetryAfter: r.yes("allowed.retry_after"),
+		SecondCopies: r.yes("allowed.second_copies"), MaxRetryAfter: r.ms("allowed.max_retry_after"),
 		MaxHandOffs: r.within("allowed.max_hand_offs", 1, 1, 1000), AnswerSlack: r.ms("safety.answer_slack"),
-		AskWithin: r.ms("safety.ask_within"), DrainGrace: r.ms("safety.drain_grace"), StartShare: r.num("safety.start_capacity", 0),
-		OnlyDraining: r.yes("safety.only_draining_binds"),
-		Cold:         r.ms("safety.cold"), FallMultiple: r.num("safety.fall_multiple", 1), Fall: r.ms("safety.fall")}
+		DiscoveryAskWithin: r.ms("safety.ask_within"), DrainGrace: r.ms("safety.drain_grace"), StartCapacity: r.num("safety.start_capacity", 0),
+		OnlyDrainingBinds: r.yes("safety.only_draining_binds"),
+		WarmUpTime:        r.ms("safety.cold"), OverloadMultiple: r.num("safety.fall_multiple", 1), OverloadWindow: r.ms("safety.fall")}
 	r.word("load_info.how", "answers", "probe", "none") // Unserved says what comes of it
-	if s.StartShare > 1 {
+	if s.StartCapacity > 1 {
 		r.fail("safety.start_capacity", "is above 1")
 	}
 	l := Links{Idle: r.ms("allowed.conn_idle"), Connect: r.ms("allowed.connect_timeout"),
@@ -231,7 +231,7 @@
 	for k := range r.within("realms.count", 0, 0, 1e5) {
 		at := "realms." + strconv.Itoa(k) + "."
 		n.Tenants = append(n.Tenants, r.text(at+"name"))
-		s.Tenants = append(s.Tenants, dispatch.Tenant{PerSec: r.num(at+"allowance_per_s", 0)})
+		s.Tenants = append(s.Tenants, dispatch.Tenant{AllowancePerSec: r.num(at+"allowance_per_s", 0)})
 	}
 	return s, n, l, r
 }
@@ -239,8 +239,8 @@
 func (r *reader) category(k int, kinds []string) dispatch.Category {
 	at := "categories." + strconv.Itoa(k) + "."
 	r.must(at+"name", at+"semantics", at+"expiry", at+"due_time")
-	c := dispatch.Category{Window: r.ms(at + "window"), Due: r.ms(at + "due_time"),
-		Stretch: r.num(at+"aim_stretch", 0), Expiry: r.ms(at + "expiry"), Credit: r.num(at+"credit", 1), Kind: -1}
+	c := dispatch.Category{DedupWindow: r.ms(at + "window"), DueTime: r.ms(at + "due_time"),
+		DueStretch: r.num(at+"aim_stretch", 0), Expiry: r.ms(at + "expiry"), Credit: r.num(at+"credit", 1), Kind: -1}
 	switch r.text(at + "semantics") {
 	case "repeatable":
 	case "by_key":
@@ -252,12 +252,12 @@
 	}
 	switch r.word(at+"group", "all", "zone", "cell") {
 	case "zone":
-		c.Group = dispatch.GroupZone
+		c.DedupScope = dispatch.DedupZone
 	case "cell":
-		c.Group = dispatch.GroupCell
+		c.DedupScope = dispatch.DedupCell
 	}
 	if stretch := r.list("family_info.class_stretch"); k < len(stretch) {
-		c.Stretch = r.parse("family_info.class_stretch", stretch[k])
+		c.DueStretch = r.parse("family_info.class_stretch", stretch[k])
 	}
 	if only := r.list("family_info.class_kind"); k < len(only) && only[k] != "-1" {
 		if c.Kind = slices.Index(kinds, only[k]); c.Kind < 0 {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -161,8 +161,8 @@
 	return k
 }
 
-func (n *names) load(f *fields) dispatch.Load {
-	l := dispatch.NoLoad
+func (n *names) load(f *fields) dispatch.LoadReport {
+	l := dispatch.UnknownLoad
 	rest, more := f.opt("stats"), true
 	for more && len(rest) > 0 {
 		var pair []byte
@@ -172,7 +172,7 @@
 		case !ok:
 			f.fail("stats", "is not a list of pairs")
 		case n.Free != "" && string(name) == n.Free:
-			l.Free = f.num("stats", value)
+			l.FreeSlots = f.num("stats", value)
 		}
 	}
 	return l
@@ -191,11 +191,11 @@
 	case "ConnectError":
 		return dispatch.ConnectFailed
 	case "ResetByPeer":
-		return dispatch.Reset
+		return dispatch.ConnReset
 	case "Canceled":
 		return dispatch.Cancelled
 	case "Ignored":
-		return dispatch.Moot
+		return dispatch.NotSent
 	}
 	f.fail("status", "is unknown")
 	return dispatch.Failed
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -286,7 +286,7 @@
 }
 
 // Deliver calls the dispatcher for each line that came in.
-func (n *instance) Deliver(d dispatch.Receiver) {
+func (n *instance) Deliver(d dispatch.EventHandler) {
 	f := &n.host.f
 	for _, ev := range n.events {
 		n.host.line = ev.line
@@ -298,37 +298,37 @@
 	}
 }
 
-func (n *instance) one(d dispatch.Receiver, f *fields, ev event) {
+func (n *instance) one(d dispatch.EventHandler, f *fields, ev event) {
 	switch f.name() {
 	case "req":
 		wi := dispatch.WorkItem{ID: f.id("job"), Category: n.names.category(f),
-			Tenant: find(n.names.Tenants, f.opt("realm")), Left: f.time("time_left"),
+			Tenant: find(n.names.Tenants, f.opt("realm")), TimeLeft: f.time("time_left"),
 			Hint: f.timeOr("predicted", 0), Key: string(f.opt("partition_key"))}
 		if f.err == nil {
 			d.Arrived(wi)
 		}
 	case "reply":
-		a := dispatch.Answer{WI: f.id("job"), HO: int(f.int("shot")), Spent: f.time("spent"),
+		a := dispatch.HandOffResult{WI: f.id("job"), HO: int(f.int("shot")), Elapsed: f.time("spent"),
 			Final: f.intOr("final", 0) == 1, Load: n.names.load(f), Outcome: outcome(f)}
 		f.text("worker")
 		if f.err == nil {
-			d.Answered(a)
+			d.HandOffEnded(a)
 		}
 	case "notice":
 		wi, ho, what, level := f.id("job"), f.int("shot"), f.int("what"), f.numOr("level", 0)
 		f.text("worker")
 		if f.err == nil && (what == 1 || what == 2) {
-			d.Noticed(wi, int(ho), what == 1, level)
+			d.HandOffProgressed(wi, int(ho), what == 1, level)
 		}
 	case "ack_first":
 		wi, ho := f.id("job"), f.int("shot")
 		f.text("worker")
 		if f.err == nil {
-			d.Streaming(wi, int(ho))
+			d.ResponseStarted(wi, int(ho))
 		}
 	case "client_left":
 		if wi := f.id("job"); f.err == nil {
-			d.Left(wi)
+			d.ClientLeft(wi)
 		}
 	case "timeout_fired":
 		f.id("handle") // the round that it causes is all it is for
@@ -339,7 +339,7 @@
 	case "heard":
 		from, data := f.int("src_peer"), f.hex("contents")
 		if f.err == nil {
-			d.Heard(int(from), data)
+			d.PeerMessageReceived(int(from), data)
 		}
 	case "discovery":
 		n.listed(d, f, ev.list)
@@ -348,21 +348,21 @@
 	}
 }
 
-func (n *instance) listed(d dispatch.Receiver, f *fields, list []record) {
-	var form dispatch.Form
+func (n *instance) listed(d dispatch.EventHandler, f *fields, list []record) {
+	var form dispatch.ListType
 	switch kind := string(f.text("form")); kind {
 	case "update":
-		form = dispatch.Changes
+		form = dispatch.ListChanges
 	case "replace":
-		form = dispatch.Complete
+		form = dispatch.ListComplete
 	case "restored":
-		form = dispatch.Restored
+		form = dispatch.ListRestored
 	case "unavailable":
-		form, list = dispatch.Unavailable, nil
+		form, list = dispatch.ListUnavailable, nil
 	default:
 		f.fail("form", "is unknown")
 	}
-	if form != dispatch.Unavailable {
+	if form != dispatch.ListUnavailable {
 		f.text("set_id")
 	}
 	if f.err != nil {
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -72,7 +72,7 @@
 }
 
 // Timer writes a set_timer.
-func (n *instance) Timer(handle uint64, span float64) {
+func (n *instance) SetTimer(handle uint64, span float64) {
 	n.begin("set_timer")
 	n.field("handle", int64(handle))
 	n.field("span", micros(span))
@@ -80,7 +80,7 @@
 }
 
 // Watch writes a keep_informed.
-func (n *instance) Watch(on bool) {
+func (n *instance) WatchDiscovery(on bool) {
 	n.begin("keep_informed")
 	want := int64(0)
 	if on {
@@ -91,7 +91,7 @@
 }
 
 // Tell writes a broadcast_to.
-func (n *instance) Tell(to int, data []byte) {
+func (n *instance) SendToPeer(to int, data []byte) {
 	n.begin("broadcast_to")
 	n.field("to", int64(to))
 	n.text("contents", "")
--- a/internal/sockets/standins.go
+++ b/internal/sockets/standins.go
@@ -288,7 +288,7 @@
 	return err == nil && a.StatusCode() < 300
 }
 
-var phases = map[dispatch.State]string{dispatch.Up: "in_service", dispatch.Draining: "terminating", dispatch.Gone: "terminated"}
+var phases = map[dispatch.WorkerState]string{dispatch.Up: "in_service", dispatch.Draining: "terminating", dispatch.Gone: "terminated"}
 
 // list is a listing as discovery's agent writes it for one dispatcher.
 func (r *rig) list(h *host, l world.Listing) map[string]any {
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -180,7 +180,7 @@
 }
 
 var ends = map[world.End]dispatch.Outcome{world.TurnedAway: dispatch.Full, world.NoConnect: dispatch.ConnectFailed,
-	world.Reset: dispatch.Reset, world.Failed: dispatch.Failed, world.Dropped: dispatch.Cancelled}
+	world.Reset: dispatch.ConnReset, world.Failed: dispatch.Failed, world.Dropped: dispatch.Cancelled}
 
 func (p *port) Ended(d int, h *world.HandOff, how world.End) {
 	if how != world.Accepted {
--- a/internal/world/crook_test.go
+++ b/internal/world/crook_test.go
@@ -18,7 +18,7 @@
 	turn    int
 	clients map[string]*Try
 	out     map[string][]*HandOff
-	states  map[string]dispatch.State
+	states  map[string]dispatch.WorkerState
 }
 
 func (c *crook) send(d int, t *Try, to string) {
@@ -216,7 +216,7 @@
 			}
 			w := New(x, 7)
 			b := &crook{w: w, way: c.way, clients: map[string]*Try{}, out: map[string][]*HandOff{},
-				states: map[string]dispatch.State{}}
+				states: map[string]dispatch.WorkerState{}}
 			w.Begin(b, 1000)
 			for !w.Over() && !math.IsInf(w.Next(), 1) {
 				w.Step()
--- a/internal/world/worker.go
+++ b/internal/world/worker.go
@@ -18,7 +18,7 @@
 	kind    int
 	k       *Kind
 	site    int
-	state   dispatch.State // as discovery has it
+	state   dispatch.WorkerState // as discovery has it
 	listed  bool
 	denied  bool    // discovery calls it gone, which is not so
 	up      bool    // the process lives
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -71,7 +71,7 @@
 	ID    string
 	Site  int
 	Kind  int
-	State dispatch.State
+	State dispatch.WorkerState
 	Since float64 // on the model's clock; below 0: long ago
 	told  float64 // the same where it is true, else below 0
 }
@@ -216,13 +216,13 @@
 	return r
 }
 
-func (c *Category) repeat() dispatch.Repeat {
-	return map[string]dispatch.Repeat{"rerunnable": dispatch.Rerunnable, "ticketed": dispatch.Ticketed,
+func (c *Category) repeat() dispatch.RepeatPolicy {
+	return map[string]dispatch.RepeatPolicy{"rerunnable": dispatch.Rerunnable, "ticketed": dispatch.Ticketed,
 		"exclusive": dispatch.Exclusive}[c.Repeat]
 }
 
-func (c *Category) group() dispatch.Group {
-	return map[string]dispatch.Group{"all": dispatch.GroupAll, "zone": dispatch.GroupZone, "cell": dispatch.GroupCell}[c.Group]
+func (c *Category) group() dispatch.DedupScope {
+	return map[string]dispatch.DedupScope{"all": dispatch.DedupAll, "zone": dispatch.DedupZone, "cell": dispatch.DedupCell}[c.Group]
 }
 
 // Begin starts the dispatchers, plans the faults and the first arrival. Clients come from start on.
