--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,7 +33,7 @@
 	Known      json.RawMessage
 	Settings   dispatch.Settings
 	Names      settings.Names
-	Links      settings.Links
+	Links      settings.ConnectionSettings
 	Unserved   []string // what of the settings the sockets' protocol has no message for
 	Cores      int      // to run on at once
 	MemoryMB   int
@@ -224,7 +224,7 @@
 	if len(f.Settings) == 0 {
 		return c, errors.New("settings: is missing")
 	}
-	values, err := settings.Nested(f.Settings)
+	values, err := settings.ParseJSON(f.Settings)
 	if err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
@@ -234,13 +234,13 @@
 	if err := f.pool(values); err != nil {
 		return c, err
 	}
-	c.Unserved = settings.Unserved(values)
+	c.Unserved = settings.Unsupported(values)
 	l := &c.Links
-	if l.Idle <= 0 {
-		l.Idle = idleUnsaid
+	if l.IdleTimeout <= 0 {
+		l.IdleTimeout = idleUnsaid
 	}
-	if l.Connect <= 0 {
-		l.Connect = connectUnsaid
+	if l.ConnectTimeout <= 0 {
+		l.ConnectTimeout = connectUnsaid
 	}
 	if most := c.Sockets / 2; l.MaxOpen <= 0 || l.MaxOpen > most { // a client that waits holds a socket
 		l.MaxOpen = most
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -174,11 +174,11 @@
 		return c, nil, err
 	}
 	if len(patch["settings"]) > 0 {
-		said, err := settings.Nested(patch["settings"])
+		said, err := settings.ParseJSON(patch["settings"])
 		if err != nil {
 			return c, nil, fmt.Errorf("settings: %w", err)
 		}
-		for _, key := range settings.Unread(said) {
+		for _, key := range settings.UnknownKeys(said) {
 			return c, nil, fmt.Errorf("settings.%s is not known to this program", key)
 		}
 	}
@@ -188,8 +188,8 @@
 
 // waits names what of the settings differs from those of a running program and waits for a restart.
 func (c Config) waits(running Config) []string {
-	_, waits := settings.InFlight(running.Settings, c.Settings, running.Names.Same(c.Names))
-	if c.Links.Idle != running.Links.Idle || c.Links.Connect != running.Links.Connect {
+	_, waits := settings.MergeReloadable(running.Settings, c.Settings, running.Names.Equal(c.Names))
+	if c.Links.IdleTimeout != running.Links.IdleTimeout || c.Links.ConnectTimeout != running.Links.ConnectTimeout {
 		waits = append(waits, "allowed.conn_idle", "allowed.connect_timeout")
 	}
 	for k := range waits {
--- a/internal/member/gate.go
+++ b/internal/member/gate.go
@@ -56,20 +56,20 @@
 func (g *Gate) set(until float64) { g.until.Store(math.Float64bits(until)) }
 
 // Open tells whether new work may be taken and handed off at this moment.
-func (g *Gate) Open() bool {
+func (g *Gate) Allowed() bool {
 	until := math.Float64frombits(g.until.Load())
 	return math.IsInf(until, 1) || !math.IsInf(until, -1) && g.clock.Now() < until
 }
 
 // InForce notes that a version is in force from now on.
-func (g *Gate) InForce(version uint64) {
+func (g *Gate) VersionInForce(version uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.run.Since(g.clock.Unix(), version)
 }
 
 // Act books one under the version in force.
-func (g *Gate) Act(a fleet.Act) {
+func (g *Gate) RecordAction(a fleet.Act) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.run.Book(g.clock.Unix(), a)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -432,7 +432,7 @@
 	defer m.mu.Unlock()
 	s, now := m.self.State(), m.o.Clock.Now()
 	l := &fleetlink.Local{Member: m.o.Name, N: s.N(), Digest: s.Digest().String(), Newest: s.Newest(), InForce: m.self.InForce(),
-		Lease: max(m.self.Lease()-now, -1), Open: m.gate.Open(), Fork: cmp.Or(m.fault, m.lease), Waits: m.waits}
+		Lease: max(m.self.Lease()-now, -1), Open: m.gate.Allowed(), Fork: cmp.Or(m.fault, m.lease), Waits: m.waits}
 	if n, why := m.self.Refuses(); n > 0 {
 		l.Refuses = fmt.Sprintf("version %d: %s", n, why)
 	}
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -16,8 +16,8 @@
 		t.Fatal(err)
 	}
 	g := NewGate(NewClock(), "run")
-	g.InForce(1)
-	g.Act(fleet.HandedOff)
+	g.VersionInForce(1)
+	g.RecordAction(fleet.HandedOff)
 	f := openFolder(dir)
 	f.write(s, []fleet.Run{g.record()})
 	other := openFolder(dir)
@@ -66,24 +66,24 @@
 // TestRecord: acts stand under the version in force at their moment.
 func TestRecord(t *testing.T) {
 	g := NewGate(NewClock(), "run")
-	g.Act(fleet.Deferred)
-	g.InForce(3)
-	g.InForce(3)
-	g.Act(fleet.HandedOff)
-	g.Act(fleet.HandedOff)
+	g.RecordAction(fleet.Deferred)
+	g.VersionInForce(3)
+	g.VersionInForce(3)
+	g.RecordAction(fleet.HandedOff)
+	g.RecordAction(fleet.HandedOff)
 	r := g.record()
 	if len(r.Versions) != 2 || r.Versions[0].Kinds[fleet.Deferred].Count != 1 || r.Versions[1].Version != 3 || r.Versions[1].Kinds[fleet.HandedOff].Count != 2 {
 		t.Errorf("%+v", r)
 	}
-	if g.Open() {
+	if g.Allowed() {
 		t.Error("a new gate is open")
 	}
 	g.set(g.clock.Now() + 1e6)
-	if !g.Open() {
+	if !g.Allowed() {
 		t.Error("shut")
 	}
 	g.end()
-	if g.Open() || !g.record().Ended {
+	if g.Allowed() || !g.record().Ended {
 		t.Error("ended, and open")
 	}
 }
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -143,11 +143,11 @@
 	if err != nil {
 		return r, fmt.Errorf("settings: %w", err)
 	}
-	flat, err := settings.Nested(text)
+	flat, err := settings.ParseJSON(text)
 	if err != nil {
 		return r, fmt.Errorf("settings: %w", err)
 	}
-	for _, key := range settings.Unread(flat) {
+	for _, key := range settings.UnknownKeys(flat) {
 		r.Kept = append(r.Kept, "settings."+key)
 	}
 	return r, nil
--- a/internal/node/told_test.go
+++ b/internal/node/discovery_delay_test.go
@@ -48,7 +48,7 @@
 	breaks := map[int]float64{} // calls that hang, and when they break
 	reach, last := 20000+137*float64(seed), 0
 	if spoke {
-		s.at(1100, Listing{Watch: s.watch, Revision: 5, Complete: true, Members: []Member{member("w1", dispatch.Up)}})
+		s.at(1100, DiscoveryUpdate{Watch: s.watch, Revision: 5, Complete: true, Members: []Member{member("w1", dispatch.Up)}})
 		s.at(reach)
 		breaks[s.watch], last = reach+3000, s.watch
 	}
@@ -68,7 +68,7 @@
 		for k, at := range breaks {
 			if now >= at {
 				delete(breaks, k)
-				s.at(now, Broken{k})
+				s.at(now, WatchEnded{k})
 			}
 		}
 		if now > reach+60000 {
--- a/internal/node/gate_test.go
+++ b/internal/node/lease_guard_test.go
@@ -25,31 +25,31 @@
 	id string
 }
 
-func (a fleetAttempt) GiveUp()       { a.f.log = append(a.f.log, "give up "+a.id) }
-func (a fleetAttempt) Taken() bool   { return a.f.written[a.id] }
-func (a fleetAttempt) Written() bool { return a.f.written[a.id] }
+func (a fleetAttempt) Cancel()        { a.f.log = append(a.f.log, "give up "+a.id) }
+func (a fleetAttempt) Accepted() bool { return a.f.written[a.id] }
+func (a fleetAttempt) Written() bool  { return a.f.written[a.id] }
 
-func (f *fleetFront) Send(s Sending) Attempt {
+func (f *fleetFront) Send(s HandOffRequest) Attempt {
 	f.log = append(f.log, fmt.Sprintf("send %s mark %q", s.ID, s.Mark))
 	return fleetAttempt{f, s.ID}
 }
-func (f *fleetFront) Continue(s Sending) Attempt { return fleetAttempt{f, s.ID} }
-func (f *fleetFront) Watch(int, string, int64)   {}
-func (f *fleetFront) Unwatch(int)                {}
-func (f *fleetFront) Tell(int, []byte)           {}
-func (f *fleetFront) Drain(func() Known) bool    { return false }
-func (f *fleetFront) Pass(c Callback)            { c.Answer(NotKnown) }
-func (f *fleetFront) Dismiss()                   {}
-func (f *fleetFront) Open() bool                 { return f.open }
-func (f *fleetFront) InForce(version uint64)     { f.version = version }
-func (f *fleetFront) Act(a fleet.Act)            { f.acts[a]++ }
+func (f *fleetFront) AdoptHandOff(s HandOffRequest) Attempt { return fleetAttempt{f, s.ID} }
+func (f *fleetFront) Watch(int, string, int64)              {}
+func (f *fleetFront) Unwatch(int)                           {}
+func (f *fleetFront) SendToPeer(int, []byte)                {}
+func (f *fleetFront) Drain(func() TakeoverState) bool       { return false }
+func (f *fleetFront) ForwardCallback(c Callback)            { c.Respond(CallbackUnknown) }
+func (f *fleetFront) CloseIdle()                            {}
+func (f *fleetFront) Allowed() bool                         { return f.open }
+func (f *fleetFront) VersionInForce(version uint64)         { f.version = version }
+func (f *fleetFront) RecordAction(a fleet.Act)              { f.acts[a]++ }
 
-func (f *fleetFront) client(id string, category int) Arrived {
-	c := &Client{ID: id, Category: category, Tenant: -1, Hint: 10, Expiry: f.now + 5000}
-	c.Answer = func(r Reply) {
-		f.log = append(f.log, fmt.Sprintf("answer %s %d %q pause %v", id, r.Result, r.Body, r.Pause > 0))
+func (f *fleetFront) client(id string, category int) RequestArrived {
+	c := &Request{ID: id, Category: category, Tenant: -1, Hint: 10, Expiry: f.now + 5000}
+	c.Respond = func(r Reply) {
+		f.log = append(f.log, fmt.Sprintf("answer %s %d %q pause %v", id, r.Result, r.Body, r.RetryAfter > 0))
 	}
-	return Arrived{c}
+	return RequestArrived{c}
 }
 
 func fleetNode(workers ...string) (*Node, *fleetFront, dispatch.Settings) {
@@ -61,7 +61,7 @@
 	for _, w := range workers {
 		members = append(members, member(w, dispatch.Up))
 	}
-	n := New(Options{Settings: s, MaxOpen: 10, Discovery: "here", Known: Listing{Members: members}, Clock: func() float64 { return f.now }, Gate: f})
+	n := New(Options{Settings: s, MaxOpen: 10, Discovery: "here", CachedList: DiscoveryUpdate{Members: members}, Clock: func() float64 { return f.now }, Guard: f})
 	n.Begin(f)
 	f.steps(n, 600)
 	return n, f, s
@@ -96,7 +96,7 @@
 	f.expect(t, "shut", fmt.Sprintf(`answer held %d "" pause true`, Deferred))
 	f.steps(n, 20, f.client("late", 0))
 	f.expect(t, "a newcomer", fmt.Sprintf(`answer late %d "" pause true`, Deferred))
-	f.steps(n, 20, Callback{ID: "out", From: "w", State: Done, Result: "done", Answer: func(Applied) {}})
+	f.steps(n, 20, Callback{ID: "out", From: "w", State: Done, Result: "done", Respond: func(CallbackResult) {}})
 	f.expect(t, "what was out", fmt.Sprintf(`answer out %d "done" pause false`, Served))
 	if f.acts != [3]int{1, 2, 1} {
 		t.Errorf("booked %v", f.acts)
@@ -111,7 +111,7 @@
 	n, f, _ := fleetNode("w")
 	f.steps(n, 20, f.client("x", 1))
 	f.open = false
-	f.steps(n, 20, Ended{WI: 1, HO: 0, Outcome: dispatch.ConnReset})
+	f.steps(n, 20, HandOffEnded{WI: 1, HO: 0, Outcome: dispatch.ConnReset})
 	f.expect(t, "an exclusive one that may have run", `send x mark ""`, fmt.Sprintf(`answer x %d "" pause false`, WrittenOff))
 }
 
@@ -122,7 +122,7 @@
 	f.expect(t, "before", `send old mark ""`)
 	s.MaxHandOffs = 1
 	applied := 0
-	f.steps(n, 50, Changed{Version: 7, Settings: s, MaxOpen: 2, Mark: "b", Applied: func() { applied++ }})
+	f.steps(n, 50, ConfigChanged{Version: 7, Settings: s, MaxOpen: 2, Mark: "b", OnApplied: func() { applied++ }})
 	if f.version != 7 || applied != 0 {
 		t.Fatalf("version %d in force, told %d times with a hand-off unwritten", f.version, applied)
 	}
@@ -135,6 +135,6 @@
 	f.expect(t, "after", `send new mark "b"`)
 	f.steps(n, 10, f.client("third", 0))
 	f.expect(t, "as many open as the version allows", fmt.Sprintf(`answer third %d "" pause true`, Deferred))
-	f.steps(n, 20, Ended{WI: 2, HO: 0, Outcome: dispatch.ConnectFailed})
+	f.steps(n, 20, HandOffEnded{WI: 2, HO: 0, Outcome: dispatch.ConnectFailed})
 	f.expect(t, "as many hand-offs as the version allows", fmt.Sprintf(`answer new %d "" pause true`, Deferred))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,53 +59,53 @@
 )
 
 // Whole in place of a revision asks for the whole list.
-const Whole = -1
+const FullList = -1
 
 // The front is what speaks to the world. No call may block; what comes of one comes in by the queue.
-type Front interface {
+type Transport interface {
 	// Send starts a hand-off. If the worker does not take it, one Ended follows; if it does, its callbacks tell.
-	Send(s Sending) Attempt
+	Send(s HandOffRequest) Attempt
 	// Continue takes up a hand-off that another process made and whose worker has taken it.
-	Continue(s Sending) Attempt
+	AdoptHandOff(s HandOffRequest) Attempt
 	// Watch asks discovery at the address for what changed after the revision, or for the whole list and then
 	// for its changes, until a Broken or until Unwatch. Several may be open at once.
 	Watch(number int, addr string, after int64)
 	// Unwatch ends a watch.
 	Unwatch(number int)
 	// Tell sends a message to a sibling, or to all for -1.
-	Tell(to int, data []byte)
+	SendToPeer(to int, data []byte)
 	// Drain makes clients go elsewhere: no connection is kept beyond its next deferral. Where another process takes this
 	// one's place it is told what is known, which may be called before Drain returns, and no connection is kept.
-	Drain(known func() Known) (succeeded bool)
+	Drain(known func() TakeoverState) (succeeded bool)
 	// Pass asks this dispatcher's other processes about a callback; its Answer is called once.
-	Pass(c Callback)
+	ForwardCallback(c Callback)
 	// Dismiss closes the connections that wait for a request.
-	Dismiss()
+	CloseIdle()
 }
 
 // Attempt is a hand-off that the front has under way.
 type Attempt interface {
 	// GiveUp makes the worker drop it as far as it can; an Ended follows, unless one did already.
-	GiveUp()
+	Cancel()
 	// Taken tells whether the worker has it: only its callbacks tell more.
-	Taken() bool
+	Accepted() bool
 	// Written tells whether nothing of it is still to be written.
 	Written() bool
 }
 
 // Sending is a hand-off to make.
-type Sending struct {
-	WI       uint64
-	HO       int
-	ID       string // the client's, as it came
-	Addr     string
-	Message  any     // what the front gave with the arrival
-	Patience float64 // how long the answer is waited for
-	Mark     string  // of the configuration in force; empty: none
+type HandOffRequest struct {
+	WI      uint64
+	HO      int
+	ID      string // the client's, as it came
+	Addr    string
+	Message any     // what the front gave with the arrival
+	Timeout float64 // how long the answer is waited for
+	Mark    string  // of the configuration in force; empty: none
 }
 
 // Client is one who waits for a work item's answer.
-type Client struct {
+type Request struct {
 	ID       string
 	Category int
 	Tenant   int
@@ -113,7 +113,7 @@
 	Key      string  // what it is about; empty: nothing
 	Expiry   float64 // on the clock of Now
 	Message  any
-	Answer   func(Reply) // called once, by the reducer; must not block
+	Respond  func(Reply) // called once, by the reducer; must not block
 	it       *item       // the reducer's
 }
 
@@ -125,18 +125,18 @@
 	Served   Result = iota
 	Deferred        // trying again is harmless
 	WrittenOff
-	Overdue // no answer came in time
-	Repeated
-	Gone       // the client left: nobody to answer
+	TimedOut // no answer came in time
+	DuplicateID
+	ClientGone // the client left: nobody to answer
 	HandedOver // another process answers
 )
 
 // Reply is a client's answer.
 type Reply struct {
-	Result Result
-	Body   string
-	Pause  float64 // 0: no advice
-	Job    *Job    // what is handed over
+	Result     Result
+	Body       string
+	RetryAfter float64 // 0: no advice
+	Job        *Job    // what is handed over
 }
 
 // Job is a work item that goes to the process that takes this one's place, with its client's connection.
@@ -160,11 +160,11 @@
 // The values that come in by the queue.
 type (
 	// Arrived is a new work item.
-	Arrived struct{ Client *Client }
+	RequestArrived struct{ Request *Request }
 	// Departed is the loss of a client that had not been answered.
-	Departed struct{ Client *Client }
+	ClientDisconnected struct{ Request *Request }
 	// Ended is the end of a hand-off as its connection shows it.
-	Ended struct {
+	HandOffEnded struct {
 		WI      uint64
 		HO      int
 		Outcome dispatch.Outcome
@@ -176,44 +176,44 @@
 		Share    float64
 		Result   string
 		// Answer is called once, by the reducer or by whom it passed it to; must not block. Nil: nobody asks.
-		Answer func(Applied)
+		Respond func(CallbackResult)
 		// The process that told it, if another one did: whom not to ask.
-		Newer, Older bool
+		FromSuccessor, FromPredecessor bool
 	}
 	// Succeeded tells that another process waits to take this one's place.
-	Succeeded struct{}
+	SuccessorReady struct{}
 	// Adopted is a work item that the process had whose place this one takes.
-	Adopted struct {
-		Client *Client
-		Job    Job
+	JobAdopted struct {
+		Request *Request
+		Job     Job
 	}
 	// Inherited is what the process knew whose place this one takes.
-	Inherited struct{ Known Known }
+	StateInherited struct{ State TakeoverState }
 	// Listing is what discovery told.
-	Listing struct {
+	DiscoveryUpdate struct {
 		Watch    int // the number of the watch that brought it
 		Revision int64
 		Complete bool
 		Members  []Member
 	}
 	// Broken is the end of a watch.
-	Broken struct{ Watch int }
+	WatchEnded struct{ Watch int }
 	// Changed gives the configuration that is in force from now on.
-	Changed struct {
+	ConfigChanged struct {
 		Version   uint64 // of the fleet's history; 0: the process's own
 		Settings  dispatch.Settings
 		MaxOpen   int
 		Mark      string
 		Discovery string // another address than before: it is moved to
 		// Applied is called once no hand-off begun under an older version is still to be written; nil: nobody asks.
-		Applied func()
+		OnApplied func()
 	}
 	// Room gives for how many waiting clients there are descriptors from now on.
-	Room struct{ Clients int }
+	ClientLimit struct{ Max int }
 	// Moved gives the address at which discovery is found from now on.
-	Moved struct{ Discovery string }
+	DiscoveryMoved struct{ Discovery string }
 	// Heard is a sibling's message.
-	Heard struct {
+	PeerMessage struct {
 		From int
 		Data []byte
 	}
@@ -222,26 +222,26 @@
 )
 
 // Applied is what became of a callback.
-type Applied int
+type CallbackResult int
 
 // What may become of it.
 const (
-	WasApplied Applied = iota
-	NotKnown           // to nobody
-	Unsure             // another process may know it
+	CallbackApplied      CallbackResult = iota
+	CallbackUnknown                     // to nobody
+	CallbackUndetermined                // another process may know it
 )
 
 // Gate is a fleet's word on what this process may do. No call may block.
-type Gate interface {
+type LeaseGuard interface {
 	// Open tells whether new work may be taken and handed off now.
-	Open() bool
+	Allowed() bool
 	// InForce tells that a version of the fleet's is in force, Act that something was done.
-	InForce(version uint64)
-	Act(fleet.Act)
+	VersionInForce(version uint64)
+	RecordAction(fleet.Act)
 }
 
 // Known is all that a process tells the one that takes its place.
-type Known struct {
+type TakeoverState struct {
 	Discovery string // where the list comes from
 	Revision  int64
 	Members   []Member
@@ -291,7 +291,7 @@
 // item is a work item until its client is answered and all its hand-offs have ended.
 type item struct {
 	wi     uint64
-	client *Client
+	client *Request
 	hos    []handoff
 	out    int
 	done   bool    // the client has its answer, or is gone
@@ -329,7 +329,7 @@
 	s          dispatch.Settings
 	maxOpen    int
 	room       int // the same by descriptors
-	front      Front
+	front      Transport
 	d          dispatch.Decider
 	queue      chan any
 	stopped    chan struct{}
@@ -363,12 +363,12 @@
 	listed     bool    // discovery itself has spoken
 	startAt    float64
 	drainAt    float64
-	lastTake   float64 // told to stop, no more work is taken from then on
-	endAt      float64 // and all that was taken since is answered by then
-	handAt     float64 // what still runs is handed over then; infinite: to nobody
-	dismissed  bool    // no more work is taken
-	gate       Gate    // nil: of no fleet
-	version    uint64  // of the fleet's history, in force
+	lastTake   float64    // told to stop, no more work is taken from then on
+	endAt      float64    // and all that was taken since is answered by then
+	handAt     float64    // what still runs is handed over then; infinite: to nobody
+	dismissed  bool       // no more work is taken
+	gate       LeaseGuard // nil: of no fleet
+	version    uint64     // of the fleet's history, in force
 	mark       string
 	older      []older // versions whose coming into force is to be told
 }
@@ -386,15 +386,15 @@
 	Discovery string // its address
 	// Known is the list as it last was, perhaps old. Its revision says nothing to discovery, which may have been
 	// at another address then, with another count.
-	Known Listing
+	CachedList DiscoveryUpdate
 	// Clock tells the time in milliseconds and never goes back; nil: the machine's, as Unix time.
 	Clock func() float64
 	Log   *slog.Logger // nil: the default one
 	// Figures are told of the workers; nil: none.
-	Figures *figures.Figures
+	Metrics *figures.Figures
 	Mark    string
 	// Gate is asked before each hand-off; nil: the process is of no fleet.
-	Gate Gate
+	Guard LeaseGuard
 	// Decider decides; nil: the Dispatcher. Others are for measuring it.
 	Decider dispatch.Decider
 }
@@ -412,7 +412,7 @@
 	n := &Node{s: s, maxOpen: o.MaxOpen, room: math.MaxInt, d: o.Decider, queue: make(chan any, queueSize),
 		stopped: make(chan struct{}), clock: o.Clock, log: o.Log, items: map[uint64]*item{},
 		byID: map[string]*item{}, addrs: map[string]string{}, mwc: s.Seed>>32 | 1, lastAt: math.Inf(-1),
-		watchAt: math.Inf(1), discovery: o.Discovery, revision: Whole, figures: o.Figures, gate: o.Gate, mark: o.Mark}
+		watchAt: math.Inf(1), discovery: o.Discovery, revision: FullList, figures: o.Metrics, gate: o.Guard, mark: o.Mark}
 	if n.d == nil {
 		n.d = dispatch.New(s)
 	}
@@ -425,8 +425,8 @@
 	for _, c := range s.Categories {
 		n.usedFor = max(n.usedFor, c.Expiry)
 	}
-	n.take(o.Known.Members)
-	n.inbox = append(n.inbox, listed{dispatch.ListRestored, o.Known.Members})
+	n.take(o.CachedList.Members)
+	n.inbox = append(n.inbox, listed{dispatch.ListRestored, o.CachedList.Members})
 	return n
 }
 
@@ -440,7 +440,7 @@
 func (n *Node) Done() <-chan struct{} { return n.stopped }
 
 // Queue hands a value to the reducer. It waits while the queue is full; false: the node has stopped.
-func (n *Node) Queue(v any) bool {
+func (n *Node) Enqueue(v any) bool {
 	select {
 	case n.queue <- v:
 		return true
@@ -450,7 +450,7 @@
 }
 
 // Run is the reducer. It returns once the node was told to stop and has answered all that it took.
-func (n *Node) Run(front Front) {
+func (n *Node) Run(front Transport) {
 	n.begin(front)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -486,7 +486,7 @@
 }
 
 // Begin starts a node that no goroutine runs: Step drives it, by the caller's clock. It returns as Step does.
-func (n *Node) Begin(front Front) float64 {
+func (n *Node) Begin(front Transport) float64 {
 	n.begin(front)
 	n.settle()
 	return n.nextAt()
@@ -509,7 +509,7 @@
 	return n.nextAt()
 }
 
-func (n *Node) begin(front Front) {
+func (n *Node) begin(front Transport) {
 	n.front, n.now = front, n.Now()
 	n.startAt = n.now
 	if !n.s.DiscoveryOnRequest {
@@ -523,7 +523,7 @@
 	n.timers()
 	if n.gate != nil {
 		n.apply()
-		if n.now >= n.lastAt+n.s.RoundInterval && !n.gate.Open() {
+		if n.now >= n.lastAt+n.s.RoundInterval && !n.gate.Allowed() {
 			n.shut()
 		}
 	}
@@ -566,51 +566,51 @@
 // reduce takes in one value.
 func (n *Node) reduce(v any) {
 	switch v := v.(type) {
-	case Arrived:
-		n.arrived(v.Client)
-	case Departed:
-		if it := v.Client.it; it != nil && !it.done {
-			n.log.Info("left", "left", "waiting", "id", v.Client.ID, "out", it.out, "after", n.now-it.came)
-			n.answer(it, Reply{Result: Gone})
+	case RequestArrived:
+		n.arrived(v.Request)
+	case ClientDisconnected:
+		if it := v.Request.it; it != nil && !it.done {
+			n.log.Info("left", "left", "waiting", "id", v.Request.ID, "out", it.out, "after", n.now-it.came)
+			n.answer(it, Reply{Result: ClientGone})
 			n.inbox = append(n.inbox, left(it.wi))
 		}
-	case Ended:
+	case HandOffEnded:
 		if it := n.items[v.WI]; it != nil {
 			it.hos[v.HO].never = v.Outcome.ProvesNotRun()
 			n.ended(it, v.HO, v.Outcome, "")
 		}
 	case Callback:
 		switch known := n.callback(v); {
-		case v.Answer == nil:
+		case v.Respond == nil:
 		case known:
-			v.Answer(WasApplied)
+			v.Respond(CallbackApplied)
 		default:
-			n.front.Pass(v)
+			n.front.ForwardCallback(v)
 		}
-	case Succeeded:
+	case SuccessorReady:
 		if n.Phase() == Draining {
 			n.stop()
 		}
-	case Inherited:
-		n.inherit(v.Known)
-	case Adopted:
-		n.adopt(v.Client, v.Job)
-	case Listing:
+	case StateInherited:
+		n.inherit(v.State)
+	case JobAdopted:
+		n.adopt(v.Request, v.Job)
+	case DiscoveryUpdate:
 		n.listing(v)
-	case Broken:
+	case WatchEnded:
 		n.broken(v.Watch)
-	case Moved:
+	case DiscoveryMoved:
 		// What the old address told stays in use until the new one has given its whole list: it may count
 		// revisions its own way. The same address is asked anew as well.
 		n.log.Info("moved", "discovery", v.Discovery, "was", n.discovery, "phase", n.Phase())
-		n.discovery, n.revision = v.Discovery, Whole
+		n.discovery, n.revision = v.Discovery, FullList
 		n.unwatch(0)
 		n.ask()
-	case Changed:
+	case ConfigChanged:
 		n.change(v)
-	case Room:
-		n.room = v.Clients
-	case Heard:
+	case ClientLimit:
+		n.room = v.Max
+	case PeerMessage:
 		n.inbox = append(n.inbox, v)
 	case Stop:
 		if n.Phase() < Draining {
@@ -623,21 +623,21 @@
 }
 
 // change brings a configuration into force. This is the one place for it, whoever asked.
-func (n *Node) change(v Changed) {
+func (n *Node) change(v ConfigChanged) {
 	if d, ok := n.d.(interface{ Change(dispatch.Settings) }); ok {
 		d.Change(v.Settings)
 	}
 	n.s, n.maxOpen, n.mark = v.Settings, v.MaxOpen, v.Mark
 	if n.version = v.Version; n.gate != nil {
-		n.gate.InForce(v.Version)
+		n.gate.VersionInForce(v.Version)
 	}
 	if v.Discovery != "" && v.Discovery != n.discovery {
-		n.reduce(Moved{v.Discovery})
+		n.reduce(DiscoveryMoved{v.Discovery})
 	}
-	if v.Applied == nil {
+	if v.OnApplied == nil {
 		return
 	}
-	o := older{applied: v.Applied}
+	o := older{applied: v.OnApplied}
 	for _, it := range n.items {
 		for _, h := range it.hos {
 			if !h.ended && h.attempt != nil {
@@ -673,12 +673,12 @@
 // book counts an act, where somebody keeps account.
 func (n *Node) book(a fleet.Act) {
 	if n.gate != nil {
-		n.gate.Act(a)
+		n.gate.RecordAction(a)
 	}
 }
 
 // allowed tells whether new work may be taken and handed off.
-func (n *Node) allowed() bool { return n.gate == nil || n.gate.Open() }
+func (n *Node) allowed() bool { return n.gate == nil || n.gate.Allowed() }
 
 // stop begins the end, anew when a process is there that takes this one's place: then no work is to be taken for longer
 // than clients may not know.
@@ -696,29 +696,29 @@
 	n.inbox = append(n.inbox, ending(n.endAt))
 }
 
-func (n *Node) arrived(c *Client) {
+func (n *Node) arrived(c *Request) {
 	switch {
 	case n.byID[c.ID] != nil || n.used[0][c.ID] || n.used[1][c.ID]: // a second copy: ids are new with every request
 		n.log.Warn("bad", "bad", "repeated", "id", c.ID)
-		c.Answer(Reply{Result: Repeated})
+		c.Respond(Reply{Result: DuplicateID})
 		return
 	case n.dismissed: // others will take it at once
-		c.Answer(Reply{Result: Deferred})
+		c.Respond(Reply{Result: Deferred})
 		return
 	case !n.allowed(): // others of the fleet will take it
 		r := Reply{Result: Deferred}
 		if n.s.MayAdviseRetryAfter {
-			r.Pause = min(fullPause, n.s.MaxRetryAfter)
+			r.RetryAfter = min(fullPause, n.s.MaxRetryAfter)
 		}
 		n.book(fleet.Deferred)
-		c.Answer(r)
+		c.Respond(r)
 		return
 	case n.open >= min(n.maxOpen, n.room): // as the settings say, or no socket is left for one more client that waits
 		r := Reply{Result: Deferred}
 		if n.s.MayAdviseRetryAfter {
-			r.Pause = min(fullPause, n.s.MaxRetryAfter)
+			r.RetryAfter = min(fullPause, n.s.MaxRetryAfter)
 		}
-		c.Answer(r)
+		c.Respond(r)
 		return
 	}
 	n.next++
@@ -744,12 +744,12 @@
 	switch r.Result {
 	case Deferred:
 		n.book(fleet.Deferred)
-	case Gone, HandedOver:
+	case ClientGone, HandedOver:
 	default:
 		n.book(fleet.Answered)
 	}
-	it.client.Answer(r)
-	if r.Result == Served || r.Result == WrittenOff || r.Result == Overdue {
+	it.client.Respond(r)
+	if r.Result == Served || r.Result == WrittenOff || r.Result == TimedOut {
 		n.use(it.client.ID)
 	}
 	n.forget(it)
@@ -830,7 +830,7 @@
 func (n *Node) handOver() {
 	for _, wi := range slices.Sorted(maps.Keys(n.items)) {
 		it := n.items[wi]
-		if it.done || it.out > 1 || slices.ContainsFunc(it.hos, func(h handoff) bool { return !h.ended && !h.attempt.Taken() }) {
+		if it.done || it.out > 1 || slices.ContainsFunc(it.hos, func(h handoff) bool { return !h.ended && !h.attempt.Accepted() }) {
 			continue
 		}
 		c := it.client
@@ -846,9 +846,9 @@
 }
 
 // adopt takes such a work item in.
-func (n *Node) adopt(c *Client, j Job) {
+func (n *Node) adopt(c *Request, j Job) {
 	if n.byID[c.ID] != nil {
-		c.Answer(Reply{Result: Repeated})
+		c.Respond(Reply{Result: DuplicateID})
 		return
 	}
 	n.next++
@@ -861,7 +861,7 @@
 		h := handoff{worker: t.Worker, sent: t.Sent, ended: t.Done, never: t.Never, unrun: t.Unrun, started: t.Started, addr: t.Addr}
 		if !h.ended {
 			it.out++
-			h.attempt = n.front.Continue(Sending{WI: it.wi, HO: k, ID: c.ID, Addr: t.Addr, Message: c.Message})
+			h.attempt = n.front.AdoptHandOff(HandOffRequest{WI: it.wi, HO: k, ID: c.ID, Addr: t.Addr, Message: c.Message})
 			n.at(c.Expiry, it.wi, k)
 		}
 		it.hos = append(it.hos, h)
@@ -870,8 +870,8 @@
 }
 
 // known is what the process that takes this one's place is told. From then on that one alone warms workers.
-func (n *Node) known() Known {
-	k := Known{Discovery: n.discovery, Revision: n.revision}
+func (n *Node) known() TakeoverState {
+	k := TakeoverState{Discovery: n.discovery, Revision: n.revision}
 	for id := range n.byID {
 		k.Used = append(k.Used, id)
 	}
@@ -893,7 +893,7 @@
 
 // inherit takes in what the process knew whose place this one takes. Its list counts only where it is newer: this one
 // follows discovery itself.
-func (n *Node) inherit(k Known) {
+func (n *Node) inherit(k TakeoverState) {
 	for _, id := range k.Used {
 		n.use(id)
 	}
@@ -920,7 +920,7 @@
 	}
 }
 
-func (n *Node) listing(l Listing) {
+func (n *Node) listing(l DiscoveryUpdate) {
 	if !slices.Contains(n.watches, l.Watch) {
 		return
 	}
@@ -939,7 +939,7 @@
 	older := !l.Complete && l.Revision < n.revision
 	if older {
 		n.log.Warn("list", "older", l.Revision, "known", n.revision)
-		l.Revision, l.Members = Whole, slices.DeleteFunc(slices.Clone(l.Members), func(m Member) bool { return m.State != dispatch.Draining })
+		l.Revision, l.Members = FullList, slices.DeleteFunc(slices.Clone(l.Members), func(m Member) bool { return m.State != dispatch.Draining })
 	}
 	n.take(l.Members)
 	n.revision = l.Revision
@@ -1035,11 +1035,11 @@
 		case t.ho >= 0:
 			if h := &it.hos[t.ho]; !h.ended {
 				n.ended(it, t.ho, dispatch.TimedOut, "")
-				h.attempt.GiveUp()
+				h.attempt.Cancel()
 			}
 		case !it.done: // the dispatcher gave no answer by the deadline and the slack
 			n.log.Error("overdue", "overdue", it.client.ID)
-			n.answer(it, Reply{Result: Overdue})
+			n.answer(it, Reply{Result: TimedOut})
 			n.inbox = append(n.inbox, left(it.wi))
 		}
 	}
@@ -1055,7 +1055,7 @@
 		if !n.dismissed && n.now >= n.lastTake {
 			// Not before: a client whose connection closes would look for a dispatcher where there may be none.
 			n.dismissed = true
-			n.front.Dismiss()
+			n.front.CloseIdle()
 		}
 		if n.now >= n.handAt {
 			n.handAt = n.now + handEvery
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -13,8 +13,8 @@
 type script struct {
 	*Node
 	log       strings.Builder
-	clients   map[string]*Client
-	replies   map[*Client][]Reply
+	clients   map[string]*Request
+	replies   map[*Request][]Reply
 	succeeded bool // another process takes this one's place
 }
 
@@ -23,29 +23,29 @@
 	at string
 }
 
-func (a asked) Taken() bool   { return !strings.Contains(a.at, "not taken") }
-func (a asked) Written() bool { return !strings.Contains(a.at, "not taken") }
-func (a asked) GiveUp()       { a.s.note("give up %s", a.at) }
+func (a asked) Accepted() bool { return !strings.Contains(a.at, "not taken") }
+func (a asked) Written() bool  { return !strings.Contains(a.at, "not taken") }
+func (a asked) Cancel()        { a.s.note("give up %s", a.at) }
 
 func (s *script) note(format string, a ...any) {
 	fmt.Fprintf(&s.log, "%5.0f  "+format+"\n", append([]any{s.now}, a...)...)
 }
-func (s *script) Send(x Sending) Attempt {
-	s.note("send %s hand-off %d to %s within %.0f", x.ID, x.HO, x.Addr, x.Patience)
+func (s *script) Send(x HandOffRequest) Attempt {
+	s.note("send %s hand-off %d to %s within %.0f", x.ID, x.HO, x.Addr, x.Timeout)
 	return asked{s, fmt.Sprintf("%s hand-off %d at %s", x.ID, x.HO, x.Addr)}
 }
 func (s *script) Watch(number int, addr string, after int64) {
 	s.note("watch %d at %s after %d", number, addr, after)
 }
-func (s *script) Unwatch(number int)       { s.note("unwatch %d", number) }
-func (s *script) Tell(to int, data []byte) { s.note("tell %d %x", to, data) }
-func (s *script) Drain(func() Known) bool  { s.note("drain"); return s.succeeded }
-func (s *script) Continue(x Sending) Attempt {
+func (s *script) Unwatch(number int)              { s.note("unwatch %d", number) }
+func (s *script) SendToPeer(to int, data []byte)  { s.note("tell %d %x", to, data) }
+func (s *script) Drain(func() TakeoverState) bool { s.note("drain"); return s.succeeded }
+func (s *script) AdoptHandOff(x HandOffRequest) Attempt {
 	s.note("continue %s hand-off %d at %s", x.ID, x.HO, x.Addr)
 	return asked{s, fmt.Sprintf("%s hand-off %d at %s", x.ID, x.HO, x.Addr)}
 }
-func (s *script) Pass(c Callback) { s.note("pass %s", c.ID) }
-func (s *script) Dismiss()        { s.note("dismiss") }
+func (s *script) ForwardCallback(c Callback) { s.note("pass %s", c.ID) }
+func (s *script) CloseIdle()                 { s.note("dismiss") }
 
 // at lets values come in at a time, after all that is due before.
 func (s *script) at(now float64, values ...any) {
@@ -66,23 +66,23 @@
 	}
 	for id, c := range s.clients {
 		if got := s.replies[c]; len(got) > 0 {
-			s.note("answer %s: %d %q pause %v", id, got[0].Result, got[0].Body, got[0].Pause > 0)
+			s.note("answer %s: %d %q pause %v", id, got[0].Result, got[0].Body, got[0].RetryAfter > 0)
 			s.replies[c] = got[1:]
 			delete(s.clients, id)
 		}
 	}
 }
 
-func (s *script) client(id string, category int, left float64) Arrived {
-	c := &Client{ID: id, Category: category, Tenant: -1, Hint: 100, Expiry: s.now + left}
+func (s *script) client(id string, category int, left float64) RequestArrived {
+	c := &Request{ID: id, Category: category, Tenant: -1, Hint: 100, Expiry: s.now + left}
 	s.hears(c)
 	s.clients[id] = c
-	return Arrived{c}
+	return RequestArrived{c}
 }
 
 // hears keeps what a client is answered.
-func (s *script) hears(c *Client) {
-	c.Answer = func(r Reply) { s.replies[c] = append(s.replies[c], r) }
+func (s *script) hears(c *Request) {
+	c.Respond = func(r Reply) { s.replies[c] = append(s.replies[c], r) }
 }
 
 func member(worker string, state dispatch.WorkerState) Member {
@@ -93,13 +93,13 @@
 
 // beginWith is the same with other settings.
 func beginWith(ask bool, change func(*dispatch.Settings), members ...Member) *script {
-	s := &script{clients: map[string]*Client{}, replies: map[*Client][]Reply{}}
+	s := &script{clients: map[string]*Request{}, replies: map[*Request][]Reply{}}
 	o := Options{Settings: dispatch.Settings{Seed: 1 << 40, RoundInterval: 5, Dispatchers: 1, Kinds: 1, StartNotices: true, DiscoveryOnRequest: ask,
 		MayCancel: true, SecondCopies: true, MaxHandOffs: 3, AnswerSlack: 20, DiscoveryAskWithin: 10000, StartCapacity: 0.1,
 		WarmUpTime: 1000, OverloadMultiple: 3, OverloadWindow: 100, MayAdviseRetryAfter: true, MaxRetryAfter: 2000, Categories: []dispatch.Category{
 			{DueTime: 1000, Expiry: 2000, Credit: 1, Kind: -1},
 			{DueTime: 1000, Expiry: 2000, Credit: 1, Kind: -1, Repeat: dispatch.Exclusive}}},
-		MaxOpen: 10, Discovery: "here", Known: Listing{Revision: 4, Members: members}}
+		MaxOpen: 10, Discovery: "here", CachedList: DiscoveryUpdate{Revision: 4, Members: members}}
 	if change != nil {
 		change(&o.Settings)
 	}
@@ -123,24 +123,24 @@
 			s.at(1010, s.client("a", 1, 2000))
 			s.at(1020, Callback{ID: "a", From: "w2", State: Done, Result: "not there"}, Callback{ID: "b", From: "w1"})
 			s.at(1030, Callback{ID: "a", From: "w1", State: Started}, Callback{ID: "a", From: "w1", State: Done, Result: "r"})
-			s.at(1040, Callback{ID: "a", From: "w1", State: Failed}, Ended{1, 0, dispatch.ConnReset})
+			s.at(1040, Callback{ID: "a", From: "w1", State: Failed}, HandOffEnded{1, 0, dispatch.ConnReset})
 		}},
 		{"exclusive work that never ran goes on, then may have run: written off", func(s *script) {
 			s.at(1010, s.client("a", 1, 2000))
-			s.at(1020, Ended{1, 0, dispatch.ConnectFailed}, member2())
+			s.at(1020, HandOffEnded{1, 0, dispatch.ConnectFailed}, member2())
 			s.at(1030, Callback{ID: "a", From: "w2", State: Lost})
 		}},
 		{"returned twice by one worker: told apart by nothing, so the second changes nothing", func(s *script) {
 			s.at(1010, s.client("a", 0, 2000))
 			s.at(1020, Callback{ID: "a", From: "w1", State: Returned}, member2())
-			s.at(1030, Ended{1, 1, dispatch.Full}) // at w2, on its connection
+			s.at(1030, HandOffEnded{1, 1, dispatch.Full}) // at w2, on its connection
 			s.at(1550, Callback{ID: "a", From: "w1", State: Returned})
 			s.at(1560, Callback{ID: "a", From: "w1", State: Done, Result: "r"})
 		}},
 		{"turned away on its connection, later returned by the same worker: told apart", func(s *script) {
 			s.at(1010, s.client("a", 0, 2000))
-			s.at(1020, Ended{1, 0, dispatch.Full}, member2())
-			s.at(1030, Ended{1, 1, dispatch.Full})
+			s.at(1020, HandOffEnded{1, 0, dispatch.Full}, member2())
+			s.at(1030, HandOffEnded{1, 1, dispatch.Full})
 			s.at(1550, Callback{ID: "a", From: "w1", State: Returned})
 		}},
 		{"out of time: given up at the worker, and deferred as it may run again", func(s *script) {
@@ -151,8 +151,8 @@
 		{"the client leaves", func(s *script) {
 			a := s.client("a", 0, 2000)
 			s.at(1010, a)
-			s.at(1020, Departed{a.Client})
-			s.at(1030, Ended{1, 0, dispatch.Cancelled}, s.client("a", 0, 2000))
+			s.at(1020, ClientDisconnected{a.Request})
+			s.at(1030, HandOffEnded{1, 0, dispatch.Cancelled}, s.client("a", 0, 2000))
 		}},
 		{"more than may be open", func(s *script) {
 			for k := range 10 {
@@ -162,13 +162,13 @@
 		}},
 		{"an id in use", func(s *script) {
 			s.at(1010, s.client("a", 0, 2000))
-			again := &Client{ID: "a"}
+			again := &Request{ID: "a"}
 			s.hears(again)
 			s.clients["a again"] = again
-			s.at(1020, Arrived{again})
+			s.at(1020, RequestArrived{again})
 			s.at(1030, Callback{ID: "a", From: "w1", State: Done, Result: "r"})
 			s.clients["a after its answer"] = again
-			s.at(1040, Arrived{again})
+			s.at(1040, RequestArrived{again})
 			for k := range 3 { // remembered for the longest expiry, then forgotten
 				s.at(3100 + 2100*float64(k))
 				s.at(s.now, s.client(fmt.Sprint("b", k), 1, 2000))
@@ -177,31 +177,31 @@
 			s.at(s.now+10, s.client("a", 0, 2000))
 		}},
 		{"discovery breaks: asked again; a broken watch's list is passed over; a complete list drops", func(s *script) {
-			s.at(1100, Listing{Watch: 1, Revision: 5, Complete: true, Members: []Member{member("w9", dispatch.Up)}})
-			s.at(1110, Broken{1}, Listing{Watch: 1, Revision: 6, Complete: true})
+			s.at(1100, DiscoveryUpdate{Watch: 1, Revision: 5, Complete: true, Members: []Member{member("w9", dispatch.Up)}})
+			s.at(1110, WatchEnded{1}, DiscoveryUpdate{Watch: 1, Revision: 6, Complete: true})
 			s.at(2000, s.client("a", 0, 2000))
 			s.at(2005)
-			s.at(2010, Listing{Watch: s.watch, Revision: 7, Members: []Member{member("w9", dispatch.Gone)}})
+			s.at(2010, DiscoveryUpdate{Watch: s.watch, Revision: 7, Members: []Member{member("w9", dispatch.Gone)}})
 			s.at(2020, s.client("b", 0, 300))
 			s.at(2400)
 		}},
 		{"discovery moves: its whole list counts, until then what was known, and nothing of the old watch", func(s *script) {
-			s.at(1100, Listing{Watch: 1, Revision: 50, Complete: true, Members: []Member{member("w1", dispatch.Up)}})
-			s.at(1110, Moved{"there"}, Listing{Watch: 1, Revision: 51, Complete: true}, Broken{1})
+			s.at(1100, DiscoveryUpdate{Watch: 1, Revision: 50, Complete: true, Members: []Member{member("w1", dispatch.Up)}})
+			s.at(1110, DiscoveryMoved{"there"}, DiscoveryUpdate{Watch: 1, Revision: 51, Complete: true}, WatchEnded{1})
 			s.at(1120, s.client("a", 0, 2000))
 			s.at(1130, Callback{ID: "a", From: "w1", State: Done})
-			s.at(1140, Broken{2}) // not up yet: the whole list is still owed
+			s.at(1140, WatchEnded{2}) // not up yet: the whole list is still owed
 			s.at(1990)
-			s.at(2000, Listing{Watch: s.watch, Revision: 7, Complete: true, Members: []Member{member("w2", dispatch.Up)}})
+			s.at(2000, DiscoveryUpdate{Watch: s.watch, Revision: 7, Complete: true, Members: []Member{member("w2", dispatch.Up)}})
 			s.at(2010, s.client("b", 0, 2000))
-			s.at(2020, Broken{s.watch})
-			s.at(2800, Stop{}, Moved{"there"}, Moved{"elsewhere"})
+			s.at(2020, WatchEnded{s.watch})
+			s.at(2800, Stop{}, DiscoveryMoved{"there"}, DiscoveryMoved{"elsewhere"})
 			s.at(2810, Callback{ID: "b", From: "w2", State: Done})
 			s.at(3900)
 			s.note("phase %s", s.Phase())
 		}},
 		{"told to stop: takes work a little longer, then defers; ends when all is answered", func(s *script) {
-			s.at(1010, Listing{Watch: 1, Revision: 5}, s.client("a", 0, 2000))
+			s.at(1010, DiscoveryUpdate{Watch: 1, Revision: 5}, s.client("a", 0, 2000))
 			s.at(1020, Stop{})
 			s.at(1030, Callback{ID: "a", From: "w1", State: Started}, s.client("b", 0, 2000))
 			s.at(1040, Callback{ID: "a", From: "w1", State: Done})
@@ -221,19 +221,19 @@
 			s.at(1030, Stop{})
 			s.at(3029)
 			s.at(3030)
-			s.at(3040, Callback{ID: "a", From: "w1", State: Done, Answer: func(Applied) {}})
+			s.at(3040, Callback{ID: "a", From: "w1", State: Done, Respond: func(CallbackResult) {}})
 			s.at(6010)
 			s.note("phase %s", s.Phase())
 		}},
 		{"takes a job over that another process had: its callback answers, or its client's time ends it", func(s *script) {
-			job := func(id string, expiry float64) Adopted {
-				c := s.client(id, 1, 0).Client
+			job := func(id string, expiry float64) JobAdopted {
+				c := s.client(id, 1, 0).Request
 				c.Expiry = expiry
-				return Adopted{c, Job{ID: id, Category: 1, Expiry: expiry, HandOffs: []JobHandOff{
+				return JobAdopted{c, Job{ID: id, Category: 1, Expiry: expiry, HandOffs: []JobHandOff{
 					{Addr: "at-w2", Taken: dispatch.Taken{Worker: "w2", Sent: 500, Done: true, Unrun: true}},
 					{Addr: "at-w1", Taken: dispatch.Taken{Worker: "w1", Sent: 600, Started: 610}}}}}
 			}
-			s.at(1010, Inherited{Known{Used: []string{"a"}}}, job("a", 3000))
+			s.at(1010, StateInherited{TakeoverState{Used: []string{"a"}}}, job("a", 3000))
 			s.at(1020, s.client("b", 1, 2000))
 			s.at(1030, Callback{ID: "a", From: "w1", State: Done, Result: "r"})
 			s.at(1040, job("c", 1500))
@@ -241,7 +241,7 @@
 		}},
 		{"told to stop beside a newer process: takes work for half a second, as that one takes it", func(s *script) {
 			s.succeeded = true
-			s.at(1010, Listing{Watch: 1, Revision: 5})
+			s.at(1010, DiscoveryUpdate{Watch: 1, Revision: 5})
 			s.at(1020, Stop{})
 			s.at(1530, s.client("too late", 0, 2000))
 			s.at(1540)
@@ -253,16 +253,16 @@
 		fmt.Fprintf(&all, "%s\n%s", c.name, s.log.String())
 	}
 	s := begin(true, member("w1", dispatch.Up))
-	s.at(1100, Broken{1})
+	s.at(1100, WatchEnded{1})
 	s.at(7290)
-	s.at(7300, Listing{Watch: s.watch, Revision: 9, Complete: true, Members: []Member{member("w1", dispatch.Up)}})
-	s.at(7400, Broken{s.watch})
+	s.at(7300, DiscoveryUpdate{Watch: s.watch, Revision: 9, Complete: true, Members: []Member{member("w1", dispatch.Up)}})
+	s.at(7400, WatchEnded{s.watch})
 	s.at(14000)
 	fmt.Fprintf(&all, "asked for, a watch that breaks is told to the dispatcher, which asks again\n%s", s.log.String())
 	kept.Check(t, "reducer", all.String())
 }
 
 // member2 lists a second worker.
-func member2() Listing {
-	return Listing{Watch: 1, Revision: 5, Members: []Member{member("w2", dispatch.Up)}}
+func member2() DiscoveryUpdate {
+	return DiscoveryUpdate{Watch: 1, Revision: 5, Members: []Member{member("w2", dispatch.Up)}}
 }
--- a/internal/node/rounds.go
+++ b/internal/node/rounds.go
@@ -61,7 +61,7 @@
 			d.HandOffEnded(v)
 		case noticed:
 			d.HandOffProgressed(v.wi, v.ho, v.start, v.share)
-		case Heard:
+		case PeerMessage:
 			d.PeerMessageReceived(v.From, v.Data)
 		case adopted:
 			if to, ok := d.(learner); ok {
@@ -111,8 +111,8 @@
 		n.ended(it, ho, dispatch.NotSent, "")
 	default:
 		it.hos[ho].never, it.hos[ho].addr = false, addr
-		it.hos[ho].attempt = n.front.Send(Sending{WI: wi, HO: ho, ID: it.client.ID, Addr: addr,
-			Message: it.client.Message, Patience: patience, Mark: n.mark})
+		it.hos[ho].attempt = n.front.Send(HandOffRequest{WI: wi, HO: ho, ID: it.client.ID, Addr: addr,
+			Message: it.client.Message, Timeout: patience, Mark: n.mark})
 		n.book(fleet.HandedOff)
 		n.at(n.now+patience, wi, ho)
 	}
@@ -121,14 +121,14 @@
 // Cancel gives a hand-off up; its end comes when the worker has been told, unless another comes first.
 func (n *Node) Cancel(wi uint64, ho int) {
 	if it := n.items[wi]; it != nil && !it.handed && ho >= 0 && ho < len(it.hos) && !it.hos[ho].ended {
-		it.hos[ho].attempt.GiveUp()
+		it.hos[ho].attempt.Cancel()
 	}
 }
 
 // Defer answers that trying again is harmless.
 func (n *Node) Defer(wi uint64, pause float64) {
 	if it := n.items[wi]; it != nil {
-		n.answer(it, Reply{Result: Deferred, Pause: pause})
+		n.answer(it, Reply{Result: Deferred, RetryAfter: pause})
 	}
 }
 
@@ -151,4 +151,4 @@
 }
 
 // Tell sends a message to siblings.
-func (n *Node) SendToPeer(to int, data []byte) { n.front.Tell(to, data) }
+func (n *Node) SendToPeer(to int, data []byte) { n.front.SendToPeer(to, data) }
--- a/internal/node/endings_test.go
+++ b/internal/node/shutdown_test.go
@@ -53,9 +53,9 @@
 	s := beginWith(false, long, member("w1", dispatch.Up))
 	s.at(1010, s.client("busy", 1, 15000)) // not started: nothing more goes there
 	a := s.client("a", 1, 15000)
-	a.Client.Hint = 6000
+	a.Request.Hint = 6000
 	s.at(1020, a)
-	if s.at(1100, Stop{}); len(s.replies[a.Client]) > 0 || s.clients["busy"] == nil {
+	if s.at(1100, Stop{}); len(s.replies[a.Request]) > 0 || s.clients["busy"] == nil {
 		t.Error("both are to wait until the process is told to stop")
 	}
 	s.at(1110)
@@ -70,14 +70,14 @@
 	s := begin(false, member("w1", dispatch.Up))
 	now := 1100.0
 	s.clock = func() float64 { return now }
-	s.turn(Listing{Watch: 1, Revision: 1})
+	s.turn(DiscoveryUpdate{Watch: 1, Revision: 1})
 	a := s.client("a", 1, 2000)
 	s.turn(a) // within the grain of the round before: not shown yet
 	if s.lastAt != 1100 || len(s.inbox) != 1 {
 		t.Fatalf("round at %v, %d wait for one", s.lastAt, len(s.inbox))
 	}
 	now += 50
-	s.queue <- Departed{a.Client}
+	s.queue <- ClientDisconnected{a.Request}
 	s.turn()
 	if strings.Contains(s.log.String(), "send a") {
 		t.Errorf("it was sent, though its client had left:\n%s", s.log.String())
@@ -90,13 +90,13 @@
 	type values = []any
 	done := Callback{ID: "a", From: "w1", State: Done, Result: "r"}
 	var all strings.Builder
-	play := func(name string, in func(a *Client) values) {
+	play := func(name string, in func(a *Request) values) {
 		for _, order := range []string{"in order", "the other way", "in order, one round", "the other way, one round"} {
 			s := begin(false, member("w1", dispatch.Up))
-			s.at(1010, Listing{Watch: 1, Revision: 5})
+			s.at(1010, DiscoveryUpdate{Watch: 1, Revision: 5})
 			a := s.client("a", 1, 900)
 			s.at(1020, a)
-			two := in(a.Client)
+			two := in(a.Request)
 			if strings.HasPrefix(order, "the other") {
 				slices.Reverse(two)
 			}
@@ -115,29 +115,29 @@
 			fmt.Fprintf(&all, "%s: %s\n%s", name, order, s.log.String())
 		}
 	}
-	play("done and the client leaves", func(a *Client) values { return values{done, Departed{a}} })
-	play("the connection breaks and the client leaves", func(a *Client) values {
-		return values{Ended{1, 0, dispatch.ConnectFailed}, Departed{a}}
+	play("done and the client leaves", func(a *Request) values { return values{done, ClientDisconnected{a}} })
+	play("the connection breaks and the client leaves", func(a *Request) values {
+		return values{HandOffEnded{1, 0, dispatch.ConnectFailed}, ClientDisconnected{a}}
 	})
-	play("done and told to stop", func(*Client) values { return values{done, Stop{}} })
-	play("told to stop and the client leaves", func(a *Client) values { return values{Stop{}, Departed{a}} })
-	play("done and the connection breaks", func(*Client) values { return values{done, Ended{1, 0, dispatch.ConnReset}} })
-	play("returned and its worker drains", func(*Client) values {
+	play("done and told to stop", func(*Request) values { return values{done, Stop{}} })
+	play("told to stop and the client leaves", func(a *Request) values { return values{Stop{}, ClientDisconnected{a}} })
+	play("done and the connection breaks", func(*Request) values { return values{done, HandOffEnded{1, 0, dispatch.ConnReset}} })
+	play("returned and its worker drains", func(*Request) values {
 		return values{Callback{ID: "a", From: "w1", State: Returned},
-			Listing{Watch: 1, Revision: 6, Members: []Member{member("w1", dispatch.Draining), member("w2", dispatch.Up)}}}
+			DiscoveryUpdate{Watch: 1, Revision: 6, Members: []Member{member("w1", dispatch.Draining), member("w2", dispatch.Up)}}}
 	})
-	play("discovery moves and its old watch tells", func(*Client) values {
-		return values{Moved{"there"}, Listing{Watch: 1, Revision: 6, Members: []Member{member("w1", dispatch.Draining)}}}
+	play("discovery moves and its old watch tells", func(*Request) values {
+		return values{DiscoveryMoved{"there"}, DiscoveryUpdate{Watch: 1, Revision: 6, Members: []Member{member("w1", dispatch.Draining)}}}
 	})
-	play("a watch breaks and discovery moves", func(*Client) values { return values{Broken{1}, Moved{"there"}} })
-	play("told to stop and discovery moves", func(*Client) values { return values{Stop{}, Moved{"there"}} })
+	play("a watch breaks and discovery moves", func(*Request) values { return values{WatchEnded{1}, DiscoveryMoved{"there"}} })
+	play("told to stop and discovery moves", func(*Request) values { return values{Stop{}, DiscoveryMoved{"there"}} })
 	kept.Check(t, "crossings", all.String())
 }
 
 // TestStopBeforeReady: told to stop before any list came, twice, during a move of discovery: what was taken is answered.
 func TestStopBeforeReady(t *testing.T) {
 	s := begin(false)
-	s.at(1010, s.client("a", 1, 2000), Moved{"there"}, Stop{}, Stop{}, Moved{"elsewhere"})
+	s.at(1010, s.client("a", 1, 2000), DiscoveryMoved{"there"}, Stop{}, Stop{}, DiscoveryMoved{"elsewhere"})
 	s.at(1020, s.client("b", 1, 2000))
 	s.at(1000 + 2000 + killGrace)
 	if len(s.clients) > 0 || s.Phase() != Stopped {
@@ -148,9 +148,9 @@
 // TestOlderList: an older line after a newer one puts nothing back into use; its drains hold, and the whole list is asked for.
 func TestOlderList(t *testing.T) {
 	s := begin(false, member("w1", dispatch.Up))
-	s.at(1010, Listing{Watch: 1, Revision: 7, Complete: true, Members: []Member{member("w1", dispatch.Up), member("w2", dispatch.Up)}})
-	s.at(1020, Listing{Watch: 1, Revision: 9, Members: []Member{member("w1", dispatch.Draining)}})
-	s.at(1030, Listing{Watch: 1, Revision: 8, Members: []Member{member("w1", dispatch.Up), member("w2", dispatch.Draining)}})
+	s.at(1010, DiscoveryUpdate{Watch: 1, Revision: 7, Complete: true, Members: []Member{member("w1", dispatch.Up), member("w2", dispatch.Up)}})
+	s.at(1020, DiscoveryUpdate{Watch: 1, Revision: 9, Members: []Member{member("w1", dispatch.Draining)}})
+	s.at(1030, DiscoveryUpdate{Watch: 1, Revision: 8, Members: []Member{member("w1", dispatch.Up), member("w2", dispatch.Draining)}})
 	if !strings.Contains(s.log.String(), "watch 2 at here after -1") {
 		t.Error("the whole list is not asked for")
 	}
@@ -160,7 +160,7 @@
 	if strings.Contains(s.log.String(), "send") {
 		t.Errorf("work went to one that drains:\n%s", s.log.String())
 	}
-	s.at(1090, Listing{Watch: 2, Revision: 9, Complete: true, Members: []Member{member("w1", dispatch.Draining), member("w2", dispatch.Up)}})
+	s.at(1090, DiscoveryUpdate{Watch: 2, Revision: 9, Complete: true, Members: []Member{member("w1", dispatch.Draining), member("w2", dispatch.Up)}})
 	if !strings.Contains(s.log.String(), "to at-w2") {
 		t.Errorf("nothing goes to the one that the whole list names:\n%s", s.log.String())
 	}
@@ -173,7 +173,7 @@
 		for seed := range uint64(50) {
 			s := begin(false, member("w1", dispatch.Up))
 			s.s.DrainGrace, s.mwc = grace, (seed+1)*0x9e3779b97f4a7c15|1
-			s.at(1010, Broken{1})
+			s.at(1010, WatchEnded{1})
 			least, most = min(least, s.watchAt-s.now), max(most, s.watchAt-s.now)
 		}
 		want := 750.0
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -53,7 +53,7 @@
 	defer f.mu.Unlock()
 	now := f.running
 	now.Text, now.Mark, now.Discovery, now.Known = next.Text, next.Mark, next.Discovery, next.Known
-	s, _ := settings.InFlight(now.Settings, next.Settings, now.Names.Same(next.Names))
+	s, _ := settings.MergeReloadable(now.Settings, next.Settings, now.Names.Equal(next.Names))
 	other := !reflect.DeepEqual(s, now.Settings) || now.Links.MaxOpen != next.Links.MaxOpen || now.Mark != f.running.Mark
 	now.Settings, now.Links.MaxOpen = s, next.Links.MaxOpen
 	f.running = now
@@ -67,9 +67,9 @@
 		return
 	}
 	if other {
-		f.node.Queue(node.Changed{Settings: now.Settings, MaxOpen: f.bound(now.Links.MaxOpen), Mark: now.Mark})
+		f.node.Enqueue(node.ConfigChanged{Settings: now.Settings, MaxOpen: f.bound(now.Links.MaxOpen), Mark: now.Mark})
 	}
-	f.node.Queue(node.Moved{Discovery: now.Discovery.String()}) // the same address is asked anew as well
+	f.node.Enqueue(node.DiscoveryMoved{Discovery: now.Discovery.String()}) // the same address is asked anew as well
 }
 
 // bring has a version of the fleet's brought into force.
@@ -97,12 +97,12 @@
 	if err != nil {
 		return nil, err
 	}
-	s, _ := settings.InFlight(f.running.Settings, c.Settings, f.running.Names.Same(c.Names))
-	change := node.Changed{Version: v.Number, Settings: s, MaxOpen: f.bound(c.Links.MaxOpen), Mark: c.Mark, Discovery: c.Discovery.String()}
+	s, _ := settings.MergeReloadable(f.running.Settings, c.Settings, f.running.Names.Equal(c.Names))
+	change := node.ConfigChanged{Version: v.Number, Settings: s, MaxOpen: f.bound(c.Links.MaxOpen), Mark: c.Mark, Discovery: c.Discovery.String()}
 	if applied != nil {
-		change.Applied = func() { go applied(strings.Join(waits, ", ")) } // the reducer waits for nobody
+		change.OnApplied = func() { go applied(strings.Join(waits, ", ")) } // the reducer waits for nobody
 	}
-	f.node.Queue(change)
+	f.node.Enqueue(change)
 	return waits, nil
 }
 
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -22,14 +22,14 @@
 	"weldmast/internal/logs"
 	"weldmast/internal/node"
 	"weldmast/internal/operate"
-	"weldmast/internal/platform"
 	"weldmast/internal/takeover"
+	"weldmast/internal/transport"
 )
 
 // loaded is a checked configuration with its list of workers.
 type loaded struct {
 	config.Config
-	known node.Listing
+	known node.DiscoveryUpdate
 }
 
 func load() (l loaded, err error) {
@@ -37,7 +37,7 @@
 		return l, err
 	}
 	if len(l.Known) > 0 && string(l.Known) != "null" {
-		if l.known, err = platform.DecodeListing(l.Known, l.Names); err != nil {
+		if l.known, err = transport.DecodeListing(l.Known, l.Names); err != nil {
 			return l, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -108,7 +108,7 @@
 		c.Sockets = system
 	}
 	c.Links.MaxOpen = min(c.Links.MaxOpen, c.Sockets/2)
-	o := platform.Options{Listen: c.Listen, PeerListen: c.PeerListen, Peers: c.Peers,
+	o := transport.Options{Listen: c.Listen, PeerListen: c.PeerListen, Peers: c.Peers,
 		PeersAll: c.PeersAll, Number: c.Settings.Position, Names: c.Names, Links: c.Links,
 		Copies: c.Settings.SecondCopies, Asked: c.Settings.DiscoveryOnRequest, Sockets: c.Sockets}
 	for _, category := range c.Settings.Categories {
@@ -126,7 +126,7 @@
 		}
 		o.Exchange, o.Shared = exchange, func(half bool) { aim(c.MemoryMB, half) }
 	}
-	no := node.Options{Settings: c.Settings, MaxOpen: c.Links.MaxOpen, Discovery: c.Discovery.String(), Known: c.known, Figures: o.Figures,
+	no := node.Options{Settings: c.Settings, MaxOpen: c.Links.MaxOpen, Discovery: c.Discovery.String(), CachedList: c.known, Metrics: o.Figures,
 		Mark: c.Mark}
 	force := &inForce{running: c.Config}
 	var of *part
@@ -135,7 +135,7 @@
 			return err
 		}
 		defer of.close()
-		no.Gate, o.Gate = of.gate, of.gate
+		no.Guard, o.Gate = of.gate, of.gate
 		o.Sockets -= of.descriptors()
 		force.most = o.Sockets / 2
 		no.MaxOpen = force.bound(no.MaxOpen)
@@ -144,7 +144,7 @@
 	o.Limit = func() int { now := descriptors(c.Sockets); return max(now-aside, now/2) }
 	n := node.New(no)
 	force.node = n
-	p, err := platform.Start(o, n)
+	p, err := transport.Start(o, n)
 	if err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 			case <-n.Done():
 				return
 			case <-stop:
-				n.Queue(node.Stop{})
+				n.Enqueue(node.Stop{})
 			case <-reload:
 				// A fault in either file leaves both as they were: half of a change may be worse than none.
 				operator, err := config.LoadOperator(s.File, os.Getenv)
--- a/internal/settings/flight.go
+++ b/internal/settings/reload.go
@@ -11,7 +11,7 @@
 // InFlight is what a running program makes of other settings: those that can change between two rounds are the new
 // ones, all else stays. Waits names, in order, what differs and waits for a restart. Where the lists of names are not the
 // same, neither are their positions.
-func InFlight(now, next dispatch.Settings, sameNames bool) (s dispatch.Settings, waits []string) {
+func MergeReloadable(now, next dispatch.Settings, sameNames bool) (s dispatch.Settings, waits []string) {
 	s = now
 	s.ExcessCredit, s.MaxHandOffs = next.ExcessCredit, next.MaxHandOffs
 	s.MayCancel, s.MayAdviseRetryAfter, s.MaxRetryAfter = next.MayCancel, next.MayAdviseRetryAfter, next.MaxRetryAfter
@@ -54,6 +54,6 @@
 }
 
 // Same tells whether two sets of names are alike, position by position.
-func (n Names) Same(o Names) bool {
+func (n Names) Equal(o Names) bool {
 	return slices.Equal(n.Categories, o.Categories) && slices.Equal(n.Tenants, o.Tenants) && slices.Equal(n.Zones, o.Zones) && slices.Equal(n.Kinds, o.Kinds)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,7 +20,7 @@
 type Values map[string][]string
 
 // Flat reads pairs as the simulator writes them.
-func Flat(pairs [][]byte) (Values, error) {
+func ParseFlat(pairs [][]byte) (Values, error) {
 	v := make(Values, len(pairs))
 	for _, p := range pairs {
 		key, value, ok := strings.Cut(string(p), "=")
@@ -35,7 +35,7 @@
 }
 
 // Nested reads the same as JSON.
-func Nested(text []byte) (Values, error) {
+func ParseJSON(text []byte) (Values, error) {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.UseNumber()
 	var tree map[string]any
@@ -75,14 +75,14 @@
 // Names are the settings' lists, in which messages name their things.
 type Names struct {
 	Categories, Tenants, Zones, Kinds []string
-	Free                              string // load value that tells free slots
+	FreeSlotsKey                      string // load value that tells free slots
 }
 
 // Links is what the settings say of connections, for a front that has real ones; 0 where they say nothing.
-type Links struct {
-	Idle    float64 // a worker closes a connection that has been idle for so long
-	Connect float64 // one that is not up within this time counts as failed
-	MaxOpen int     // work items open at once
+type ConnectionSettings struct {
+	IdleTimeout    float64 // a worker closes a connection that has been idle for so long
+	ConnectTimeout float64 // one that is not up within this time counts as failed
+	MaxOpen        int     // work items open at once
 }
 
 // reader takes values out; the first thing wrong stays in err, and what was looked at in read.
@@ -166,13 +166,13 @@
 }
 
 // Read turns values into what a dispatcher, its wire and its links need. An error names the setting.
-func Read(v Values, seed uint64) (dispatch.Settings, Names, Links, error) {
+func Read(v Values, seed uint64) (dispatch.Settings, Names, ConnectionSettings, error) {
 	s, n, l, r := read(v, seed)
 	return s, n, l, r.err
 }
 
 // Unread lists the settings, sorted, that nothing here looks at.
-func Unread(v Values) (keys []string) {
+func UnknownKeys(v Values) (keys []string) {
 	_, _, _, r := read(v, 0)
 	for key := range v {
 		if !r.read[key] {
@@ -184,7 +184,7 @@
 }
 
 // Unserved says of settings, as they are, what the sockets' protocol has no message for.
-func Unserved(v Values) (notes []string) {
+func Unsupported(v Values) (notes []string) {
 	r := &reader{v: v, read: map[string]bool{}}
 	switch r.text("load_info.how") {
 	case "answers":
@@ -195,7 +195,7 @@
 	return notes
 }
 
-func read(v Values, seed uint64) (dispatch.Settings, Names, Links, *reader) {
+func read(v Values, seed uint64) (dispatch.Settings, Names, ConnectionSettings, *reader) {
 	r := &reader{v: v, read: map[string]bool{}}
 	r.must("categories.count", "siblings", "granularity", "allowed.max_hand_offs",
 		"safety.start_capacity", "safety.cold", "safety.fall", "safety.fall_multiple")
@@ -217,11 +217,11 @@
 	if s.StartCapacity > 1 {
 		r.fail("safety.start_capacity", "is above 1")
 	}
-	l := Links{Idle: r.ms("allowed.conn_idle"), Connect: r.ms("allowed.connect_timeout"),
+	l := ConnectionSettings{IdleTimeout: r.ms("allowed.conn_idle"), ConnectTimeout: r.ms("allowed.connect_timeout"),
 		MaxOpen: r.within("allowed.open_cap", 0, 0, math.MaxInt32)}
 	for _, x := range []string{"x0", "x1"} {
 		if r.text("family_info.report_"+x) == "free_slots" {
-			n.Free = x
+			n.FreeSlotsKey = x
 		}
 	}
 	for k := range r.within("categories.count", 1, 1, 1e4) {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -171,7 +171,7 @@
 		switch {
 		case !ok:
 			f.fail("stats", "is not a list of pairs")
-		case n.Free != "" && string(name) == n.Free:
+		case n.FreeSlotsKey != "" && string(name) == n.FreeSlotsKey:
 			l.FreeSlots = f.num("stats", value)
 		}
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -201,7 +201,7 @@
 	if f.err != nil {
 		return dispatch.Settings{}, f.err
 	}
-	values, err := settings.Flat(f.parts)
+	values, err := settings.ParseFlat(f.parts)
 	if err != nil {
 		return dispatch.Settings{}, fmt.Errorf("%s: %w", f.head, err)
 	}
--- a/internal/platform/clients.go
+++ b/internal/transport/clients.go
@@ -2,7 +2,7 @@
 // answer for a work item before the node has, nor let anything of a RequestCtx outlive its handler. guard.go owns the
 // connections.
 
-package platform
+package transport
 
 import (
 	"bytes"
@@ -219,15 +219,15 @@
 	ctx.Conn().(*clientConn).prove()
 	told := node.Callback{ID: in.ID, From: in.From, State: state, Share: in.Share, Result: in.Result}
 	if !c.passing {
-		c.node.Queue(told)
+		c.node.Enqueue(told)
 		return
 	}
-	applied := make(chan node.Applied, 1)
-	told.Answer = func(a node.Applied) { applied <- a }
-	c.node.Queue(told)
+	applied := make(chan node.CallbackResult, 1)
+	told.Respond = func(a node.CallbackResult) { applied <- a }
+	c.node.Enqueue(told)
 	select {
 	case a := <-applied:
-		if a == node.Unsure { // the worker tells it again
+		if a == node.CallbackUndetermined { // the worker tells it again
 			ctx.Error("another process has not answered\n", fasthttp.StatusServiceUnavailable)
 		}
 	case <-c.node.Done():
@@ -235,9 +235,9 @@
 }
 
 // owe has the client's answer come by the channel. Until then, and while its connection stands, the work item may be sent.
-func (c *clientConn) owe(client *node.Client) <-chan node.Reply {
+func (c *clientConn) owe(client *node.Request) <-chan node.Reply {
 	reply, answered := make(chan node.Reply, 1), new(atomic.Bool)
-	client.Answer = func(r node.Reply) {
+	client.Respond = func(r node.Reply) {
 		answered.Store(true)
 		reply <- r
 	}
@@ -265,12 +265,12 @@
 	switch _, left := conn.peek(); {
 	case left: // the request lay unread meanwhile
 		logLeft(client.ID, "unread")
-		r.Result = node.Gone
-	case c.node.Queue(node.Arrived{Client: client}):
-		conn.watch(func() { c.node.Queue(node.Departed{Client: client}) })
+		r.Result = node.ClientGone
+	case c.node.Enqueue(node.RequestArrived{Request: client}):
+		conn.watch(func() { c.node.Enqueue(node.ClientDisconnected{Request: client}) })
 		select {
 		case r = <-reply:
-			if r.Result != node.Repeated {
+			if r.Result != node.DuplicateID {
 				conn.prove()
 			}
 		case <-c.node.Done(): // it came in after the last round: nothing was sent
@@ -297,16 +297,16 @@
 		c.figures.Ended(category, figures.OK)
 	case node.Deferred:
 		c.figures.Ended(category, figures.Shed)
-	case node.WrittenOff, node.Overdue, node.HandedOver: // which failed
+	case node.WrittenOff, node.TimedOut, node.HandedOver: // which failed
 		c.figures.Ended(category, figures.Error)
-	case node.Repeated, node.Gone: // no job of its own; nobody to answer
+	case node.DuplicateID, node.ClientGone: // no job of its own; nobody to answer
 		c.figures.Left()
 	}
 }
 
 // decode reads a request. What it keeps is its own copy.
-func (c *clients) decode(r *fasthttp.Request, path []byte) (*node.Client, int, error) {
-	bad := func(format string, a ...any) (*node.Client, int, error) {
+func (c *clients) decode(r *fasthttp.Request, path []byte) (*node.Request, int, error) {
+	bad := func(format string, a ...any) (*node.Request, int, error) {
 		return nil, fasthttp.StatusBadRequest, fmt.Errorf(format, a...)
 	}
 	id := string(r.Header.Peek("X-Request-Id"))
@@ -341,7 +341,7 @@
 	// A deadline beyond the category's expiry counts as that: else one odd client would make all others of the
 	// category look like retries.
 	expiry := c.node.Now() + min(left*1000, c.expiries[category])
-	return &node.Client{ID: id, Category: category, Tenant: tenant, Hint: hint / 1000, Key: keyOf(rest), Expiry: expiry,
+	return &node.Request{ID: id, Category: category, Tenant: tenant, Hint: hint / 1000, Key: keyOf(rest), Expiry: expiry,
 		Message: newMessage(r)}, 0, nil
 }
 
@@ -368,17 +368,17 @@
 		ctx.SetBodyString(r.Body)
 	case node.Deferred:
 		ctx.Error("deferred: try again\n", fasthttp.StatusServiceUnavailable)
-		if r.Pause > 0 {
-			ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(r.Pause/1000, 'f', 3, 64))
+		if r.RetryAfter > 0 {
+			ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(r.RetryAfter/1000, 'f', 3, 64))
 		}
 	case node.WrittenOff, node.HandedOver:
 		ctx.Error("written off: it may have run\n", fasthttp.StatusBadGateway)
-	case node.Overdue:
+	case node.TimedOut:
 		ctx.Error("no answer in time\n", fasthttp.StatusGatewayTimeout)
-	case node.Repeated:
+	case node.DuplicateID:
 		ctx.Error("X-Request-Id is in use\n", fasthttp.StatusConflict)
 		ctx.SetConnectionClose()
-	case node.Gone:
+	case node.ClientGone:
 		ctx.SetConnectionClose()
 	}
 }
--- a/internal/platform/discovery.go
+++ b/internal/transport/discovery.go
@@ -1,7 +1,7 @@
 // This file owns the watch on discovery and the form of its lists. It must never open a watch by itself: the
 // node asks for each one, and is told when it breaks or falls silent.
 
-package platform
+package transport
 
 import (
 	"bufio"
@@ -36,19 +36,19 @@
 )
 
 // DecodeListing reads one list in discovery's form. A member that cannot be read is passed over.
-func DecodeListing(text []byte, names settings.Names) (node.Listing, error) {
+func DecodeListing(text []byte, names settings.Names) (node.DiscoveryUpdate, error) {
 	var in struct {
 		Revision *int64
 		Complete bool
 		Members  []json.RawMessage
 	}
 	if err := json.Unmarshal(text, &in); err != nil {
-		return node.Listing{}, err
+		return node.DiscoveryUpdate{}, err
 	}
 	if in.Revision == nil {
-		return node.Listing{}, errors.New("revision is missing")
+		return node.DiscoveryUpdate{}, errors.New("revision is missing")
 	}
-	l := node.Listing{Revision: *in.Revision, Complete: in.Complete}
+	l := node.DiscoveryUpdate{Revision: *in.Revision, Complete: in.Complete}
 	for _, raw := range in.Members {
 		m, err := decodeMember(raw, names)
 		if err != nil {
@@ -133,7 +133,7 @@
 			slog.Warn("watch", "watch", number, "discovery", addr, "err", err)
 		}
 		d.unwatch(number)
-		d.node.Queue(node.Broken{Watch: number})
+		d.node.Enqueue(node.WatchEnded{Watch: number})
 	})
 }
 
@@ -144,7 +144,7 @@
 // both, as a watch that names no revision begins with the whole list: many dispatchers that start at once would ask a
 // discovery of bounded capacity for twice as much. Where that is not so, the list is asked for by itself.
 func (d *discovery) read(ctx context.Context, number int, addr string, after int64) error {
-	if after == node.Whole {
+	if after == node.FullList {
 		err := d.follow(ctx, number, addr, after)
 		if !errors.Is(err, errNotWhole) {
 			return err
@@ -159,7 +159,7 @@
 				return fmt.Errorf("bad list: %w", err)
 			}
 			l.Watch, l.Complete, after = number, true, l.Revision
-			d.node.Queue(l)
+			d.node.Enqueue(l)
 			return nil
 		})
 		if err != nil {
@@ -175,7 +175,7 @@
 // follow brings what a watch tells until it breaks.
 func (d *discovery) follow(ctx context.Context, number int, addr string, after int64) error {
 	path := listPath + "?watch=1"
-	if after != node.Whole {
+	if after != node.FullList {
 		path += "&after=" + strconv.FormatInt(after, 10)
 	}
 	err := d.call(ctx, addr, path, func(conn net.Conn, body io.Reader) error {
@@ -190,11 +190,11 @@
 			if blank := len(bytes.TrimSpace(line)) == 0; blank && len(text) > 0 {
 				continue
 			} else if blank {
-				if first && after == node.Whole {
+				if first && after == node.FullList {
 					return errNotWhole
 				}
 				if first { // it speaks: nothing has changed since
-					d.node.Queue(node.Listing{Watch: number, Revision: after})
+					d.node.Enqueue(node.DiscoveryUpdate{Watch: number, Revision: after})
 				}
 				first = false
 				continue
@@ -216,12 +216,12 @@
 			}
 			text = text[:0]
 			conn.SetDeadline(time.Now().Add(discoverySilent))
-			if first && after == node.Whole && !l.Complete {
+			if first && after == node.FullList && !l.Complete {
 				return errNotWhole
 			}
 			first = false
 			l.Watch = number
-			d.node.Queue(l)
+			d.node.Enqueue(l)
 		}
 		if lines.Err() != nil {
 			return lines.Err()
@@ -229,7 +229,7 @@
 		return errors.New("it ended")
 	})
 	var refused statusError
-	if after == node.Whole && errors.As(err, &refused) && refused >= 400 && refused < 500 {
+	if after == node.FullList && errors.As(err, &refused) && refused >= 400 && refused < 500 {
 		return errNotWhole
 	}
 	return err
--- a/internal/platform/endings_test.go
+++ b/internal/transport/endings_test.go
@@ -1,4 +1,4 @@
-package platform
+package transport
 
 import (
 	"bufio"
@@ -94,7 +94,7 @@
 		Categories: []dispatch.Category{{DueTime: 4000, Expiry: 5000, Credit: 1, Kind: -1},
 			{DueTime: 4000, Expiry: 5000, Credit: 1, Kind: -1, Repeat: dispatch.Exclusive}}}
 	return Options{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Names: settings.Names{Categories: []string{"plan", "order"}},
-			Links: settings.Links{Idle: 15000, Connect: 5000}, Expiries: []float64{5000, 5000}, Copies: true, Sockets: 400},
+			Links: settings.ConnectionSettings{IdleTimeout: 15000, ConnectTimeout: 5000}, Expiries: []float64{5000, 5000}, Copies: true, Sockets: 400},
 		node.Options{Settings: s, MaxOpen: 100}
 }
 
@@ -131,7 +131,7 @@
 	done := make(chan struct{})
 	go func() { r.n.Run(r.p); close(done) }()
 	t.Cleanup(func() {
-		r.n.Queue(node.Stop{})
+		r.n.Enqueue(node.Stop{})
 		r.disc.Close()
 		select {
 		case <-done:
@@ -320,7 +320,7 @@
 			n := node.New(no)
 			ws := newWorkers(n, o)
 			ws.bound(10)
-			c := &node.Client{ID: "a", Message: &message{head: []byte("POST /plan/x HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 0\r\n")}}
+			c := &node.Request{ID: "a", Message: &message{head: []byte("POST /plan/x HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 0\r\n")}}
 			cc.owe(c)
 			left := true
 			switch how {
@@ -332,7 +332,7 @@
 				client.SetLinger(0)
 				client.Close()
 			case "answered":
-				c.Answer(node.Reply{})
+				c.Respond(node.Reply{})
 			case "closed here":
 				cc.Close()
 			}
@@ -342,7 +342,7 @@
 				}
 			}
 			ended := make(chan struct{})
-			a := ws.send(node.Sending{WI: 1, ID: "a", Addr: w.addr, Message: c.Message, Patience: 5000})
+			a := ws.send(node.HandOffRequest{WI: 1, ID: "a", Addr: w.addr, Message: c.Message, Timeout: 5000})
 			go func() { ws.running.Wait(); close(ended) }()
 			if !left {
 				await(t, "the request", w.got).answer(taken)
@@ -726,7 +726,7 @@
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	r.must(err)
 	defer other.Close()
-	r.n.Queue(node.Moved{Discovery: other.Addr().String()})
+	r.n.Enqueue(node.DiscoveryMoved{Discovery: other.Addr().String()})
 	c, err := other.Accept()
 	r.must(err)
 	defer c.Close()
@@ -831,7 +831,7 @@
 	kept, fresh := r.dial(), r.dial()
 	io.WriteString(kept, job("first", "order"))
 	await(t, "the first", w.got).answer(taken)
-	r.n.Queue(node.Stop{})
+	r.n.Enqueue(node.Stop{})
 	r.until("draining", func() bool { return r.n.Phase() == node.Draining })
 	r.until("no more work", func() bool { return r.p.clients.draining.Load() })
 	io.WriteString(kept, job("behind", "order")) // said ahead of the answer that ends the node
@@ -897,7 +897,7 @@
 				<-hold
 				return nil
 			}
-			ws.adopt(node.Sending{ID: "a", Addr: w.addr}).GiveUp()
+			ws.adopt(node.HandOffRequest{ID: "a", Addr: w.addr}).Cancel()
 			await(t, "its connection", dialled)
 			ended := make(chan bool)
 			within := soon
--- a/internal/platform/guard.go
+++ b/internal/transport/guard.go
@@ -2,7 +2,7 @@
 // them give way, and which heads are no requests. It must never close a connection whose request is being served to
 // make room, nor look at what a request asks for.
 
-package platform
+package transport
 
 import (
 	"bufio"
--- a/internal/platform/guard_test.go
+++ b/internal/transport/guard_test.go
@@ -1,4 +1,4 @@
-package platform
+package transport
 
 import (
 	"errors"
--- a/internal/platform/platform.go
+++ b/internal/transport/platform.go
@@ -4,7 +4,7 @@
 // anything or change the node's state.
 //
 // This file puts the parts together; each of the others owns one neighbour.
-package platform
+package transport
 
 import (
 	"context"
@@ -31,13 +31,13 @@
 	PeersAll   netip.AddrPort
 	Number     int // this dispatcher's among the peers
 	Names      settings.Names
-	Links      settings.Links
+	Links      settings.ConnectionSettings
 	Expiries   []float64 // of each category
 	Copies     bool      // second copies are allowed
 	Asked      bool      // discovery tells only what it is asked for
 	Sockets    int
 	Figures    *figures.Figures // nil: none are asked for
-	Gate       node.Gate        // nil: of no fleet
+	Gate       node.LeaseGuard  // nil: of no fleet
 	// Exchange is with other processes of this dispatcher; nil: there are none, and the addresses are its alone.
 	Exchange *takeover.Exchange
 	Found    []*os.File      // sockets of an older process, served once it has handed over
@@ -121,10 +121,10 @@
 }
 
 // Send starts a hand-off.
-func (p *Platform) Send(s node.Sending) node.Attempt { return p.workers.send(s) }
+func (p *Platform) Send(s node.HandOffRequest) node.Attempt { return p.workers.send(s) }
 
 // Continue takes up a hand-off that another process made.
-func (p *Platform) Continue(s node.Sending) node.Attempt { return p.workers.adopt(s) }
+func (p *Platform) AdoptHandOff(s node.HandOffRequest) node.Attempt { return p.workers.adopt(s) }
 
 // Watch opens a watch on discovery.
 func (p *Platform) Watch(number int, addr string, after int64) {
@@ -135,11 +135,11 @@
 func (p *Platform) Unwatch(number int) { p.discovery.unwatch(number) }
 
 // Tell sends a message to siblings.
-func (p *Platform) Tell(to int, data []byte) { p.siblings.tell(to, data) }
+func (p *Platform) SendToPeer(to int, data []byte) { p.siblings.tell(to, data) }
 
 // Drain has connections closed with their next deferral; or hands over, if there is a newer process, and has them closed
 // with their next answer.
-func (p *Platform) Drain(known func() node.Known) (succeeded bool) {
+func (p *Platform) Drain(known func() node.TakeoverState) (succeeded bool) {
 	p.clients.leaving.Store(true)
 	if p.o.Exchange != nil && p.o.Exchange.Stop(func() []byte { return encodeKnown(known()) }) {
 		p.clients.draining.Store(true)
@@ -149,7 +149,7 @@
 }
 
 // Dismiss closes connections that wait for a request, and the others with their next answer.
-func (p *Platform) Dismiss() {
+func (p *Platform) CloseIdle() {
 	p.clients.draining.Store(true)
 	p.clients.dismiss()
 }
--- a/internal/platform/siblings.go
+++ b/internal/transport/siblings.go
@@ -1,7 +1,7 @@
 // This file owns the datagrams between siblings. It must never wait for one: what cannot be sent at once may
 // be lost, as any message may.
 
-package platform
+package transport
 
 import (
 	"context"
@@ -106,7 +106,7 @@
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		if k := slices.Index(s.peers, from); k >= 0 && k != s.me && n <= datagramMost {
-			s.node.Queue(node.Heard{From: k, Data: slices.Clone(buf[:n])})
+			s.node.Enqueue(node.PeerMessage{From: k, Data: slices.Clone(buf[:n])})
 		}
 	}
 }
--- a/internal/platform/takeover.go
+++ b/internal/transport/takeover.go
@@ -1,7 +1,7 @@
 // This file owns the platform's side of a takeover: the sockets that two processes share, and the form in which one tells
 // the other what it knows. It must never decide when; the exchange does.
 
-package platform
+package transport
 
 import (
 	"bufio"
@@ -173,11 +173,11 @@
 	p.clients.most.Store(int64(most))
 	p.workers.bound(int(max(min(workerPart*part, (1-clientRest)*(part-ownSockets)), leastWorkers)))
 	// Clients that wait must leave room for the callbacks that end their jobs.
-	p.node.Queue(node.Room{Clients: most - max(most/6, leastBacks)})
+	p.node.Enqueue(node.ClientLimit{Max: most - max(most/6, leastBacks)})
 }
 
 // Succeeded tells the node that a newer process is there.
-func (p *Platform) Succeeded() { p.node.Queue(node.Succeeded{}) }
+func (p *Platform) Succeeded() { p.node.Enqueue(node.SuccessorReady{}) }
 
 const lookAgain = 100 * time.Millisecond // a job that is handed over has arrived by then
 
@@ -211,19 +211,19 @@
 	}
 	// Queued here, so that the node has it before it hears that the older process has ended.
 	cc := &clientConn{Conn: conn, owner: p.clients, since: time.Now(), begun: true, serving: true, proven: true, ahead: g.Ahead, spilt: g.Spilt}
-	client := &node.Client{ID: g.Job.ID, Category: g.Job.Category, Tenant: g.Job.Tenant, Hint: g.Job.Hint,
+	client := &node.Request{ID: g.Job.ID, Category: g.Job.Category, Tenant: g.Job.Tenant, Hint: g.Job.Hint,
 		Key: g.Job.Key, Expiry: g.Job.Expiry, Message: &message{head: g.Head, body: g.Body}}
 	reply := cc.owe(client)
 	p.clients.figures.Taken()
-	p.node.Queue(node.Adopted{Client: client, Job: g.Job})
+	p.node.Enqueue(node.JobAdopted{Request: client, Job: g.Job})
 	go p.clients.finish(cc, client, reply)
 }
 
 // finish answers an adopted job and goes on with its connection.
-func (c *clients) finish(cc *clientConn, client *node.Client, reply <-chan node.Reply) {
+func (c *clients) finish(cc *clientConn, client *node.Request, reply <-chan node.Reply) {
 	c.register(cc)
 	r := node.Reply{Result: node.WrittenOff}
-	cc.watch(func() { c.node.Queue(node.Departed{Client: client}) })
+	cc.watch(func() { c.node.Enqueue(node.ClientDisconnected{Request: client}) })
 	select {
 	case r = <-reply:
 	case <-c.node.Done():
@@ -260,29 +260,29 @@
 	Result   string
 }
 
-var answers = map[takeover.Answer]node.Applied{takeover.Applied: node.WasApplied, takeover.NotKnown: node.NotKnown,
-	takeover.Unsure: node.Unsure}
+var answers = map[takeover.Answer]node.CallbackResult{takeover.Applied: node.CallbackApplied, takeover.NotKnown: node.CallbackUnknown,
+	takeover.Unsure: node.CallbackUndetermined}
 
 // Pass asks the other processes about a callback.
-func (p *Platform) Pass(c node.Callback) {
+func (p *Platform) ForwardCallback(c node.Callback) {
 	text, err := json.Marshal(told{c.ID, c.From, c.State, c.Share, c.Result})
 	if err != nil || p.o.Exchange == nil {
-		c.Answer(node.NotKnown)
+		c.Respond(node.CallbackUnknown)
 		return
 	}
-	if c.Newer && c.Older {
-		c.Answer(node.NotKnown)
+	if c.FromSuccessor && c.FromPredecessor {
+		c.Respond(node.CallbackUnknown)
 		return
 	}
-	p.o.Exchange.Pass(text, c.Newer, c.Older, func(a takeover.Answer) {
-		if a != takeover.NotKnown || c.Older || !p.o.Exchange.Beside() {
-			c.Answer(answers[a])
+	p.o.Exchange.Pass(text, c.FromSuccessor, c.FromPredecessor, func(a takeover.Answer) {
+		if a != takeover.NotKnown || c.FromPredecessor || !p.o.Exchange.Beside() {
+			c.Respond(answers[a])
 			return
 		}
 		// The older process may have handed it over this moment: it is looked for here once more.
 		time.AfterFunc(lookAgain, func() {
-			if c.Newer, c.Older = true, true; !p.node.Queue(c) {
-				c.Answer(node.NotKnown)
+			if c.FromSuccessor, c.FromPredecessor = true, true; !p.node.Enqueue(c) {
+				c.Respond(node.CallbackUnknown)
 			}
 		})
 	})
@@ -295,22 +295,22 @@
 		answer(takeover.NotKnown)
 		return
 	}
-	back := func(a node.Applied) {
+	back := func(a node.CallbackResult) {
 		for to, from := range answers {
 			if a == from {
 				answer(to)
 			}
 		}
 	}
-	c := node.Callback{ID: t.ID, From: t.From, State: t.State, Share: t.Share, Result: t.Result, Answer: back,
-		Newer: newer, Older: !newer}
-	if !p.node.Queue(c) {
+	c := node.Callback{ID: t.ID, From: t.From, State: t.State, Share: t.Share, Result: t.Result, Respond: back,
+		FromSuccessor: newer, FromPredecessor: !newer}
+	if !p.node.Enqueue(c) {
 		answer(takeover.NotKnown)
 	}
 }
 
 // encodeKnown is what one process tells the other of all that it knows.
-func encodeKnown(k node.Known) []byte {
+func encodeKnown(k node.TakeoverState) []byte {
 	text, err := json.Marshal(k)
 	if err != nil {
 		slog.Error("takeover", "takeover", "what is known cannot be told", "err", err)
@@ -321,11 +321,11 @@
 
 // Inherit takes what the older process knew.
 func (p *Platform) Inherit(text []byte) error {
-	var k node.Known
+	var k node.TakeoverState
 	if err := json.Unmarshal(text, &k); err != nil {
 		return err
 	}
-	p.node.Queue(node.Inherited{Known: k})
+	p.node.Enqueue(node.StateInherited{State: k})
 	return nil
 }
 
--- a/internal/platform/workers.go
+++ b/internal/transport/workers.go
@@ -3,7 +3,7 @@
 // tells work that never ran from work that may have, and cannot call a request off; so connections are kept in
 // pools of its own, and only fasthttp's codecs serve.
 
-package platform
+package transport
 
 import (
 	"bufio"
@@ -93,7 +93,7 @@
 	most    int
 	copies  bool // second copies are allowed
 	figures *figures.Figures
-	gate    node.Gate // nil: of no fleet
+	gate    node.LeaseGuard // nil: of no fleet
 	mu      sync.Mutex
 	learned time.Duration // the same by connections that workers ended, as of learnAt
 	learnAt time.Time     // zero: never
@@ -105,8 +105,8 @@
 
 func newWorkers(n *node.Node, o Options) *workers {
 	ms, l := float64(time.Millisecond), o.Links
-	return &workers{node: n, dialer: net.Dialer{Timeout: time.Duration(l.Connect * ms), KeepAlive: -1},
-		idleFor: time.Duration(l.Idle / 2 * ms), learned: time.Duration(l.Idle / 2 * ms), settle: settled, copies: o.Copies,
+	return &workers{node: n, dialer: net.Dialer{Timeout: time.Duration(l.ConnectTimeout * ms), KeepAlive: -1},
+		idleFor: time.Duration(l.IdleTimeout / 2 * ms), learned: time.Duration(l.IdleTimeout / 2 * ms), settle: settled, copies: o.Copies,
 		figures: o.Figures, gate: o.Gate, idle: map[string][]*workerConn{}, short: func(error) {}}
 }
 
@@ -289,7 +289,7 @@
 // attempt is one hand-off under way.
 type attempt struct {
 	w       *workers
-	s       node.Sending
+	s       node.HandOffRequest
 	cancel  context.CancelFunc
 	mu      sync.Mutex
 	conn    *workerConn // from the writing to the answer
@@ -299,7 +299,7 @@
 	given   bool // given up
 }
 
-func (w *workers) send(s node.Sending) node.Attempt {
+func (w *workers) send(s node.HandOffRequest) node.Attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{w: w, s: s, cancel: cancel}
 	w.running.Go(func() { a.run(ctx) })
@@ -307,12 +307,12 @@
 }
 
 // adopt is a hand-off that another process made.
-func (w *workers) adopt(s node.Sending) node.Attempt {
+func (w *workers) adopt(s node.HandOffRequest) node.Attempt {
 	return &attempt{w: w, s: s, cancel: func() {}, written: true, taken: true}
 }
 
 // Taken tells whether the worker answered that it has it.
-func (a *attempt) Taken() bool {
+func (a *attempt) Accepted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.taken && !a.given
@@ -342,9 +342,9 @@
 	a.conn = conn
 	a.mu.Unlock()
 	// The node times it; the deadline is for the case that it never asks.
-	conn.SetDeadline(time.Now().Add(time.Duration(a.s.Patience*1e6) + dropWithin))
+	conn.SetDeadline(time.Now().Add(time.Duration(a.s.Timeout*1e6) + dropWithin))
 	// The last look before the bytes: a connection that was long in coming up must not outlast the fleet's word.
-	if a.w.gate != nil && !a.w.gate.Open() {
+	if a.w.gate != nil && !a.w.gate.Allowed() {
 		a.release(conn, nil, true)
 		a.end(dispatch.ConnectFailed, errShut)
 		return
@@ -358,7 +358,7 @@
 		a.end(dispatch.Cancelled, nil)
 		return
 	}
-	text := m.encode(a.s.Addr, a.s.Patience, a.s.Mark)
+	text := m.encode(a.s.Addr, a.s.Timeout, a.s.Mark)
 	if n, err := conn.Write(text); n < len(text) {
 		a.release(conn, err, false)
 		a.end(dispatch.ConnectFailed, err)
@@ -429,11 +429,11 @@
 	default:
 		slog.Warn("worker", "worker", a.s.Addr, "id", a.s.ID, "err", err)
 	}
-	a.w.node.Queue(node.Ended{WI: a.s.WI, HO: a.s.HO, Outcome: o})
+	a.w.node.Enqueue(node.HandOffEnded{WI: a.s.WI, HO: a.s.HO, Outcome: o})
 }
 
 // GiveUp closes the connection before the 202, and tells the worker after it.
-func (a *attempt) GiveUp() {
+func (a *attempt) Cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.given || a.over {
@@ -453,7 +453,7 @@
 // forget has the worker drop the job. It counts as given up once that is written, or cannot be; where second
 // copies are forbidden, once it is answered: else the next hand-off could overtake it.
 func (a *attempt) forget() {
-	queue := func() { a.w.node.Queue(node.Ended{WI: a.s.WI, HO: a.s.HO, Outcome: dispatch.Cancelled}) }
+	queue := func() { a.w.node.Enqueue(node.HandOffEnded{WI: a.s.WI, HO: a.s.HO, Outcome: dispatch.Cancelled}) }
 	conn, err := a.w.get(context.Background(), a.s.Addr)
 	if err != nil {
 		queue()
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -66,7 +66,7 @@
 	gone  bool
 	still bool  // it stands still
 	held  []any // what came meanwhile
-	open  map[string]*node.Client
+	open  map[string]*node.Request
 }
 
 type port struct {
@@ -85,9 +85,9 @@
 	s := p.settings[d]
 	p.starts++
 	s.Seed = (p.seed+p.starts)*0x9e3779b97f4a7c15 | 1<<40
-	h := &host{p: p, n: d, open: map[string]*node.Client{}}
+	h := &host{p: p, n: d, open: map[string]*node.Request{}}
 	o := node.Options{Settings: s, MaxOpen: p.w.X.Dispatchers.MaxOpen, Discovery: "discovery", Log: silent,
-		Known: node.Listing{Members: members(known)}, Clock: func() float64 { return epoch + p.w.Now() }}
+		CachedList: node.DiscoveryUpdate{Members: members(known)}, Clock: func() float64 { return epoch + p.w.Now() }}
 	if p.decide != nil {
 		o.Decider = p.decide(s, p.w)
 	}
@@ -155,27 +155,27 @@
 		return
 	}
 	j := t.Job
-	c := &node.Client{ID: t.ID, Category: j.Category, Tenant: j.Tenant, Hint: j.Hint,
+	c := &node.Request{ID: t.ID, Category: j.Category, Tenant: j.Tenant, Hint: j.Hint,
 		Expiry: epoch + p.w.Now() + min(t.Deadline-p.w.Now(), float64(p.w.X.Categories[j.Category].Expiry))}
 	h.open[t.ID] = c
-	c.Answer = func(r node.Reply) {
+	c.Respond = func(r node.Reply) {
 		delete(h.open, t.ID)
 		switch r.Result {
 		case node.Served:
 			p.w.Answer(d, t.ID, world.Served, r.Body, 0)
 		case node.Deferred:
-			p.w.Answer(d, t.ID, world.ComeAgain, "", r.Pause)
-		case node.Gone:
+			p.w.Answer(d, t.ID, world.ComeAgain, "", r.RetryAfter)
+		case node.ClientGone:
 		default:
 			p.w.Answer(d, t.ID, world.Erred, "", 0)
 		}
 	}
-	h.step(node.Arrived{Client: c})
+	h.step(node.RequestArrived{Request: c})
 }
 
 func (p *port) Leave(d int, t *world.Try) {
 	if c := p.hosts[d].open[t.ID]; c != nil {
-		p.to(d, node.Departed{Client: c})
+		p.to(d, node.ClientDisconnected{Request: c})
 	}
 }
 
@@ -184,8 +184,8 @@
 
 func (p *port) Ended(d int, h *world.HandOff, how world.End) {
 	if how != world.Accepted {
-		s := h.Tag.(node.Sending)
-		p.to(d, node.Ended{WI: s.WI, HO: s.HO, Outcome: ends[how]})
+		s := h.Tag.(node.HandOffRequest)
+		p.to(d, node.HandOffEnded{WI: s.WI, HO: s.HO, Outcome: ends[how]})
 	}
 }
 
@@ -210,11 +210,11 @@
 }
 
 func (p *port) List(d int, l world.Listing) {
-	p.to(d, node.Listing{Watch: l.Watch, Revision: l.Revision, Complete: l.Complete, Members: members(l.Members)})
+	p.to(d, node.DiscoveryUpdate{Watch: l.Watch, Revision: l.Revision, Complete: l.Complete, Members: members(l.Members)})
 }
-func (p *port) Broken(d int, watch int) { p.to(d, node.Broken{Watch: watch}) }
+func (p *port) Broken(d int, watch int) { p.to(d, node.WatchEnded{Watch: watch}) }
 func (p *port) Message(d, from int, data []byte) {
-	p.to(d, node.Heard{From: from, Data: data})
+	p.to(d, node.PeerMessage{From: from, Data: data})
 }
 func (p *port) Kill(d int) {
 	if h := p.hosts[d]; h != nil {
@@ -234,7 +234,7 @@
 func (p *port) Upgrade(int)                 {}
 func (p *port) Flood(int, float64, float64) {}
 
-func (p *port) Reload(d int) { p.to(d, node.Moved{Discovery: "discovery"}) }
+func (p *port) Reload(d int) { p.to(d, node.DiscoveryMoved{Discovery: "discovery"}) }
 
 // attempt is a hand-off that the node has out.
 type attempt struct {
@@ -243,19 +243,19 @@
 }
 
 // GiveUp has the worker drop it.
-func (a attempt) GiveUp() { a.w.GiveUp(a.h) }
+func (a attempt) Cancel() { a.w.GiveUp(a.h) }
 
 // Taken: each is at once.
-func (a attempt) Taken() bool { return true }
+func (a attempt) Accepted() bool { return true }
 
 // Written: each is at once.
 func (a attempt) Written() bool { return true }
 
 // Continue has nobody to take one over from.
-func (h *host) Continue(s node.Sending) node.Attempt { return h.Send(s) }
+func (h *host) AdoptHandOff(s node.HandOffRequest) node.Attempt { return h.Send(s) }
 
 // Send starts a hand-off.
-func (h *host) Send(s node.Sending) node.Attempt {
+func (h *host) Send(s node.HandOffRequest) node.Attempt {
 	return attempt{h.p.w, h.p.w.Send(h.n, s.ID, s.Addr, s)}
 }
 
@@ -266,13 +266,13 @@
 func (h *host) Unwatch(int) {}
 
 // Tell sends a message to siblings.
-func (h *host) Tell(to int, data []byte) { h.p.w.Tell(h.n, to, data) }
+func (h *host) SendToPeer(to int, data []byte) { h.p.w.Tell(h.n, to, data) }
 
 // Drain and Dismiss close connections of clients; here each request has its own.
-func (h *host) Drain(func() node.Known) bool { return false }
+func (h *host) Drain(func() node.TakeoverState) bool { return false }
 
 // Pass has nobody to ask.
-func (h *host) Pass(c node.Callback) { c.Answer(node.NotKnown) }
+func (h *host) ForwardCallback(c node.Callback) { c.Respond(node.CallbackUnknown) }
 
 // Dismiss as Drain.
-func (h *host) Dismiss() {}
+func (h *host) CloseIdle() {}
--- a/internal/world/configuration.go
+++ b/internal/world/configuration.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return dispatch.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	values, err := settings.Nested(text)
+	values, err := settings.ParseJSON(text)
 	if err != nil {
 		return dispatch.Settings{}, fmt.Errorf("settings: %w", err)
 	}
