--- a/cmd/weldmast-voter/main.go
+++ b/cmd/weldmast-voter/main.go
@@ -4,14 +4,14 @@
 import (
 	"os"
 
-	"weldmast/internal/council"
-	"weldmast/internal/fleetlink"
+	"weldmast/internal/consensus"
+	"weldmast/internal/fleetrpc"
 	"weldmast/internal/program"
 )
 
 func main() {
-	os.Exit(program.Run(os.Args[1:], os.Stdout, os.Stderr, func(o program.VotingOptions) (fleetlink.Council, error) {
-		return council.Start(council.Options{Fleet: o.Fleet, Name: o.Name, Address: o.Address, Voters: o.Voters, Folder: o.Folder,
-			Figures: o.Figures, Via: o.Via, Run: o.Run, Seed: o.Seed, Clock: o.Clock.Now, Unix: o.Clock.Unix})
+	os.Exit(program.Run(os.Args[1:], os.Stdout, os.Stderr, func(o program.VotingOptions) (fleetrpc.VoterService, error) {
+		return consensus.Start(consensus.Options{Fleet: o.Fleet, Name: o.Name, Address: o.Address, Voters: o.Voters, Dir: o.Folder,
+			Timing: o.Figures, AddressMap: o.Via, RunID: o.Run, Seed: o.Seed, Clock: o.Clock.Now, UnixTime: o.Clock.UnixTime})
 	}))
 }
--- a/internal/audit/fleet.go
+++ b/internal/audit/fleet.go
@@ -192,29 +192,29 @@
 		member  string
 		version uint64
 	}
-	lines, gaps := map[key][]fleet.Line{}, map[string][]fleet.Gap{}
+	lines, gaps := map[key][]fleet.AuditLine{}, map[string][]fleet.ReportGap{}
 	for _, v := range final.Versions {
 		for _, l := range v.Lines {
 			k := key{l.Member, v.Version}
 			lines[k] = append(lines[k], l)
 		}
 	}
-	for _, g := range final.Unknown {
+	for _, g := range final.Gaps {
 		gaps[g.Member] = append(gaps[g.Member], g)
 	}
 	seen := map[key]uint64{}
 	for _, s := range f.Seen {
 		k := key{members[s.Dispatcher], f.Releases[s.Release]}
 		at := unix(s.At)
-		unknown := slices.ContainsFunc(gaps[k.member], func(g fleet.Gap) bool {
-			return at >= g.Span.From-leniency && (g.Span.To == 0 || at <= g.Span.To+leniency)
+		unknown := slices.ContainsFunc(gaps[k.member], func(g fleet.ReportGap) bool {
+			return at >= g.Interval.From-leniency && (g.Interval.To == 0 || at <= g.Interval.To+leniency)
 		})
 		if unknown {
 			continue
 		}
 		seen[k]++
-		if !slices.ContainsFunc(lines[k], func(l fleet.Line) bool {
-			t := l.Acts.Kinds[fleet.HandedOff]
+		if !slices.ContainsFunc(lines[k], func(l fleet.AuditLine) bool {
+			t := l.Actions.Counts[fleet.HandedOff]
 			return t.Count > 0 && at >= t.First-leniency && at <= t.Last+connectMost
 		}) {
 			f.convict(s.At, Booked, s, "handed off under version %d, which the audit of %s has not", k.version, k.member)
@@ -223,7 +223,7 @@
 	for k, n := range seen {
 		booked := uint64(0)
 		for _, l := range lines[k] {
-			booked += l.Acts.Kinds[fleet.HandedOff].Count
+			booked += l.Actions.Counts[fleet.HandedOff].Count
 		}
 		if n > booked {
 			f.convict(0, Booked, Seen{Dispatcher: slices.Index(members, k.member)}, "%d hand-offs under version %d were seen, the audit has %d", n, k.version, booked)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -43,8 +43,8 @@
 	Voter   bool // it has a seat by the file
 	Voters  []fleet.Voter
 	Folder  string
-	Alone   fleet.Alone
-	Figures fleet.Figures
+	Alone   fleet.IsolationPolicy
+	Figures fleet.Timing
 	Via     map[string]string // published address to where it is found from here; others are found where they are
 }
 
@@ -98,8 +98,8 @@
 
 // Of is the table for the dispatcher of the name.
 func (f *Fleet) Of(name string) (m Membership, err error) {
-	m = Membership{Fleet: f.Name, Name: f.Member, Listen: f.Listen, Alone: fleet.Alone(f.Alone),
-		Figures: fleet.Figures{Beat: float64(f.Beat), Lease: float64(f.Lease), Drift: f.Drift}}
+	m = Membership{Fleet: f.Name, Name: f.Member, Listen: f.Listen, Alone: fleet.IsolationPolicy(f.Alone),
+		Figures: fleet.Timing{Beat: float64(f.Beat), Lease: float64(f.Lease), Drift: f.Drift}}
 	if m.Name == "" {
 		m.Name = name
 	}
--- a/internal/council/core.go
+++ b/internal/consensus/core.go
@@ -4,7 +4,7 @@
 //
 // This file owns one voter's core, which has no I/O but the store that is handed in and no clock but the one handed in,
 // so that it can be played in virtual time. The others own its store and its goroutine.
-package council
+package consensus
 
 import (
 	"encoding/binary"
@@ -30,68 +30,68 @@
 }
 
 // Kept is what a store had.
-type Kept struct {
-	Hard     *pb.HardState
-	Snapshot *pb.Snapshot
-	Entries  []*pb.Entry
+type PersistedState struct {
+	HardState *pb.HardState
+	Snapshot  *pb.Snapshot
+	Entries   []*pb.Entry
 }
 
 // Times of a council, in milliseconds.
 const (
-	HeartbeatEvery = 50  // of the leader
-	electionLeast  = 400 // without a leader's word; drawn up to twice that
-	retryStore     = 1000
-	keepRecent     = 1024 // entries of the history that are kept for who is behind
-	readEvery      = 25   // readings are begun no closer together: all beats that came meanwhile share one
-	compactEvery   = 512
-	compactKeep    = 128
+	HeartbeatInterval = 50  // of the leader
+	electionLeast     = 400 // without a leader's word; drawn up to twice that
+	retryStore        = 1000
+	keepRecent        = 1024 // entries of the history that are kept for who is behind
+	readEvery         = 25   // readings are begun no closer together: all beats that came meanwhile share one
+	compactEvery      = 512
+	compactKeep       = 128
 )
 
 // What a caller is told.
 var (
 	ErrNotLeader = errors.New("this voter does not lead")
 	// ErrUnsure: the same request again tells.
-	ErrUnsure = errors.New("it is not known whether it was taken: ask again with the same request")
-	ErrFailed = errors.New("this voter has stopped voting")
+	ErrOutcomeUnknown = errors.New("it is not known whether it was taken: ask again with the same request")
+	ErrVoterFailed    = errors.New("this voter has stopped voting")
 )
 
 // FirstSeat is the number of a voter in the consensus before it ever lost its folder.
-func FirstSeat(fleetName, voter string) uint64 {
+func InitialRaftID(fleetName, voter string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(fleetName + "\x00" + voter))
 	return h.Sum64() | 1
 }
 
 // First is what a voter begins with that has never voted: all begin alike.
-func First(fleetName string, voters []fleet.Voter) Kept {
+func InitialState(fleetName string, voters []fleet.Voter) PersistedState {
 	conf := &pb.ConfState{}
 	for _, v := range voters {
-		conf.Voters = append(conf.Voters, v.Seat)
+		conf.Voters = append(conf.Voters, v.RaftID)
 	}
 	slices.Sort(conf.Voters)
-	return Kept{Hard: &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)},
+	return PersistedState{HardState: &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)},
 		Snapshot: &pb.Snapshot{Data: fleet.NewState(fleetName, voters...).Snapshot(),
 			Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}}
 }
 
 // Blank is what a voter begins with that was given a new seat: all it knows comes from the others.
-func Blank(fleetName string) Kept {
-	return Kept{Hard: &pb.HardState{}, Snapshot: &pb.Snapshot{Data: fleet.NewState(fleetName).Snapshot(), Metadata: &pb.SnapshotMetadata{}}}
+func EmptyState(fleetName string) PersistedState {
+	return PersistedState{HardState: &pb.HardState{}, Snapshot: &pb.Snapshot{Data: fleet.NewState(fleetName).Snapshot(), Metadata: &pb.SnapshotMetadata{}}}
 }
 
 // Message is one for another voter.
 type Message struct {
-	To   uint64
-	Data []byte
-	Snap bool // SnapshotSent is to be told of it
-	lead bool // it is a leader's word
+	To         uint64
+	Data       []byte
+	IsSnapshot bool // SnapshotSent is to be told of it
+	lead       bool // it is a leader's word
 }
 
 // beat is one that waits for the word that this voter still leads; or a reading that does.
 type beat struct {
-	b        fleet.Beat
+	b        fleet.Heartbeat
 	received float64
-	answer   func(fleet.Renewal, error)
+	answer   func(fleet.LeaseRenewal, error)
 	read     func(error) // in place of the others
 }
 
@@ -102,7 +102,7 @@
 
 // Core is one voter. Not for use from several goroutines at once.
 type Core struct {
-	f        fleet.Figures
+	f        fleet.Timing
 	id       uint64
 	rn       *raft.RawNode
 	mem      *raft.MemoryStorage
@@ -113,8 +113,8 @@
 	applied  uint64
 	saved    uint64 // index of the last snapshot
 	recent   []fleet.Entry
-	before   fleet.Digest // of the history before the first of them
-	book     *fleet.Book  // the leader's; nil: it does not lead
+	before   fleet.Digest        // of the history before the first of them
+	book     *fleet.LeaseManager // the leader's; nil: it does not lead
 	lead     uint64
 	deadline float64 // without a leader's word by then, it campaigns
 	heard    float64 // the leader's last word
@@ -154,7 +154,7 @@
 func (quiet) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
 // NewCore takes up what the store had kept.
-func NewCore(f fleet.Figures, id uint64, kept Kept, store Store, seed uint64, now float64) (c *Core, err error) {
+func NewCore(f fleet.Timing, id uint64, kept PersistedState, store Store, seed uint64, now float64) (c *Core, err error) {
 	c = &Core{f: f, id: id, mem: raft.NewMemoryStorage(), store: store, rnd: rand.New(rand.NewPCG(seed, id)),
 		voices: map[uint64]float64{}, pending: map[string][]command{}, heard: now - 10*electionLeast}
 	defer c.guard(&err)
@@ -167,7 +167,7 @@
 			return nil, fmt.Errorf("voter's snapshot: %w", err)
 		}
 	}
-	if err = c.mem.SetHardState(kept.Hard); err != nil {
+	if err = c.mem.SetHardState(kept.HardState); err != nil {
 		return nil, fmt.Errorf("voter's promise: %w", err)
 	}
 	if err = c.mem.Append(kept.Entries); err != nil {
@@ -192,7 +192,7 @@
 func (c *Core) guard(err *error) {
 	if v := recover(); v != nil {
 		c.dead = true
-		c.fault = fmt.Errorf("%w: %v", ErrFailed, v)
+		c.fault = fmt.Errorf("%w: %v", ErrVoterFailed, v)
 		c.drop()
 		if err != nil {
 			*err = c.fault
@@ -206,7 +206,7 @@
 func (c *Core) leads() bool { return c.book != nil }
 
 // Step does what is due and returns the time by which it must be called again.
-func (c *Core) Step(now float64) float64 {
+func (c *Core) Tick(now float64) float64 {
 	defer c.guard(nil)
 	if c.dead {
 		return now + retryStore
@@ -220,7 +220,7 @@
 	}
 	switch {
 	case c.leads() && now >= c.tickAt:
-		c.tickAt = now + HeartbeatEvery
+		c.tickAt = now + HeartbeatInterval
 		c.rn.Tick()
 		c.seat()
 	case !c.leads() && now >= c.deadline:
@@ -251,15 +251,15 @@
 	}
 	wanted := map[uint64]bool{}
 	for _, v := range c.state.Voters() {
-		wanted[v.Seat] = true
-		if !slices.Contains(c.conf.GetVoters(), v.Seat) {
-			_ = c.rn.ProposeConfChange(&pb.ConfChange{Type: pb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(v.Seat)}) // or with the next tick
+		wanted[v.RaftID] = true
+		if !slices.Contains(c.conf.GetVoters(), v.RaftID) {
+			_ = c.rn.ProposeConfChange(&pb.ConfChange{Type: pb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(v.RaftID)}) // or with the next tick
 			return
 		}
 	}
 	for _, id := range c.conf.GetVoters() {
 		if !wanted[id] && id == c.id {
-			c.rn.TransferLeader(c.state.Voters()[0].Seat) // who then removes this one
+			c.rn.TransferLeader(c.state.Voters()[0].RaftID) // who then removes this one
 			return
 		}
 		if !wanted[id] {
@@ -328,7 +328,7 @@
 }
 
 // SnapshotSent tells what became of a message with a snapshot.
-func (c *Core) SnapshotSent(now float64, to uint64, ok bool) {
+func (c *Core) ReportSnapshot(now float64, to uint64, ok bool) {
 	defer c.guard(nil)
 	if c.dead || c.held != nil {
 		return
@@ -351,29 +351,29 @@
 	case !c.leads():
 		done(fleet.Result{}, ErrNotLeader)
 		return
-	case x.Request == "":
+	case x.RequestID == "":
 		done(fleet.Result{}, fmt.Errorf("%w: a request needs a number", fleet.ErrRefused))
 		return
 	}
 	if err := c.rn.Propose(fleet.Encode(x)); err != nil {
-		done(fleet.Result{}, fmt.Errorf("%w: %w", ErrUnsure, err))
+		done(fleet.Result{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
 		return
 	}
-	c.pending[x.Request] = append(c.pending[x.Request], command{x, done})
+	c.pending[x.RequestID] = append(c.pending[x.RequestID], command{x, done})
 	c.run(now)
 }
 
 // Beat takes a member's. Answer is called once, after a majority has said that this voter leads.
-func (c *Core) Beat(now float64, b fleet.Beat, answer func(fleet.Renewal, error)) {
+func (c *Core) Heartbeat(now float64, b fleet.Heartbeat, answer func(fleet.LeaseRenewal, error)) {
 	if c.dead || !c.leads() {
-		answer(fleet.Renewal{}, ErrNotLeader)
+		answer(fleet.LeaseRenewal{}, ErrNotLeader)
 		return
 	}
 	c.waiting = append(c.waiting, beat{b: b, received: now, answer: answer})
 }
 
 // Read has something done once a majority has said that this voter leads, so that it sees all that was answered before.
-func (c *Core) Read(now float64, read func(error)) {
+func (c *Core) ReadIndex(now float64, read func(error)) {
 	if c.dead || !c.leads() {
 		read(ErrNotLeader)
 		return
@@ -383,7 +383,7 @@
 
 // Take gives the messages to be sent. A leader that hears no majority says nothing as one for a while: so others find another
 // one, even where they hear it. It answers them still: with other voters down, theirs may be the last votes that make a majority.
-func (c *Core) Take(now float64) (out []Message) {
+func (c *Core) TakeMessages(now float64) (out []Message) {
 	out, c.out = c.out, nil
 	if c.dead {
 		return nil
@@ -400,7 +400,7 @@
 }
 
 // Moved tells, once, whether the history went on.
-func (c *Core) Moved() (moved bool) {
+func (c *Core) HistoryChanged() (moved bool) {
 	moved, c.moved = c.moved, false
 	return moved
 }
@@ -415,7 +415,7 @@
 		rd := c.held
 		if rd.HardState != nil || len(rd.Entries) > 0 || !raft.IsEmptySnap(rd.Snapshot) {
 			if err := c.store.Save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
-				c.fault, c.retryAt = fmt.Errorf("%w: %w", ErrFailed, err), now+retryStore
+				c.fault, c.retryAt = fmt.Errorf("%w: %w", ErrVoterFailed, err), now+retryStore
 				c.drop()
 				return
 			}
@@ -455,7 +455,7 @@
 		if err != nil {
 			panic(err) // of its own
 		}
-		c.out = append(c.out, Message{To: m.GetTo(), Data: data, Snap: m.GetType() == pb.MsgSnap,
+		c.out = append(c.out, Message{To: m.GetTo(), Data: data, IsSnapshot: m.GetType() == pb.MsgSnap,
 			lead: slices.Contains([]pb.MessageType{pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap}, m.GetType())})
 	}
 	for _, e := range rd.CommittedEntries {
@@ -479,7 +479,7 @@
 	leads := s.RaftState == raft.StateLeader
 	switch {
 	case leads && c.book == nil:
-		c.book, c.tickAt = fleet.NewBook(c.f, now), now
+		c.book, c.tickAt = fleet.NewLeaseManager(c.f, now), now
 		for _, id := range c.conf.GetVoters() {
 			c.voices[id] = now
 		}
@@ -495,7 +495,7 @@
 	c.pending = map[string][]command{}
 	for _, request := range sorted(pending) {
 		for _, x := range pending[request] {
-			x.done(fleet.Result{}, ErrUnsure)
+			x.done(fleet.Result{}, ErrOutcomeUnknown)
 		}
 	}
 	c.refuse(c.asked)
@@ -509,7 +509,7 @@
 			b.read(ErrNotLeader)
 			continue
 		}
-		b.answer(fleet.Renewal{}, ErrNotLeader)
+		b.answer(fleet.LeaseRenewal{}, ErrNotLeader)
 	}
 }
 
@@ -539,13 +539,13 @@
 		c.moved = true
 		if c.recent = append(c.recent, *entry); len(c.recent) > 2*keepRecent {
 			c.recent = slices.Clone(c.recent[keepRecent:])
-			c.before = c.recent[0].Prev
+			c.before = c.recent[0].PrevDigest
 		}
 	}
-	for _, p := range c.pending[x.Request] {
+	for _, p := range c.pending[x.RequestID] {
 		p.done(result, err)
 	}
-	delete(c.pending, x.Request)
+	delete(c.pending, x.RequestID)
 }
 
 // answer answers the beats that were asked for, once a majority has confirmed and all before that is applied.
@@ -560,7 +560,7 @@
 			b.read(nil)
 			continue
 		}
-		r, unknown := c.book.Beat(b.received, b.b, c.state)
+		r, unknown := c.book.Heartbeat(b.received, b.b, c.state)
 		if unknown {
 			c.admit(b)
 			continue
@@ -571,16 +571,16 @@
 
 // admit has a member in the history before it can have a lease; it is to beat again.
 func (c *Core) admit(b beat) {
-	x := fleet.Command{Kind: fleet.Admitted, Request: "admit " + b.b.Run + " " + b.b.Address, By: b.b.Member, Member: b.b.Member, Address: b.b.Address, Alone: b.b.Alone, Run: b.b.Run}
+	x := fleet.Command{Kind: fleet.AdmitMember, RequestID: "admit " + b.b.RunID + " " + b.b.Address, RequestedBy: b.b.Member, Member: b.b.Member, Address: b.b.Address, IsolationPolicy: b.b.IsolationPolicy, RunID: b.b.RunID}
 	if k := len(b.b.Runs) - 1; k >= 0 {
-		x.At, x.Began = b.b.Runs[k].Saved, b.b.Runs[k].Began
+		x.IssuedAt, x.RunStartedAt = b.b.Runs[k].KnownUntil, b.b.Runs[k].StartedAt
 	}
-	if len(c.pending[x.Request]) == 0 {
+	if len(c.pending[x.RequestID]) == 0 {
 		if c.rn.Propose(fleet.Encode(x)) == nil {
-			c.pending[x.Request] = []command{{x, func(fleet.Result, error) {}}}
+			c.pending[x.RequestID] = []command{{x, func(fleet.Result, error) {}}}
 		}
 	}
-	b.answer(fleet.Renewal{Newest: c.state.Newest(), Fenced: c.state.Fenced(), Why: "being admitted", Again: HeartbeatEvery}, nil)
+	b.answer(fleet.LeaseRenewal{NewestVersion: c.state.NewestVersion(), FencedVersion: c.state.FencedVersion(), Reason: "being admitted", RetryAfter: HeartbeatInterval}, nil)
 }
 
 // compact keeps a snapshot in place of old entries.
@@ -601,12 +601,12 @@
 
 // Entries gives what comes after n in the history, or the whole state where that is not kept any longer. Nothing: there
 // is nothing newer. Fork: the digest shows that the asker's history up to n is another one.
-func (c *Core) Entries(n uint64, digest fleet.Digest) (entries []fleet.Entry, snapshot []byte, fork bool) {
-	first := c.state.N() - uint64(len(c.recent))
+func (c *Core) EntriesAfter(n uint64, digest fleet.Digest) (entries []fleet.Entry, snapshot []byte, fork bool) {
+	first := c.state.LastSeq() - uint64(len(c.recent))
 	switch {
-	case n > c.state.N(): // this voter is behind itself
+	case n > c.state.LastSeq(): // this voter is behind itself
 		return nil, nil, false
-	case n == 0 && c.state.N() == 0:
+	case n == 0 && c.state.LastSeq() == 0:
 		return nil, nil, false
 	case n < first || n == 0: // one that knows nothing does not know the first voters either
 		return nil, c.state.Snapshot(), false
@@ -622,10 +622,10 @@
 func (c *Core) State() *fleet.State { return c.state }
 
 // Book is the leader's; nil: this voter does not lead.
-func (c *Core) Book() *fleet.Book { return c.book }
+func (c *Core) Leases() *fleet.LeaseManager { return c.book }
 
 // Lead is the voter that leads as far as is known here, 0 for none.
-func (c *Core) Lead() uint64 { return c.lead }
+func (c *Core) Leader() uint64 { return c.lead }
 
 // Fault is why it does not vote; nil: it does.
 func (c *Core) Fault() error { return c.fault }
--- a/internal/council/core_test.go
+++ b/internal/consensus/core_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"errors"
@@ -12,11 +12,11 @@
 	"weldmast/internal/fleet"
 )
 
-var figures = fleet.Figures{Beat: 250, Lease: 1000, Drift: 0.01}
+var figures = fleet.Timing{Beat: 250, Lease: 1000, Drift: 0.01}
 
 // memory is a store that may fail.
 type memory struct {
-	kept  Kept
+	kept  PersistedState
 	fails bool
 }
 
@@ -30,7 +30,7 @@
 		m.kept.Snapshot, m.kept.Entries = snapshot, nil
 	}
 	if hard != nil {
-		m.kept.Hard = hard
+		m.kept.HardState = hard
 	}
 	if len(entries) > 0 {
 		first := entries[0].GetIndex()
@@ -86,14 +86,14 @@
 	p := &play{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), ids: map[uint64]int{}, cut: map[[2]int]bool{}, jitter: 10}
 	for k := range n {
 		p.names = append(p.names, fmt.Sprint("v", k))
-		p.ids[FirstSeat("f", p.names[k])] = k
+		p.ids[InitialRaftID("f", p.names[k])] = k
 	}
 	var voters []fleet.Voter
 	for _, name := range p.names {
-		voters = append(voters, fleet.Voter{Name: name, Address: name, Seat: FirstSeat("f", name)})
+		voters = append(voters, fleet.Voter{Name: name, Address: name, RaftID: InitialRaftID("f", name)})
 	}
 	for range n {
-		p.stores = append(p.stores, &memory{kept: First("f", voters)})
+		p.stores = append(p.stores, &memory{kept: InitialState("f", voters)})
 		p.cores = append(p.cores, nil)
 	}
 	for k := range n {
@@ -103,7 +103,7 @@
 }
 
 func (p *play) start(k int) {
-	c, err := NewCore(figures, FirstSeat("f", p.names[k]), p.stores[k].kept, p.stores[k], p.rnd.Uint64(), p.now)
+	c, err := NewCore(figures, InitialRaftID("f", p.names[k]), p.stores[k].kept, p.stores[k], p.rnd.Uint64(), p.now)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -130,8 +130,8 @@
 			p.wire = append(p.wire, f)
 		} else if c := p.cores[f.to]; c != nil && !p.cut[[2]int{f.from, f.to}] {
 			c.Receive(p.now, f.m.Data)
-			if f.m.Snap && p.cores[f.from] != nil {
-				p.cores[f.from].SnapshotSent(p.now, f.m.To, true)
+			if f.m.IsSnapshot && p.cores[f.from] != nil {
+				p.cores[f.from].ReportSnapshot(p.now, f.m.To, true)
 			}
 		}
 	}
@@ -139,8 +139,8 @@
 		if c == nil {
 			continue
 		}
-		c.Step(p.now)
-		for _, m := range c.Take(p.now) {
+		c.Tick(p.now)
+		for _, m := range c.TakeMessages(p.now) {
 			if p.rnd.Float64() >= p.lost {
 				p.wire = append(p.wire, flying{p.now + 1 + p.jitter*p.rnd.Float64(), k, p.ids[m.To], m})
 			}
@@ -158,13 +158,13 @@
 }
 
 func publish(request, text string) fleet.Command {
-	return fleet.Command{Kind: fleet.Published, Request: request, Text: []byte(text)}
+	return fleet.Command{Kind: fleet.PublishVersion, RequestID: request, Text: []byte(text)}
 }
 
 // same tells whether all that live have the same history up to n.
 func (p *play) same(n uint64) bool {
 	for _, c := range p.cores {
-		if c != nil && (c.state.N() < n || c.state.Digest() != p.leaderOr(c).state.Digest()) {
+		if c != nil && (c.state.LastSeq() < n || c.state.Digest() != p.leaderOr(c).state.Digest()) {
 			return false
 		}
 	}
@@ -182,7 +182,7 @@
 func (p *play) ask(c fleet.Command) (got fleet.Result) {
 	p.t.Helper()
 	answered, open := false, false
-	p.until(20000, "an answer to "+c.Request, func() bool {
+	p.until(20000, "an answer to "+c.RequestID, func() bool {
 		if l := p.leader(); !answered && !open && l != nil {
 			open = true
 			l.Propose(p.now, c, func(r fleet.Result, err error) {
@@ -213,7 +213,7 @@
 			}
 		}
 		got := p.ask(publish("r1", "{}"))
-		if again := p.ask(publish("r1", "{}")); got.Version != 1 || again.Version != 1 || !again.Again {
+		if again := p.ask(publish("r1", "{}")); got.Version != 1 || again.Version != 1 || !again.Duplicate {
 			t.Fatalf("seed %d: one request became %+v and %+v (first %v)", seed, got, again, first)
 		}
 		for k, c := range p.cores {
@@ -272,15 +272,15 @@
 			p.cut[[2]int{k, cut}], p.cut[[2]int{cut, k}] = true, true
 			p.cut[[2]int{k, still}] = true
 		}
-		l.Propose(p.now, fleet.Command{Kind: fleet.Admitted, Request: "m", Member: "m", Address: "m", Alone: fleet.Stop, Run: "r"}, func(fleet.Result, error) {})
+		l.Propose(p.now, fleet.Command{Kind: fleet.AdmitMember, RequestID: "m", Member: "m", Address: "m", IsolationPolicy: fleet.StopWhenIsolated, RunID: "r"}, func(fleet.Result, error) {})
 		p.until(2000, "the member", func() bool { _, known := l.state.Member("m"); return known })
 		sent, answered, late := 0, 0, 0.
 		for end := p.now + 1000; p.now < end; {
 			for range each {
 				began := p.now
 				sent++
-				l.Beat(p.now, fleet.Beat{Fleet: "f", Format: fleet.Format, Member: "m", Address: "m", Run: "r", Alone: fleet.Stop, Lease: figures.Lease, Drift: figures.Drift},
-					func(r fleet.Renewal, err error) {
+				l.Heartbeat(p.now, fleet.Heartbeat{Fleet: "f", Format: fleet.FormatVersion, Member: "m", Address: "m", RunID: "r", IsolationPolicy: fleet.StopWhenIsolated, Lease: figures.Lease, Drift: figures.Drift},
+					func(r fleet.LeaseRenewal, err error) {
 						if err != nil || r.Granted == 0 {
 							t.Errorf("%+v %v", r, err)
 						}
@@ -303,7 +303,7 @@
 		}
 	}
 	t.Logf("messages of the leader by beats in 5 ms: %v", told)
-	if told[20] > told[1]*5/4 || told[1] > 4*(1000/readEvery+1000/HeartbeatEvery+5) {
+	if told[20] > told[1]*5/4 || told[1] > 4*(1000/readEvery+1000/HeartbeatInterval+5) {
 		t.Errorf("messages of the leader by beats in 5 ms: %v", told)
 	}
 }
@@ -354,10 +354,10 @@
 				if c == nil {
 					continue
 				}
-				if d, ok := digests[c.state.N()]; ok && d != c.state.Digest() {
-					t.Fatalf("seed %d at %.0f: two histories up to %d", seed, p.now, c.state.N())
+				if d, ok := digests[c.state.LastSeq()]; ok && d != c.state.Digest() {
+					t.Fatalf("seed %d at %.0f: two histories up to %d", seed, p.now, c.state.LastSeq())
 				}
-				digests[c.state.N()] = c.state.Digest()
+				digests[c.state.LastSeq()] = c.state.Digest()
 			}
 		}
 		clear(p.cut)
--- a/internal/council/store.go
+++ b/internal/consensus/disk_store.go
@@ -2,7 +2,7 @@
 // overrule earlier ones. It must never give back anything that was not written whole: each record has a checksum, and a
 // seal follows each group, so that a record that was spoilt is told from one that a crash cut short.
 
-package council
+package consensus
 
 import (
 	"encoding/binary"
@@ -43,7 +43,7 @@
 )
 
 // ErrDamaged: the folder is not as it was written.
-var ErrDamaged = errors.New("the voter's folder is damaged")
+var ErrCorrupt = errors.New("the voter's folder is damaged")
 
 // other is what another voter was heard to have begun.
 type other struct {
@@ -57,7 +57,7 @@
 	starts uint64
 	seat   uint64
 	others map[string]other
-	Kept
+	PersistedState
 	parts []byte // of a snapshot that is being read
 }
 
@@ -69,50 +69,50 @@
 }
 
 // Disk is a voter's folder. It holds the folder for this process until it is closed.
-type Disk struct {
+type DiskStore struct {
 	l *ledger.Ledger
 	image
 }
 
 // Folder is that of a voter within its member's.
-const Folder = "voter"
+const DirName = "voter"
 
 // OpenDisk opens a folder, made by who first votes there. Fresh: nobody ever voted there. A damaged one is an error.
-func OpenDisk(dir, who string) (d *Disk, kept Kept, starts uint64, fresh bool, err error) {
-	dir = filepath.Join(dir, Folder)
+func OpenDiskStore(dir, who string) (d *DiskStore, kept PersistedState, starts uint64, fresh bool, err error) {
+	dir = filepath.Join(dir, DirName)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, kept, 0, false, fmt.Errorf("voter's folder: %w", err)
 	}
-	d = &Disk{image: empty()}
+	d = &DiskStore{image: empty()}
 	r := reader{image: &d.image}
 	d.l, err = ledger.Open(ledger.Disk{}, dir, ledger.Options{SegmentBytes: segmentBytes, MostSegments: mostSegments}, r.record)
 	if errors.Is(err, ledger.ErrDamage) {
-		err = fmt.Errorf("%w: %w", ErrDamaged, err)
+		err = fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if err != nil {
 		return nil, kept, 0, false, fmt.Errorf("voter's folder: %w", err)
 	}
 	switch {
 	case !r.whole && r.seen: // its beginning is gone
-		err = fmt.Errorf("%w: it has no beginning", ErrDamaged)
+		err = fmt.Errorf("%w: it has no beginning", ErrCorrupt)
 	case !r.whole:
 		return d, kept, 0, true, nil
 	case d.who != who:
 		err = fmt.Errorf("the folder is that of the voter %q, this is %q", d.who, who)
-	case d.Hard.GetCommit() > d.last():
-		err = fmt.Errorf("%w: it ends at %d, %d was promised", ErrDamaged, d.last(), d.Hard.GetCommit())
+	case d.HardState.GetCommit() > d.last():
+		err = fmt.Errorf("%w: it ends at %d, %d was promised", ErrCorrupt, d.last(), d.HardState.GetCommit())
 	}
 	if err != nil {
 		d.l.Close()
 		return nil, kept, 0, false, err
 	}
-	kept = d.Kept
+	kept = d.PersistedState
 	kept.Entries = slices.Clone(d.Entries)
 	return d, kept, d.image.starts, false, nil
 }
 
 func empty() image {
-	return image{others: map[string]other{}, Kept: Kept{Hard: &pb.HardState{}, Snapshot: &pb.Snapshot{}}}
+	return image{others: map[string]other{}, PersistedState: PersistedState{HardState: &pb.HardState{}, Snapshot: &pb.Snapshot{}}}
 }
 
 // reader makes an image of records.
@@ -125,7 +125,7 @@
 
 func (r *reader) record(rec ledger.Record) error {
 	if len(rec.Content) == 0 {
-		return fmt.Errorf("%w: an empty record", ErrDamaged)
+		return fmt.Errorf("%w: an empty record", ErrCorrupt)
 	}
 	r.seen = true
 	kind, b := rec.Content[0], rec.Content[1:]
@@ -156,7 +156,7 @@
 func (m *image) take(kind byte, b []byte) error {
 	number := func() (uint64, error) {
 		if len(b) < 8 {
-			return 0, fmt.Errorf("%w: a record of kind %c ends early", ErrDamaged, kind)
+			return 0, fmt.Errorf("%w: a record of kind %c ends early", ErrCorrupt, kind)
 		}
 		n := binary.BigEndian.Uint64(b)
 		b = b[8:]
@@ -177,13 +177,13 @@
 		}
 		run, err := number()
 		if err != nil || run > uint64(len(b)) {
-			return errors.Join(ErrDamaged, err)
+			return errors.Join(ErrCorrupt, err)
 		}
 		o.run = string(b[:run])
 		m.others[string(b[run:])] = o
 	case recHard:
-		m.Hard = &pb.HardState{}
-		err = proto.Unmarshal(b, m.Hard)
+		m.HardState = &pb.HardState{}
+		err = proto.Unmarshal(b, m.HardState)
 	case recSnapshot:
 		part, err := number()
 		if err != nil {
@@ -205,7 +205,7 @@
 	case recEntry:
 		e := &pb.Entry{}
 		if err := proto.Unmarshal(b, e); err != nil {
-			return fmt.Errorf("%w: %w", ErrDamaged, err)
+			return fmt.Errorf("%w: %w", ErrCorrupt, err)
 		}
 		return m.append(e)
 	default:
@@ -222,7 +222,7 @@
 	}
 	k := e.GetIndex() - first
 	if k > uint64(len(m.Entries)) {
-		return fmt.Errorf("%w: entry %d stands where %d should", ErrDamaged, e.GetIndex(), first+uint64(len(m.Entries)))
+		return fmt.Errorf("%w: entry %d stands where %d should", ErrCorrupt, e.GetIndex(), first+uint64(len(m.Entries)))
 	}
 	m.Entries = append(m.Entries[:k:k], e)
 	return nil
@@ -244,7 +244,7 @@
 }
 
 // write makes records durable, sealed; then next is what the folder says.
-func (d *Disk) write(next image, records ...[]byte) error {
+func (d *DiskStore) write(next image, records ...[]byte) error {
 	if _, err := d.l.Append(append(records, []byte{recSeal})...); err != nil {
 		return fmt.Errorf("voter's folder: %w", err)
 	}
@@ -253,7 +253,7 @@
 }
 
 // whole writes all that an image says.
-func (d *Disk) whole(next image) error {
+func (d *DiskStore) whole(next image) error {
 	records := [][]byte{{recBegin}, append([]byte{recWho}, next.who...), numbered(recStarts, next.starts), numbered(recSeat, next.seat)}
 	for _, name := range slices.Sorted(maps.Keys(next.others)) {
 		records = append(records, next.others[name].record(name))
@@ -267,7 +267,7 @@
 		head := binary.BigEndian.AppendUint64(numbered(recSnapshot, uint64(k)), uint64(of))
 		records = append(records, append(head, text[min(k*snapshotPart, len(text)):min((k+1)*snapshotPart, len(text))]...))
 	}
-	hard, err := encoded(recHard, next.Hard)
+	hard, err := encoded(recHard, next.HardState)
 	if err != nil {
 		return err
 	}
@@ -283,21 +283,21 @@
 }
 
 // Found begins a fresh folder.
-func (d *Disk) Found(who string, first Kept) error {
+func (d *DiskStore) Init(who string, first PersistedState) error {
 	next := empty()
-	next.who, next.Kept = who, first
+	next.who, next.PersistedState = who, first
 	return d.whole(next)
 }
 
 // Started notes one more start.
-func (d *Disk) Started(starts uint64) error {
+func (d *DiskStore) RecordStart(starts uint64) error {
 	next := d.image
 	next.starts = starts
 	return d.write(next, numbered(recStarts, starts))
 }
 
 // Seen notes a start of another voter, and gives the starts known before that are not of the same run.
-func (d *Disk) Seen(voter string, count uint64, run string) (known uint64, err error) {
+func (d *DiskStore) RecordPeerStart(voter string, count uint64, run string) (known uint64, err error) {
 	o := d.others[voter]
 	if known = o.starts; known > 0 && o.run == run {
 		known--
@@ -312,21 +312,21 @@
 }
 
 // Seat is the number of this voter that the folder keeps; 0: its first one.
-func (d *Disk) Seat() uint64 { return d.seat }
+func (d *DiskStore) RaftID() uint64 { return d.seat }
 
 // Reseat keeps a new number.
-func (d *Disk) Reseat(seat uint64) error {
+func (d *DiskStore) SetRaftID(seat uint64) error {
 	next := d.image
 	next.seat = seat
 	return d.write(next, numbered(recSeat, seat))
 }
 
 // Save is of a Store: durable when it returns.
-func (d *Disk) Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
+func (d *DiskStore) Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	next := d.image
 	var records [][]byte
 	if hard != nil {
-		next.Hard = hard
+		next.HardState = hard
 		b, err := encoded(recHard, hard)
 		if err != nil {
 			return err
@@ -354,7 +354,7 @@
 }
 
 // Compact is of a Store. What the snapshot covers is left out; the folder needs none of it, however far a follower is behind.
-func (d *Disk) Compact(snapshot *pb.Snapshot, _ uint64) error {
+func (d *DiskStore) Compact(snapshot *pb.Snapshot, _ uint64) error {
 	next := d.image
 	next.Snapshot = snapshot
 	next.Entries = nil
@@ -367,4 +367,4 @@
 }
 
 // Close lets the folder go.
-func (d *Disk) Close() error { return d.l.Close() }
+func (d *DiskStore) Close() error { return d.l.Close() }
--- a/internal/council/store_test.go
+++ b/internal/consensus/disk_store_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 // TestDisk: what was saved is there at the next start, an overruled suffix is not.
 func TestDisk(t *testing.T) {
 	dir := t.TempDir()
-	d, _, _, fresh, err := OpenDisk(dir, "v")
+	d, _, _, fresh, err := OpenDiskStore(dir, "v")
 	if err != nil || !fresh {
 		t.Fatal(fresh, err)
 	}
@@ -30,10 +30,10 @@
 			t.Fatal(err)
 		}
 	}
-	check(d.Found("v", First("f", []fleet.Voter{{Name: "v", Address: "a", Seat: 9}})), d.Started(1),
+	check(d.Init("v", InitialState("f", []fleet.Voter{{Name: "v", Address: "a", RaftID: 9}})), d.RecordStart(1),
 		d.Save(&pb.HardState{Term: proto.Uint64(2), Vote: proto.Uint64(9), Commit: proto.Uint64(2)}, []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}, nil),
 		d.Save(nil, []*pb.Entry{entry(3, 3, "other")}, nil))
-	if known, err := d.Seen("w", 3, "run"); err != nil || known != 0 {
+	if known, err := d.RecordPeerStart("w", 3, "run"); err != nil || known != 0 {
 		t.Error(known, err)
 	}
 	for _, c := range []struct {
@@ -41,17 +41,17 @@
 		run    string
 		want   uint64
 	}{{3, "run", 2}, {3, "copy", 3}, {4, "next", 3}, {0, "empty", 4}} { // the same start again; an older folder; the next; an empty one
-		if known, err := d.Seen("w", c.starts, c.run); err != nil || known != c.want {
+		if known, err := d.RecordPeerStart("w", c.starts, c.run); err != nil || known != c.want {
 			t.Errorf("%+v: known %d, %v", c, known, err)
 		}
 	}
 	check(d.Close())
-	d, kept, starts, fresh, err := OpenDisk(dir, "v")
-	if err != nil || fresh || starts != 1 || kept.Hard.GetTerm() != 2 || kept.Hard.GetVote() != 9 || len(kept.Entries) != 2 || string(kept.Entries[1].GetData()) != "other" {
+	d, kept, starts, fresh, err := OpenDiskStore(dir, "v")
+	if err != nil || fresh || starts != 1 || kept.HardState.GetTerm() != 2 || kept.HardState.GetVote() != 9 || len(kept.Entries) != 2 || string(kept.Entries[1].GetData()) != "other" {
 		t.Fatalf("%v %v %d %+v", err, fresh, starts, kept)
 	}
 	check(d.Close())
-	if _, _, _, _, err := OpenDisk(dir, "w"); err == nil {
+	if _, _, _, _, err := OpenDiskStore(dir, "w"); err == nil {
 		t.Error("another voter's folder is taken")
 	}
 }
@@ -59,18 +59,18 @@
 // TestCompacted: a folder that was compacted, a start after it, and a snapshot larger than one record.
 func TestCompacted(t *testing.T) {
 	dir := t.TempDir()
-	d, _, _, _, err := OpenDisk(dir, "v")
+	d, _, _, _, err := OpenDiskStore(dir, "v")
 	if err != nil {
 		t.Fatal(err)
 	}
 	big := &pb.Snapshot{Data: bytes.Repeat([]byte("x"), 3*snapshotPart/2), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(3), Term: proto.Uint64(2)}}
-	if err := errors.Join(d.Found("v", First("f", []fleet.Voter{{Name: "v", Address: "a", Seat: 9}})), d.Reseat(5),
+	if err := errors.Join(d.Init("v", InitialState("f", []fleet.Voter{{Name: "v", Address: "a", RaftID: 9}})), d.SetRaftID(5),
 		d.Save(&pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(2)}, []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}, nil),
 		d.Compact(big, 1), d.Save(nil, []*pb.Entry{entry(5, 2, "d")}, nil), d.Close()); err != nil {
 		t.Fatal(err)
 	}
-	d, kept, _, _, err := OpenDisk(dir, "v")
-	if err != nil || d.Seat() != 5 || len(kept.Snapshot.GetData()) != len(big.GetData()) || len(kept.Entries) != 2 || kept.Entries[1].GetIndex() != 5 {
+	d, kept, _, _, err := OpenDiskStore(dir, "v")
+	if err != nil || d.RaftID() != 5 || len(kept.Snapshot.GetData()) != len(big.GetData()) || len(kept.Entries) != 2 || kept.Entries[1].GetIndex() != 5 {
 		t.Fatalf("%v %+v", err, kept.Entries)
 	}
 	// Thousands of entries: the oldest segments go, the whole stays.
@@ -89,11 +89,11 @@
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
-	d, kept, _, _, err = OpenDisk(dir, "v")
+	d, kept, _, _, err = OpenDiskStore(dir, "v")
 	if err != nil || kept.Entries[len(kept.Entries)-1].GetIndex() != 3999 {
 		t.Fatal(err)
 	}
-	if segments, err := os.ReadDir(filepath.Join(dir, Folder)); err != nil || len(segments) > mostSegments+2 {
+	if segments, err := os.ReadDir(filepath.Join(dir, DirName)); err != nil || len(segments) > mostSegments+2 {
 		t.Errorf("%d files: %v", len(segments), err)
 	}
 	d.Close()
@@ -102,15 +102,15 @@
 // TestFlipped: a bit turned round in a folder is found, or changes nothing that was promised.
 func TestFlipped(t *testing.T) {
 	dir := t.TempDir()
-	d, _, _, _, err := OpenDisk(dir, "v")
+	d, _, _, _, err := OpenDiskStore(dir, "v")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(d.Found("v", First("f", []fleet.Voter{{Name: "v", Address: "a", Seat: 9}})), d.Started(7),
+	if err := errors.Join(d.Init("v", InitialState("f", []fleet.Voter{{Name: "v", Address: "a", RaftID: 9}})), d.RecordStart(7),
 		d.Save(&pb.HardState{Term: proto.Uint64(2), Vote: proto.Uint64(9), Commit: proto.Uint64(2)}, []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b")}, nil), d.Close()); err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(dir, Folder, "0000000001.seg")
+	path := filepath.Join(dir, DirName, "0000000001.seg")
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -122,12 +122,12 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d, k, starts, fresh, err := OpenDisk(dir, "v")
+		d, k, starts, fresh, err := OpenDiskStore(dir, "v")
 		switch {
 		case err != nil:
 			found++
 			continue
-		case fresh || starts != 7 || k.Hard.GetTerm() != 2 || k.Hard.GetVote() != 9 || len(k.Entries) != 2 || string(k.Entries[1].GetData()) != "b":
+		case fresh || starts != 7 || k.HardState.GetTerm() != 2 || k.HardState.GetVote() != 9 || len(k.Entries) != 2 || string(k.Entries[1].GetData()) != "b":
 			t.Errorf("byte %d turned round: %v, %d starts, %+v", at, fresh, starts, k)
 		default:
 			kept++
--- a/internal/council/council.go
+++ b/internal/consensus/node.go
@@ -1,7 +1,7 @@
 // This file owns the goroutine of a voter: it alone calls the core, keeps its time and hands its messages to the links. It
 // must never wait for a link.
 
-package council
+package consensus
 
 import (
 	"context"
@@ -14,22 +14,22 @@
 	"time"
 
 	"weldmast/internal/fleet"
-	"weldmast/internal/fleetlink"
+	"weldmast/internal/fleetrpc"
 )
 
 // Options say which voter this is.
 type Options struct {
-	Fleet   string
-	Name    string
-	Address string
-	Voters  []fleet.Voter // the first council, with addresses; seats are filled in
-	Folder  string
-	Via     map[string]string // where addresses are found from here
-	Figures fleet.Figures
-	Run     string
-	Seed    uint64
-	Clock   func() float64 // milliseconds, goes on through a suspension, never set
-	Unix    func() float64 // the same as Unix time
+	Fleet      string
+	Name       string
+	Address    string
+	Voters     []fleet.Voter // the first council, with addresses; seats are filled in
+	Dir        string
+	AddressMap map[string]string // where addresses are found from here
+	Timing     fleet.Timing
+	RunID      string
+	Seed       uint64
+	Clock      func() float64 // milliseconds, goes on through a suspension, never set
+	UnixTime   func() float64 // the same as Unix time
 }
 
 // Bounds of a voter's goroutine.
@@ -53,15 +53,15 @@
 )
 
 // Council is one voter at work.
-type Council struct {
+type Node struct {
 	o       Options
 	ctx     context.Context
 	stop    context.CancelFunc
 	inbox   chan func()
-	client  *fleetlink.Client
+	client  *fleetrpc.Client
 	running sync.WaitGroup
-	disk    *Disk // nil: there is none; the goroutine's, but for Seen
-	core    *Core // nil: it does not vote
+	disk    *DiskStore // nil: there is none; the goroutine's, but for Seen
+	core    *Core      // nil: it does not vote
 	seat    uint64
 	wants   uint64 // the seat that it asks for
 	peers   map[uint64]*peer
@@ -82,11 +82,11 @@
 }
 
 // Start takes up the folder and votes as soon as it may.
-func Start(o Options) (*Council, error) {
+func Start(o Options) (*Node, error) {
 	for k, v := range o.Voters {
-		o.Voters[k].Seat = FirstSeat(o.Fleet, v.Name)
+		o.Voters[k].RaftID = InitialRaftID(o.Fleet, v.Name)
 	}
-	c := &Council{o: o, inbox: make(chan func(), inboxSize), client: fleetlink.NewClient(o.Fleet, o.Via),
+	c := &Node{o: o, inbox: make(chan func(), inboxSize), client: fleetrpc.NewClient(o.Fleet, o.AddressMap),
 		peers: map[uint64]*peer{}, wake: make(chan struct{}), state: "starting", began: time.Now()}
 	c.ctx, c.stop = context.WithCancel(context.Background())
 	c.running.Go(c.run)
@@ -94,7 +94,7 @@
 }
 
 // Close ends it and lets the folder go.
-func (c *Council) Close() {
+func (c *Node) Close() {
 	c.stop()
 	c.client.Close()
 	c.running.Wait()
@@ -104,13 +104,13 @@
 }
 
 // State says how it votes.
-func (c *Council) State() (string, uint64) {
+func (c *Node) Status() (string, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state, c.wants
 }
 
-func (c *Council) say(state string) {
+func (c *Node) say(state string) {
 	c.mu.Lock()
 	was := c.state
 	c.state = state
@@ -121,7 +121,7 @@
 }
 
 // do has something done on the goroutine; false: it has ended.
-func (c *Council) do(f func()) bool {
+func (c *Node) do(f func()) bool {
 	select {
 	case c.inbox <- f:
 		return true
@@ -130,7 +130,7 @@
 	}
 }
 
-func (c *Council) run() {
+func (c *Node) run() {
 	kept, ok := c.open()
 	if !ok {
 		for { // it answers that it does not vote
@@ -142,7 +142,7 @@
 			}
 		}
 	}
-	core, err := NewCore(c.o.Figures, c.seat, kept, c.disk, c.o.Seed, c.o.Clock())
+	core, err := NewCore(c.o.Timing, c.seat, kept, c.disk, c.o.Seed, c.o.Clock())
 	if err != nil {
 		c.say("does not vote: " + err.Error())
 	}
@@ -153,7 +153,7 @@
 		now := c.o.Clock()
 		at := now + 1000
 		if c.core != nil {
-			at = c.core.Step(now)
+			at = c.core.Tick(now)
 			c.after(now)
 		}
 		timer.Reset(time.Duration(max(at-c.o.Clock(), 1) * 1e6))
@@ -176,11 +176,11 @@
 }
 
 // after sees what a step brought about.
-func (c *Council) after(now float64) {
-	for _, m := range c.core.Take(now) {
+func (c *Node) after(now float64) {
+	for _, m := range c.core.TakeMessages(now) {
 		c.send(m)
 	}
-	if c.core.Moved() {
+	if c.core.HistoryChanged() {
 		c.moves[1].Store(c.moves[0].Load())
 		c.moves[0].Store(int64(time.Since(c.began)))
 		close(c.wake)
@@ -189,28 +189,28 @@
 	switch fault := c.core.Fault(); {
 	case fault != nil:
 		c.say("does not vote: " + fault.Error())
-	case c.core.Book() != nil:
+	case c.core.Leases() != nil:
 		c.say("leads")
-	case c.core.Lead() != 0:
+	case c.core.Leader() != 0:
 		c.say("follows a leader")
 	default:
 		c.say("votes, no leader")
 	}
-	if b := c.core.Book(); b != nil && now >= c.probeAt {
+	if b := c.core.Leases(); b != nil && now >= c.probeAt {
 		c.probeAt = now + probeEvery
-		c.probe(b.Silent(now, c.core.State()))
+		c.probe(b.SilentMembers(now, c.core.State()))
 	}
 }
 
 // probe calls members that should have been heard of, so that a stalled one is told from one that cannot be reached.
-func (c *Council) probe(silent []fleet.Member) {
+func (c *Node) probe(silent []fleet.Member) {
 	for _, m := range silent {
 		if c.probing >= probesMost {
 			return
 		}
 		c.probing++
 		c.running.Go(func() {
-			connects, err := c.client.There(m.Address, probeWithin)
+			connects, err := c.client.Probe(m.Address, probeWithin)
 			what := "its link to the leader, it answers there"
 			switch {
 			case err != nil && connects:
@@ -220,8 +220,8 @@
 			}
 			c.do(func() {
 				c.probing--
-				if c.core != nil && c.core.Book() != nil {
-					c.core.Book().Probed(m.Name, what)
+				if c.core != nil && c.core.Leases() != nil {
+					c.core.Leases().RecordProbe(m.Name, what)
 				}
 			})
 		})
@@ -229,14 +229,14 @@
 }
 
 // open takes up the folder and finds out whether it may vote as the one it was. False: it does not.
-func (c *Council) open() (kept Kept, ok bool) {
-	var disk *Disk
+func (c *Node) open() (kept PersistedState, ok bool) {
+	var disk *DiskStore
 	var runs uint64
 	var fresh bool
 	var err error
 	for { // an older process of this member may still have it
-		disk, kept, runs, fresh, err = OpenDisk(c.o.Folder, c.o.Name)
-		if err == nil || errors.Is(err, ErrDamaged) {
+		disk, kept, runs, fresh, err = OpenDiskStore(c.o.Dir, c.o.Name)
+		if err == nil || errors.Is(err, ErrCorrupt) {
 			break
 		}
 		c.say("waits for its folder: " + err.Error())
@@ -249,14 +249,14 @@
 		return kept, false
 	}
 	c.disk = disk
-	if c.seat = disk.Seat(); c.seat == 0 {
-		c.seat = FirstSeat(c.o.Fleet, c.o.Name)
+	if c.seat = disk.RaftID(); c.seat == 0 {
+		c.seat = InitialRaftID(c.o.Fleet, c.o.Name)
 	}
 	if fresh {
 		return c.found()
 	}
 	runs++
-	if err := disk.Started(runs); err != nil {
+	if err := disk.RecordStart(runs); err != nil {
 		c.say("does not vote: " + err.Error())
 		return kept, false
 	}
@@ -264,7 +264,7 @@
 }
 
 // pause serves the inbox meanwhile; false: it ends.
-func (c *Council) pause(span time.Duration) bool {
+func (c *Node) pause(span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	for {
@@ -282,18 +282,18 @@
 // heard is another voter's answer to a hello.
 type heard struct {
 	voter  string
-	answer fleetlink.HelloAnswer
+	answer fleetrpc.HelloReply
 	err    error
 }
 
 // hello asks voters once; the answers come by the channel.
-func (c *Council) hello(voters []fleet.Voter, starts uint64) <-chan heard {
+func (c *Node) hello(voters []fleet.Voter, starts uint64) <-chan heard {
 	answers := make(chan heard, len(voters))
 	for _, v := range voters {
 		c.running.Go(func() {
-			a, err := c.client.Hello(v.Address, fleetlink.Hello{Voter: c.o.Name, Starts: starts, Run: c.o.Run}, helloWithin)
-			if err == nil && a.Fault != "" {
-				err = errors.New(a.Fault)
+			a, err := c.client.Hello(v.Address, fleetrpc.Hello{Voter: c.o.Name, Starts: starts, RunID: c.o.RunID}, helloWithin)
+			if err == nil && a.Error != "" {
+				err = errors.New(a.Error)
 			}
 			answers <- heard{v.Name, a, err}
 		})
@@ -301,7 +301,7 @@
 	return answers
 }
 
-func (c *Council) others() (all []fleet.Voter) {
+func (c *Node) others() (all []fleet.Voter) {
 	for _, v := range c.o.Voters {
 		if v.Name != c.o.Name {
 			all = append(all, v)
@@ -311,7 +311,7 @@
 }
 
 // round asks those that have not answered yet, and serves the inbox meanwhile. False: it ends.
-func (c *Council) round(left map[string]fleet.Voter, starts uint64, each func(heard)) bool {
+func (c *Node) round(left map[string]fleet.Voter, starts uint64, each func(heard)) bool {
 	var all []fleet.Voter
 	for _, name := range sorted(left) {
 		all = append(all, left[name])
@@ -344,7 +344,7 @@
 
 // found begins with an empty folder. Only if every other voter says that it never heard of this one it votes as the one
 // it is named to be; else its folder was lost with what it had promised, and it asks for a new seat.
-func (c *Council) found() (Kept, bool) {
+func (c *Node) found() (PersistedState, bool) {
 	left := map[string]fleet.Voter{}
 	for _, v := range c.others() {
 		left[v.Name] = v
@@ -355,27 +355,27 @@
 		if !c.round(left, 0, func(h heard) {
 			if h.err == nil {
 				delete(left, h.voter)
-				lost = max(lost, h.answer.Known)
+				lost = max(lost, h.answer.KnownStarts)
 			}
 		}) || len(left) > 0 && lost == 0 && !c.pause(200*time.Millisecond) {
-			return Kept{}, false
+			return PersistedState{}, false
 		}
 	}
-	first := First(c.o.Fleet, c.o.Voters)
+	first := InitialState(c.o.Fleet, c.o.Voters)
 	if lost > 0 {
-		first = Blank(c.o.Fleet)
+		first = EmptyState(c.o.Fleet)
 	}
-	err := c.disk.Found(c.o.Name, first)
+	err := c.disk.Init(c.o.Name, first)
 	if err == nil && lost > 0 {
-		c.seat = FirstSeat(c.o.Fleet, c.o.Name+" "+c.o.Run)
-		err = c.disk.Reseat(c.seat)
+		c.seat = InitialRaftID(c.o.Fleet, c.o.Name+" "+c.o.RunID)
+		err = c.disk.SetRaftID(c.seat)
 	}
 	if err == nil {
-		err = c.disk.Started(1)
+		err = c.disk.RecordStart(1)
 	}
 	if err != nil {
 		c.say("does not vote: " + err.Error())
-		return Kept{}, false
+		return PersistedState{}, false
 	}
 	if lost > 0 {
 		c.mu.Lock()
@@ -389,7 +389,7 @@
 
 // register tells the others of this start. One that knows of as many shows that the folder is older than what this
 // voter has promised.
-func (c *Council) register(runs uint64) bool {
+func (c *Node) register(runs uint64) bool {
 	left := map[string]fleet.Voter{}
 	for _, v := range c.others() {
 		left[v.Name] = v
@@ -399,7 +399,7 @@
 	take := func(h heard) {
 		switch {
 		case h.err != nil:
-		case h.answer.Known >= runs:
+		case h.answer.KnownStarts >= runs:
 			refused = h.voter
 		default:
 			answered++
@@ -426,7 +426,7 @@
 }
 
 // late goes on asking those that did not answer; a word against this voter that comes late still counts.
-func (c *Council) late(left map[string]fleet.Voter, runs uint64) {
+func (c *Node) late(left map[string]fleet.Voter, runs uint64) {
 	for len(left) > 0 {
 		select {
 		case <-c.ctx.Done():
@@ -440,7 +440,7 @@
 		answers := c.hello(all, runs)
 		for range all {
 			if h := <-answers; h.err == nil {
-				if delete(left, h.voter); h.answer.Known >= runs {
+				if delete(left, h.voter); h.answer.KnownStarts >= runs {
 					c.do(func() {
 						c.core = nil
 						c.say("does not vote: its folder is older than what it promised, by the word of " + h.voter)
@@ -453,45 +453,45 @@
 }
 
 // Hello answers another voter that starts.
-func (c *Council) Hello(h fleetlink.Hello) (a fleetlink.HelloAnswer) {
+func (c *Node) HandleHello(h fleetrpc.Hello) (a fleetrpc.HelloReply) {
 	done := make(chan struct{})
 	if !c.do(func() {
 		defer close(done)
 		if c.disk == nil {
-			a.Fault = "no folder yet"
+			a.Error = "no folder yet"
 			return
 		}
-		known, err := c.disk.Seen(h.Voter, h.Starts, h.Run)
-		if a.Known = known; err != nil {
-			a.Fault = err.Error()
+		known, err := c.disk.RecordPeerStart(h.Voter, h.Starts, h.RunID)
+		if a.KnownStarts = known; err != nil {
+			a.Error = err.Error()
 		}
 	}) {
-		a.Fault = "ends"
+		a.Error = "ends"
 		return a
 	}
 	select {
 	case <-done:
 	case <-c.ctx.Done():
-		return fleetlink.HelloAnswer{Fault: "ends"}
+		return fleetrpc.HelloReply{Error: "ends"}
 	}
 	return a
 }
 
 // Vote takes another voter's messages.
-func (c *Council) Vote(v fleetlink.Vote) {
+func (c *Node) HandleRaftMessages(v fleetrpc.RaftMessages) {
 	c.do(func() {
 		if c.core == nil {
 			return
 		}
-		c.link(v.Seat, v.From)
-		for _, m := range v.Data {
+		c.link(v.RaftID, v.FromAddress)
+		for _, m := range v.Messages {
 			c.core.Receive(c.o.Clock(), m)
 		}
 	})
 }
 
 // link makes or finds the link to a voter.
-func (c *Council) link(seat uint64, addr string) *peer {
+func (c *Node) link(seat uint64, addr string) *peer {
 	p := c.peers[seat]
 	if p == nil && addr != "" {
 		p = &peer{addr: addr, queue: make(chan Message, peerQueue)}
@@ -501,12 +501,12 @@
 	return p
 }
 
-func (c *Council) send(m Message) {
+func (c *Node) send(m Message) {
 	p := c.peers[m.To]
 	if p == nil {
 		addr := ""
 		for _, v := range c.core.State().Voters() {
-			if v.Seat == m.To {
+			if v.RaftID == m.To {
 				addr = v.Address
 			}
 		}
@@ -521,7 +521,7 @@
 }
 
 // deliver writes to one voter what waits for it, all at once.
-func (c *Council) deliver(p *peer) {
+func (c *Node) deliver(p *peer) {
 	for {
 		var batch []Message
 		select {
@@ -540,19 +540,19 @@
 				more = false
 			}
 		}
-		v, within := fleetlink.Vote{From: c.o.Address, Seat: c.seat}, voteWithin
+		v, within := fleetrpc.RaftMessages{FromAddress: c.o.Address, RaftID: c.seat}, voteWithin
 		for _, m := range batch {
-			v.Data = append(v.Data, m.Data)
-			if m.Snap {
+			v.Messages = append(v.Messages, m.Data)
+			if m.IsSnapshot {
 				within = snapWithin
 			}
 		}
-		err := c.client.Vote(p.addr, v, within)
+		err := c.client.SendRaftMessages(p.addr, v, within)
 		for _, m := range batch {
-			if m.Snap {
+			if m.IsSnapshot {
 				c.do(func() {
 					if c.core != nil {
-						c.core.SnapshotSent(c.o.Clock(), m.To, err == nil)
+						c.core.ReportSnapshot(c.o.Clock(), m.To, err == nil)
 					}
 				})
 			}
@@ -568,12 +568,12 @@
 }
 
 // leaderAddr is where the leader is found, as far as is known.
-func (c *Council) leaderAddr() string {
+func (c *Node) leaderAddr() string {
 	if c.core == nil {
 		return ""
 	}
 	for _, v := range c.core.State().Voters() {
-		if v.Seat == c.core.Lead() {
+		if v.RaftID == c.core.Leader() {
 			return v.Address
 		}
 	}
@@ -582,53 +582,53 @@
 
 // Beat answers a member's beat, once it is sure that this voter leads. One that does not passes it on: a member that is cut
 // from the leader alone keeps its lease, which runs from its own sending in any case.
-func (c *Council) Beat(ctx context.Context, b fleet.Beat, via bool) fleetlink.BeatAnswer {
+func (c *Node) HandleHeartbeat(ctx context.Context, b fleet.Heartbeat, via bool) fleetrpc.HeartbeatReply {
 	a := c.beat(ctx, b)
-	if a.NotLeader && a.Leader != "" && a.Leader != c.o.Address && !via {
-		if passed, err := c.client.Beat(a.Leader, b, true, passWithin); err == nil && !passed.NotLeader {
-			passed.Leader = a.Leader
+	if a.NotLeader && a.LeaderAddress != "" && a.LeaderAddress != c.o.Address && !via {
+		if passed, err := c.client.Heartbeat(a.LeaderAddress, b, true, passWithin); err == nil && !passed.NotLeader {
+			passed.LeaderAddress = a.LeaderAddress
 			return passed
 		}
 	}
 	return a
 }
 
-func (c *Council) beat(ctx context.Context, b fleet.Beat) (a fleetlink.BeatAnswer) {
-	out := make(chan fleetlink.BeatAnswer, 1)
+func (c *Node) beat(ctx context.Context, b fleet.Heartbeat) (a fleetrpc.HeartbeatReply) {
+	out := make(chan fleetrpc.HeartbeatReply, 1)
 	if !c.do(func() {
 		if c.core == nil {
-			out <- fleetlink.BeatAnswer{NotLeader: true, Fault: "does not vote"}
+			out <- fleetrpc.HeartbeatReply{NotLeader: true, Error: "does not vote"}
 			return
 		}
-		c.core.Beat(c.o.Clock(), b, func(r fleet.Renewal, err error) {
+		c.core.Heartbeat(c.o.Clock(), b, func(r fleet.LeaseRenewal, err error) {
 			if err != nil {
-				out <- fleetlink.BeatAnswer{NotLeader: true, Leader: c.leaderAddr()}
+				out <- fleetrpc.HeartbeatReply{NotLeader: true, LeaderAddress: c.leaderAddr()}
 				return
 			}
-			out <- fleetlink.BeatAnswer{Renewal: r}
+			out <- fleetrpc.HeartbeatReply{Renewal: r}
 		})
 	}) {
-		return fleetlink.BeatAnswer{NotLeader: true, Fault: "ends"}
+		return fleetrpc.HeartbeatReply{NotLeader: true, Error: "ends"}
 	}
 	select {
 	case a = <-out:
 	case <-ctx.Done():
-		a = fleetlink.BeatAnswer{NotLeader: true, Fault: "ends"}
+		a = fleetrpc.HeartbeatReply{NotLeader: true, Error: "ends"}
 	case <-c.ctx.Done():
-		a = fleetlink.BeatAnswer{NotLeader: true, Fault: "ends"}
+		a = fleetrpc.HeartbeatReply{NotLeader: true, Error: "ends"}
 	}
 	return a
 }
 
 // hurried tells whether the history moves fast at the moment.
-func (c *Council) hurried() bool {
+func (c *Node) hurried() bool {
 	last, before := time.Duration(c.moves[0].Load()), time.Duration(c.moves[1].Load())
 	return before > 0 && last-before < fast && time.Since(c.began)-last < fast
 }
 
 // lot waits, while the history moves fast, until there is more to tell at once. This guards against a fleet that starts, whose
 // every admission would be one call of every member: they grew with the square of the members and buried the voters.
-func (c *Council) lot(ctx context.Context) {
+func (c *Node) lot(ctx context.Context) {
 	if !c.hurried() {
 		return
 	}
@@ -642,63 +642,63 @@
 }
 
 // Entries gives what comes after, and waits for it as long as the asker wants to.
-func (c *Council) Entries(ctx context.Context, q fleetlink.After) fleetlink.Batch {
-	end := time.NewTimer(min(time.Duration(max(q.Wait, 0)*1e6), fleetlink.WaitMost))
+func (c *Node) HandleEntries(ctx context.Context, q fleetrpc.EntriesRequest) fleetrpc.EntriesReply {
+	end := time.NewTimer(min(time.Duration(max(q.Wait, 0)*1e6), fleetrpc.MaxPollWait))
 	defer end.Stop()
 	for {
-		if q.Wait > 0 && q.N > 0 { // who knows nothing yet, or asks without waiting, is told at once
+		if q.Wait > 0 && q.AfterSeq > 0 { // who knows nothing yet, or asks without waiting, is told at once
 			c.lot(ctx)
 		}
-		out := make(chan fleetlink.Batch, 1)
+		out := make(chan fleetrpc.EntriesReply, 1)
 		var wake chan struct{}
 		if !c.do(func() {
 			if wake = c.wake; c.core == nil {
-				out <- fleetlink.Batch{Fault: "does not vote"}
+				out <- fleetrpc.EntriesReply{Error: "does not vote"}
 				return
 			}
 			out <- c.batch(q)
 		}) {
-			return fleetlink.Batch{Fault: "ends"}
+			return fleetrpc.EntriesReply{Error: "ends"}
 		}
 		select {
 		case b := <-out:
-			if len(b.Entries) > 0 || b.Size > 0 || b.Fork || b.Busy || b.Fault != "" {
+			if len(b.Entries) > 0 || b.SnapshotSize > 0 || b.Diverged || b.Busy || b.Error != "" {
 				return b
 			}
 		case <-ctx.Done():
-			return fleetlink.Batch{Fault: "ends"}
+			return fleetrpc.EntriesReply{Error: "ends"}
 		case <-c.ctx.Done():
-			return fleetlink.Batch{Fault: "ends"}
+			return fleetrpc.EntriesReply{Error: "ends"}
 		}
 		select {
 		case <-wake:
 		case <-end.C:
-			return fleetlink.Batch{}
+			return fleetrpc.EntriesReply{}
 		case <-ctx.Done():
-			return fleetlink.Batch{Fault: "ends"}
+			return fleetrpc.EntriesReply{Error: "ends"}
 		}
 	}
 }
 
 // batch is what one call brings. So many get much at once, so that a fleet that comes back does not bury the voters.
-func (c *Council) batch(q fleetlink.After) (b fleetlink.Batch) {
-	entries, snapshot, fork := c.core.Entries(q.N, q.Digest)
+func (c *Node) batch(q fleetrpc.EntriesRequest) (b fleetrpc.EntriesReply) {
+	entries, snapshot, fork := c.core.EntriesAfter(q.AfterSeq, q.Digest)
 	if fork {
-		return fleetlink.Batch{Fork: true}
+		return fleetrpc.EntriesReply{Diverged: true}
 	}
 	if len(entries) > muchEntries || snapshot != nil {
 		if c.busy >= catchingUp {
-			return fleetlink.Batch{Busy: true}
+			return fleetrpc.EntriesReply{Busy: true}
 		}
 		c.busy++
 		time.AfterFunc(20*time.Millisecond, func() { c.do(func() { c.busy-- }) }) // about what writing it takes
 	}
 	if snapshot != nil {
-		b.Size, b.Upto = len(snapshot), c.core.State().N()
-		if q.For == b.Upto && q.Skip > 0 && q.Skip < len(snapshot) {
-			b.Skip = q.Skip
+		b.SnapshotSize, b.SnapshotSeq = len(snapshot), c.core.State().LastSeq()
+		if q.SnapshotSeq == b.SnapshotSeq && q.SnapshotOffset > 0 && q.SnapshotOffset < len(snapshot) {
+			b.SnapshotOffset = q.SnapshotOffset
 		}
-		b.Snapshot = snapshot[b.Skip:min(b.Skip+partBytes, len(snapshot))]
+		b.SnapshotPart = snapshot[b.SnapshotOffset:min(b.SnapshotOffset+partBytes, len(snapshot))]
 		return b
 	}
 	size := 0
@@ -713,27 +713,27 @@
 }
 
 // Ask answers an operator as the leader.
-func (c *Council) Ask(ctx context.Context, q fleetlink.Ask) (a fleetlink.Answer) {
-	out := make(chan fleetlink.Answer, 1)
+func (c *Node) HandleAdmin(ctx context.Context, q fleetrpc.AdminRequest) (a fleetrpc.AdminReply) {
+	out := make(chan fleetrpc.AdminReply, 1)
 	ask := func() {
-		if c.core == nil || c.core.Book() == nil {
-			out <- fleetlink.Answer{NoLeader: true}
+		if c.core == nil || c.core.Leases() == nil {
+			out <- fleetrpc.AdminReply{NoLeader: true}
 			return
 		}
 		x := q.Command
 		if x.Kind == 0 {
-			c.core.Read(c.o.Clock(), func(err error) {
+			c.core.ReadIndex(c.o.Clock(), func(err error) {
 				if err != nil {
-					out <- fleetlink.Answer{NoLeader: true}
+					out <- fleetrpc.AdminReply{NoLeader: true}
 					return
 				}
 				out <- c.tell(q, fleet.Result{})
 			})
 			return
 		}
-		if x.Kind == fleet.Seated && x.Seat == 0 {
-			if x.Seat, x.Address = c.core.Book().Seat(x.Member); x.Seat == 0 {
-				out <- fleetlink.Answer{Fault: fmt.Sprintf("%s asks for no seat: it has not lost its folder, or was not heard of", x.Member)}
+		if x.Kind == fleet.AddVoter && x.RaftID == 0 {
+			if x.RaftID, x.Address = c.core.Leases().RequestedRaftID(x.Member); x.RaftID == 0 {
+				out <- fleetrpc.AdminReply{Error: fmt.Sprintf("%s asks for no seat: it has not lost its folder, or was not heard of", x.Member)}
 				return
 			}
 		}
@@ -742,54 +742,54 @@
 			case err == nil:
 				out <- c.tell(q, r)
 			case errors.Is(err, fleet.ErrRefused):
-				out <- fleetlink.Answer{Fault: err.Error()}
+				out <- fleetrpc.AdminReply{Error: err.Error()}
 			default:
-				out <- fleetlink.Answer{NoLeader: true, Fault: err.Error()}
+				out <- fleetrpc.AdminReply{NoLeader: true, Error: err.Error()}
 			}
 		})
 	}
 	if !c.do(ask) {
-		return fleetlink.Answer{NoLeader: true}
+		return fleetrpc.AdminReply{NoLeader: true}
 	}
 	timer := time.NewTimer(askWithin)
 	defer timer.Stop()
 	select {
 	case a = <-out:
 	case <-timer.C:
-		a = fleetlink.Answer{NoLeader: true, Fault: ErrUnsure.Error()}
+		a = fleetrpc.AdminReply{NoLeader: true, Error: ErrOutcomeUnknown.Error()}
 	case <-ctx.Done():
-		a = fleetlink.Answer{NoLeader: true}
+		a = fleetrpc.AdminReply{NoLeader: true}
 	case <-c.ctx.Done():
-		a = fleetlink.Answer{NoLeader: true}
+		a = fleetrpc.AdminReply{NoLeader: true}
 	}
 	return a
 }
 
 // tell says how the fleet stands, after a majority has confirmed that this voter leads.
-func (c *Council) tell(q fleetlink.Ask, r fleet.Result) (a fleetlink.Answer) {
-	now, unix, s, b := c.o.Clock(), c.o.Unix(), c.core.State(), c.core.Book()
+func (c *Node) tell(q fleetrpc.AdminRequest, r fleet.Result) (a fleetrpc.AdminReply) {
+	now, unix, s, b := c.o.Clock(), c.o.UnixTime(), c.core.State(), c.core.Leases()
 	a.Result = r
 	if b == nil { // it was the leader when the command was agreed on
 		return a
 	}
-	st := &fleetlink.Status{Fleet: s.Fleet(), N: s.N(), Digest: s.Digest().String(), Newest: s.Newest(), Fenced: s.Fenced(), Leader: c.o.Name,
-		Members: b.Members(now, s)}
-	if st.Fenced > 0 {
-		st.Fence, st.Waits = b.Fence(now, unix, st.Fenced, s)
+	st := &fleetrpc.FleetStatus{Fleet: s.Fleet(), LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), FencedVersion: s.FencedVersion(), Leader: c.o.Name,
+		Members: b.MemberStatuses(now, s)}
+	if st.FencedVersion > 0 {
+		st.FenceCompleteAt, st.FenceWaits = b.FenceStatus(now, unix, st.FencedVersion, s)
 	}
 	for _, v := range s.Voters() {
-		at, ok := c.core.voices[v.Seat]
+		at, ok := c.core.voices[v.RaftID]
 		heard := -1.
-		if v.Seat == c.seat {
+		if v.RaftID == c.seat {
 			heard = 0
 		} else if ok {
 			heard = now - at
 		}
-		st.Voters = append(st.Voters, fleetlink.VoterStatus{Name: v.Name, Heard: heard})
+		st.Voters = append(st.Voters, fleetrpc.VoterStatus{Name: v.Name, SinceContact: heard})
 	}
 	a.Status = st
 	if q.Audit {
-		audit := b.Audit(now, unix, s, q.Version, q.Since)
+		audit := b.Audit(now, unix, s, q.AuditVersion, q.AuditSince)
 		a.Audit = &audit
 	}
 	return a
--- a/internal/council/council_test.go
+++ b/internal/consensus/node_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"weldmast/internal/fleet"
-	"weldmast/internal/fleetlink"
+	"weldmast/internal/fleetrpc"
 )
 
 // TestLots: while members are admitted by the hundred, who follows is told in lots: its calls do not grow with the entries, and
@@ -15,41 +15,41 @@
 func TestLots(t *testing.T) {
 	began := time.Now()
 	now := func() float64 { return float64(time.Since(began))/1e6 + 1000 }
-	c, err := Start(Options{Fleet: "f", Name: "v", Address: "v", Voters: []fleet.Voter{{Name: "v", Address: "v"}}, Folder: t.TempDir(), Figures: figures, Run: "r",
-		Seed: 1, Clock: now, Unix: now})
+	c, err := Start(Options{Fleet: "f", Name: "v", Address: "v", Voters: []fleet.Voter{{Name: "v", Address: "v"}}, Dir: t.TempDir(), Timing: figures, RunID: "r",
+		Seed: 1, Clock: now, UnixTime: now})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	ask := func(x fleet.Command) fleetlink.Answer {
+	ask := func(x fleet.Command) fleetrpc.AdminReply {
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			if a := c.Ask(t.Context(), fleetlink.Ask{Command: x}); !a.NoLeader {
+			if a := c.HandleAdmin(t.Context(), fleetrpc.AdminRequest{Command: x}); !a.NoLeader {
 				return a
 			}
 		}
 		t.Fatalf("no answer to %+v", x)
-		return fleetlink.Answer{}
+		return fleetrpc.AdminReply{}
 	}
-	ask(fleet.Command{Kind: fleet.Published, Request: "first", Text: []byte("{}")})
-	b := c.Entries(t.Context(), fleetlink.After{})
-	s, err := fleet.Restore(b.Snapshot)
+	ask(fleet.Command{Kind: fleet.PublishVersion, RequestID: "first", Text: []byte("{}")})
+	b := c.HandleEntries(t.Context(), fleetrpc.EntriesRequest{})
+	s, err := fleet.Restore(b.SnapshotPart)
 	if err != nil {
 		t.Fatal(err)
 	}
 	calls := 0
 	follow := func(until uint64) {
 		t.Helper()
-		for s.N() < until {
-			b := c.Entries(t.Context(), fleetlink.After{N: s.N(), Digest: s.Digest(), Wait: 2000})
+		for s.LastSeq() < until {
+			b := c.HandleEntries(t.Context(), fleetrpc.EntriesRequest{AfterSeq: s.LastSeq(), Digest: s.Digest(), Wait: 2000})
 			calls++
 			for _, e := range b.Entries {
-				if err := s.Follow(e); err != nil {
+				if err := s.ApplyEntry(e); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if len(b.Entries) == 0 {
-				t.Fatalf("nothing comes after entry %d: %+v", s.N(), b)
+				t.Fatalf("nothing comes after entry %d: %+v", s.LastSeq(), b)
 			}
 		}
 	}
@@ -59,7 +59,7 @@
 	go func() {
 		for k := range many {
 			name := fmt.Sprint("m", k)
-			c.Beat(context.Background(), fleet.Beat{Fleet: "f", Format: fleet.Format, Member: name, Address: name, Run: name, Alone: fleet.Serve, Lease: figures.Lease, Drift: figures.Drift}, false)
+			c.HandleHeartbeat(context.Background(), fleet.Heartbeat{Fleet: "f", Format: fleet.FormatVersion, Member: name, Address: name, RunID: name, IsolationPolicy: fleet.ServeWhenIsolated, Lease: figures.Lease, Drift: figures.Drift}, false)
 		}
 	}()
 	follow(1 + many)
@@ -69,7 +69,7 @@
 	}
 	time.Sleep(2 * fast)
 	from = time.Now()
-	go c.Ask(context.Background(), fleetlink.Ask{Command: fleet.Command{Kind: fleet.Published, Request: "alone", Text: []byte("{}")}})
+	go c.HandleAdmin(context.Background(), fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.PublishVersion, RequestID: "alone", Text: []byte("{}")}})
 	follow(2 + many)
 	if took := time.Since(from); took > gather/2 {
 		t.Errorf("what comes alone is told after %v", took)
--- a/internal/fleet/acts.go
+++ b/internal/fleet/actions.go
@@ -5,43 +5,43 @@
 import "slices"
 
 // Act is something that a dispatcher does. The program sends no probes of its own, so none are booked.
-type Act int
+type Action int
 
 // The acts.
 const (
-	HandedOff Act = iota
+	HandedOff Action = iota
 	Deferred
-	Answered // any other final answer
-	acts     = iota
+	Answered   // any other final answer
+	numActions = iota
 )
 
-func (a Act) String() string { return [...]string{"handed off", "deferred", "answered"}[a] }
+func (a Action) String() string { return [...]string{"handed off", "deferred", "answered"}[a] }
 
 // Tally counts the acts of one kind. Times are Unix, 0 where there are none.
-type Tally struct {
+type ActionCount struct {
 	Count uint64  `cbor:"1,keyasint" json:"count"`
 	First float64 `cbor:"2,keyasint" json:"first_ms"`
 	Last  float64 `cbor:"3,keyasint" json:"last_ms"`
 }
 
 // Acts are those under one version.
-type Acts struct {
-	Version uint64      `cbor:"1,keyasint" json:"version"`
-	Since   float64     `cbor:"2,keyasint" json:"in_force_ms"` // since when it was in force here
-	Kinds   [acts]Tally `cbor:"3,keyasint" json:"kinds"`       // handed off, deferred, answered
+type VersionActions struct {
+	Version     uint64                  `cbor:"1,keyasint" json:"version"`
+	ActiveSince float64                 `cbor:"2,keyasint" json:"in_force_ms"` // since when it was in force here
+	Counts      [numActions]ActionCount `cbor:"3,keyasint" json:"kinds"`       // handed off, deferred, answered
 }
 
 // Last is the last act of any kind, 0 for none.
-func (a Acts) Last() (at float64) {
-	for _, t := range a.Kinds {
+func (a VersionActions) LastAt() (at float64) {
+	for _, t := range a.Counts {
 		at = max(at, t.Last)
 	}
 	return at
 }
 
 // First as Last.
-func (a Acts) First() (at float64) {
-	for _, t := range a.Kinds {
+func (a VersionActions) FirstAt() (at float64) {
+	for _, t := range a.Counts {
 		if t.Count > 0 && (at == 0 || t.First < at) {
 			at = t.First
 		}
@@ -51,12 +51,12 @@
 
 // Run is the record of one process of a member. Between Saved and the beginning of the next run nothing is known of it,
 // unless it ended in order.
-type Run struct {
-	ID       string  `cbor:"1,keyasint" json:"run"`
-	Began    float64 `cbor:"2,keyasint" json:"began_ms"`
-	Saved    float64 `cbor:"3,keyasint" json:"known_until_ms"`
-	Ended    bool    `cbor:"4,keyasint,omitempty" json:"ended"`
-	Versions []Acts  `cbor:"5,keyasint" json:"versions"`
+type RunRecord struct {
+	ID         string           `cbor:"1,keyasint" json:"run"`
+	StartedAt  float64          `cbor:"2,keyasint" json:"began_ms"`
+	KnownUntil float64          `cbor:"3,keyasint" json:"known_until_ms"`
+	CleanExit  bool             `cbor:"4,keyasint,omitempty" json:"ended"`
+	Versions   []VersionActions `cbor:"5,keyasint" json:"versions"`
 }
 
 const (
@@ -65,19 +65,19 @@
 )
 
 // Since notes that a version is in force from now on.
-func (r *Run) Since(now float64, version uint64) {
+func (r *RunRecord) RecordVersion(now float64, version uint64) {
 	if k := len(r.Versions) - 1; k >= 0 && r.Versions[k].Version == version {
 		return
 	}
-	r.Versions = append(r.Versions, Acts{Version: version, Since: now})
+	r.Versions = append(r.Versions, VersionActions{Version: version, ActiveSince: now})
 	if over := len(r.Versions) - runVersions; over > 0 {
 		r.Versions = slices.Delete(r.Versions, 0, over)
 	}
 }
 
 // Book counts an act under the version in force.
-func (r *Run) Book(now float64, a Act) {
-	t := &r.Versions[len(r.Versions)-1].Kinds[a]
+func (r *RunRecord) RecordAction(now float64, a Action) {
+	t := &r.Versions[len(r.Versions)-1].Counts[a]
 	if t.Count == 0 {
 		t.First = now
 	}
@@ -86,7 +86,7 @@
 }
 
 // Clone is a copy that goes on by itself.
-func (r Run) Clone() Run {
+func (r RunRecord) Clone() RunRecord {
 	r.Versions = slices.Clone(r.Versions)
 	return r
 }
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -22,18 +22,18 @@
 // modelBeat is one under way to the council, modelAnswer one on its way back.
 type modelBeat struct {
 	there bool
-	b     Beat
+	b     Heartbeat
 	sent  float64
 }
 
 type modelAnswer struct {
 	there bool
-	r     Renewal
+	r     LeaseRenewal
 	sent  float64
 }
 
 type modelMember struct {
-	self   Self
+	self   LeaseHolder
 	run    int
 	beat   modelBeat
 	answer modelAnswer
@@ -44,7 +44,7 @@
 type model struct {
 	now     float64
 	state   int // of the council's history, by number in the states below
-	book    *Book
+	book    *LeaseManager
 	told    bool // the fence was told to be complete
 	elected int
 	crashes int
@@ -52,7 +52,7 @@
 	members [modelMembers]modelMember
 }
 
-var modelFigures = Figures{Beat: 1, Lease: 4, Drift: 0}
+var modelFigures = Timing{Beat: 1, Lease: 4, Drift: 0}
 
 // wrong changes what is checked, so that the check is seen to convict.
 type wrong struct {
@@ -72,8 +72,8 @@
 	n      int // members
 }
 
-func (b *Book) clone() *Book {
-	c := &Book{f: b.f, elected: b.elected, processes: map[string][]*process{}, fences: maps.Clone(b.fences), probes: map[string]string{}, runs: map[string][]Run{}}
+func (b *LeaseManager) clone() *LeaseManager {
+	c := &LeaseManager{f: b.f, elected: b.elected, processes: map[string][]*process{}, fences: maps.Clone(b.fences), probes: map[string]string{}, runs: map[string][]RunRecord{}}
 	for name, all := range b.processes {
 		for _, p := range all {
 			q := *p
@@ -96,13 +96,13 @@
 	s := NewState("f")
 	for k := range n {
 		for _, run := range []string{"0", "1"} {
-			if _, _, err := s.Apply(Command{Kind: Admitted, Member: modelName(k), Address: modelName(k), Alone: Stop, Run: run}); err != nil {
+			if _, _, err := s.Apply(Command{Kind: AdmitMember, Member: modelName(k), Address: modelName(k), IsolationPolicy: StopWhenIsolated, RunID: run}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	c.states = append(c.states, s.Clone())
-	if _, _, err := s.Apply(Command{Kind: Published, Text: []byte("{}"), Fence: true}); err != nil {
+	if _, _, err := s.Apply(Command{Kind: PublishVersion, Text: []byte("{}"), Fence: true}); err != nil {
 		t.Fatal(err)
 	}
 	c.states = append(c.states, s)
@@ -110,9 +110,9 @@
 }
 
 func (c *checker) start() *model {
-	m := &model{now: 0, book: NewBook(modelFigures, 0)}
+	m := &model{now: 0, book: NewLeaseManager(modelFigures, 0)}
 	for k := range m.members[:c.n] {
-		m.members[k] = modelMember{up: true, self: *NewSelf(modelFigures, modelName(k), "1.0.0", Stop, c.states[0], 0)}
+		m.members[k] = modelMember{up: true, self: *NewLeaseHolder(modelFigures, modelName(k), "1.0.0", StopWhenIsolated, c.states[0], 0)}
 	}
 	return m
 }
@@ -136,18 +136,18 @@
 	num(m.now, float64(m.state), float64(m.elected), float64(m.crashes), float64(m.losses), yes(m.told), rel(m.book.elected))
 	for k := range m.members[:c.n] {
 		x := &m.members[k]
-		num(yes(x.up), float64(x.run), rel(x.self.until), float64(x.self.inForce), float64(x.self.pending), float64(x.self.state.Newest()), float64(x.self.fenced),
+		num(yes(x.up), float64(x.run), rel(x.self.until), float64(x.self.activeVersion), float64(x.self.pending), float64(x.self.state.NewestVersion()), float64(x.self.fenced),
 			yes(x.beat.there), yes(x.answer.there))
 		if x.beat.there {
-			num(rel(x.beat.sent), float64(x.beat.b.InForce))
-			h.WriteString(x.beat.b.Run)
+			num(rel(x.beat.sent), float64(x.beat.b.ActiveVersion))
+			h.WriteString(x.beat.b.RunID)
 		}
 		if x.answer.there {
-			num(rel(x.answer.sent), x.answer.r.Granted, float64(x.answer.r.Fenced))
+			num(rel(x.answer.sent), x.answer.r.Granted, float64(x.answer.r.FencedVersion))
 		}
 		for _, p := range m.book.processes[modelName(k)] {
-			h.WriteString(p.beat.Run)
-			num(rel(p.until), rel(p.heard), float64(p.beat.InForce))
+			h.WriteString(p.beat.RunID)
+			num(rel(p.until), rel(p.heard), float64(p.beat.ActiveVersion))
 		}
 	}
 	return h.Sum64()
@@ -203,15 +203,15 @@
 		if x.up && !x.beat.there && !x.answer.there {
 			do(func(m *model) { // it sends a beat
 				y := &m.members[k]
-				y.beat = modelBeat{there: true, sent: m.now, b: Beat{Fleet: "f", Format: Format, Member: name, Address: name, Run: fmt.Sprint(y.run), Bound: true,
-					Alone: Stop, N: y.self.state.N(), InForce: y.self.inForce, Lease: 4}}
+				y.beat = modelBeat{there: true, sent: m.now, b: Heartbeat{Fleet: "f", Format: FormatVersion, Member: name, Address: name, RunID: fmt.Sprint(y.run), OwnsAddress: true,
+					IsolationPolicy: StopWhenIsolated, LastSeq: y.self.state.LastSeq(), ActiveVersion: y.self.activeVersion, Lease: 4}}
 			})
 		}
 		if x.beat.there {
 			do(func(m *model) { // it arrives, and a majority says that the leader leads
 				y := &m.members[k]
-				r, _ := m.book.Beat(m.now, y.beat.b, c.states[m.state])
-				if y.up && fmt.Sprint(y.run) == y.beat.b.Run {
+				r, _ := m.book.Heartbeat(m.now, y.beat.b, c.states[m.state])
+				if y.up && fmt.Sprint(y.run) == y.beat.b.RunID {
 					y.answer = modelAnswer{true, r, y.beat.sent}
 				}
 				y.beat = modelBeat{}
@@ -227,19 +227,19 @@
 				if c.w.fromReceipt {
 					sent = m.now
 				}
-				y.self.Renewed(sent, y.answer.r)
+				y.self.HandleRenewal(sent, y.answer.r)
 				y.answer = modelAnswer{}
 			})
 		}
-		if x.up && x.self.state.Newest() < c.states[m.state].Newest() {
+		if x.up && x.self.state.NewestVersion() < c.states[m.state].NewestVersion() {
 			do(func(m *model) { // it hears of the newest version
 				y := &m.members[k]
 				y.self.state = c.states[m.state]
-				y.self.Next()
+				y.self.NextVersion()
 			})
 		}
 		if x.up && x.self.pending > 0 {
-			do(func(m *model) { m.members[k].self.Applied(m.members[k].self.pending) })
+			do(func(m *model) { m.members[k].self.VersionApplied(m.members[k].self.pending) })
 		}
 		if x.up && m.crashes < 1 {
 			do(func(m *model) { // killed and started anew, its folder as it was or older
@@ -247,7 +247,7 @@
 				m.crashes++
 				y.run++
 				y.answer = modelAnswer{}
-				y.self = *NewSelf(modelFigures, name, "1.0.0", Stop, c.states[0], m.now)
+				y.self = *NewLeaseHolder(modelFigures, name, "1.0.0", StopWhenIsolated, c.states[0], m.now)
 			})
 		}
 	}
@@ -257,7 +257,7 @@
 	if m.elected < 1 {
 		do(func(m *model) { // another leader, which knows the history and nothing else; what was granted is under way still
 			m.elected++
-			m.book = NewBook(modelFigures, m.now)
+			m.book = NewLeaseManager(modelFigures, m.now)
 			if c.w.noElection {
 				m.book.elected = math.Inf(-1)
 			}
@@ -271,7 +271,7 @@
 // hold checks that nobody can act on an older version once the fence was told to be complete, and tells it if it is.
 func (c *checker) hold(m *model) {
 	if m.state == 1 && !m.told {
-		at, waits := m.book.clone().Fence(m.now, m.now+1, 1, c.states[1])
+		at, waits := m.book.clone().FenceStatus(m.now, m.now+1, 1, c.states[1])
 		if c.w.early && len(waits) <= c.n/2 {
 			at = m.now + 1
 		}
@@ -281,8 +281,8 @@
 		return
 	}
 	for k := range m.members[:c.n] {
-		if x := &m.members[k]; x.up && x.self.inForce < 1 && x.self.OpenUntil(m.now) > m.now {
-			c.broken = fmt.Sprintf("at %g: %s acts on version 0 until %g, the fence of version 1 is told", m.now, modelName(k), x.self.OpenUntil(m.now))
+		if x := &m.members[k]; x.up && x.self.activeVersion < 1 && x.self.AcceptUntil(m.now) > m.now {
+			c.broken = fmt.Sprintf("at %g: %s acts on version 0 until %g, the fence of version 1 is told", m.now, modelName(k), x.self.AcceptUntil(m.now))
 		}
 	}
 }
@@ -329,59 +329,59 @@
 		}
 		return r
 	}
-	must(Command{Kind: Admitted, Request: "1", Member: "m", Address: "a:2", Alone: Stop, At: 5})
-	first := must(Command{Kind: Published, Request: "2", Text: []byte(`{"mark":"a"}`), Fence: true})
-	again := must(Command{Kind: Published, Request: "2", Text: []byte(`{"mark":"a"}`), Fence: true})
-	if first.Version != 1 || again.Version != 1 || !again.Again || s.N() != 2 {
-		t.Fatalf("one request: %+v, %+v, %d entries", first, again, s.N())
+	must(Command{Kind: AdmitMember, RequestID: "1", Member: "m", Address: "a:2", IsolationPolicy: StopWhenIsolated, IssuedAt: 5})
+	first := must(Command{Kind: PublishVersion, RequestID: "2", Text: []byte(`{"mark":"a"}`), Fence: true})
+	again := must(Command{Kind: PublishVersion, RequestID: "2", Text: []byte(`{"mark":"a"}`), Fence: true})
+	if first.Version != 1 || again.Version != 1 || !again.Duplicate || s.LastSeq() != 2 {
+		t.Fatalf("one request: %+v, %+v, %d entries", first, again, s.LastSeq())
 	}
 	for what, c := range map[string]Command{
-		"an older newest":      {Kind: Published, Request: "x", After: 1},
-		"a text too long":      {Kind: Published, Request: "x", Text: make([]byte, MostText+1)},
-		"a least that is none": {Kind: Published, Request: "x", Least: "new"},
-		"an unknown member":    {Kind: ShutOut, Request: "x", Member: "n"},
-		"no name":              {Kind: Admitted, Request: "x"},
-		"an unknown kind":      {Kind: 99, Request: "x"},
-		"the last voter":       {Kind: Unseated, Request: "x", Member: "v"},
-		"a seat without one":   {Kind: Seated, Request: "x", Member: "w", Address: "a:3"},
+		"an older newest":      {Kind: PublishVersion, RequestID: "x", ExpectedNewestPlus1: 1},
+		"a text too long":      {Kind: PublishVersion, RequestID: "x", Text: make([]byte, MaxTextBytes+1)},
+		"a least that is none": {Kind: PublishVersion, RequestID: "x", MinProgram: "new"},
+		"an unknown member":    {Kind: ExcludeMember, RequestID: "x", Member: "n"},
+		"no name":              {Kind: AdmitMember, RequestID: "x"},
+		"an unknown kind":      {Kind: 99, RequestID: "x"},
+		"the last voter":       {Kind: RemoveVoter, RequestID: "x", Member: "v"},
+		"a seat without one":   {Kind: AddVoter, RequestID: "x", Member: "w", Address: "a:3"},
 	} {
 		if _, e, err := s.Apply(c); err == nil || e != nil {
 			t.Errorf("%s: taken", what)
 		}
 	}
-	must(Command{Kind: ShutOut, Request: "3", Member: "m", At: 9})
+	must(Command{Kind: ExcludeMember, RequestID: "3", Member: "m", IssuedAt: 9})
 	f := NewState("f", Voter{"v", "a:1", 7})
 	for _, e := range entries {
-		if err := f.Follow(e); err != nil {
+		if err := f.ApplyEntry(e); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if f.Digest() != s.Digest() {
 		t.Fatal("two histories")
 	}
-	if m, _ := f.Member("m"); !m.Shut || m.First != 5 || m.Since != 9 {
+	if m, _ := f.Member("m"); !m.Excluded || m.FirstAdmittedAt != 5 || m.ChangedAt != 9 {
 		t.Fatalf("%+v", m)
 	}
 	for what, change := range map[string]func(*Entry){
 		"another text":    func(e *Entry) { e.Command.Text = []byte("{}") },
-		"another before":  func(e *Entry) { e.Prev[0]++ },
+		"another before":  func(e *Entry) { e.PrevDigest[0]++ },
 		"another digest":  func(e *Entry) { e.Digest[0]++ },
-		"one left out":    func(e *Entry) { e.N++ },
+		"one left out":    func(e *Entry) { e.Seq++ },
 		"without a fence": func(e *Entry) { e.Command.Fence = false },
 	} {
 		f := NewState("f", Voter{"v", "a:1", 7})
-		if err := f.Follow(entries[0]); err != nil {
+		if err := f.ApplyEntry(entries[0]); err != nil {
 			t.Fatal(err)
 		}
 		e := entries[1]
 		change(&e)
-		if f.Follow(e) == nil || f.N() != 1 {
+		if f.ApplyEntry(e) == nil || f.LastSeq() != 1 {
 			t.Errorf("%s: followed", what)
 		}
 	}
 	text := s.Snapshot()
 	r, err := Restore(text)
-	if err != nil || r.Digest() != s.Digest() || r.N() != s.N() {
+	if err != nil || r.Digest() != s.Digest() || r.LastSeq() != s.LastSeq() {
 		t.Fatalf("restored: %v", err)
 	}
 	// Every bit of it counts: the digest is over all.
@@ -403,53 +403,53 @@
 }
 
 func TestGates(t *testing.T) {
-	f := Figures{Beat: 250, Lease: 1000, Drift: 0.01}
+	f := Timing{Beat: 250, Lease: 1000, Drift: 0.01}
 	s := NewState("f")
 	apply := func(c Command) {
 		if _, _, err := s.Apply(c); err != nil {
 			t.Fatal(err)
 		}
 	}
-	apply(Command{Kind: Admitted, Member: "m", Address: "a", Alone: Serve})
-	open := func(m *Self, now float64, want bool, when string) {
+	apply(Command{Kind: AdmitMember, Member: "m", Address: "a", IsolationPolicy: ServeWhenIsolated})
+	open := func(m *LeaseHolder, now float64, want bool, when string) {
 		t.Helper()
-		if got := m.OpenUntil(now) > now; got != want {
+		if got := m.AcceptUntil(now) > now; got != want {
 			t.Errorf("%s: open %v", when, got)
 		}
 	}
-	stop := NewSelf(f, "m", "0.2.0", Stop, s.Clone(), 0)
-	serve := NewSelf(f, "m", "0.2.0", Serve, s.Clone(), 0)
+	stop := NewLeaseHolder(f, "m", "0.2.0", StopWhenIsolated, s.Clone(), 0)
+	serve := NewLeaseHolder(f, "m", "0.2.0", ServeWhenIsolated, s.Clone(), 0)
 	open(stop, 0, false, "stop, new")
 	open(serve, 0, false, "serve, new: the council has one lease's time")
 	open(stop, 1001, false, "stop, council silent")
 	open(serve, 1001, true, "serve, council silent")
-	for _, m := range []*Self{stop, serve} {
-		m.Renewed(2000, Renewal{Granted: 1000})
+	for _, m := range []*LeaseHolder{stop, serve} {
+		m.HandleRenewal(2000, LeaseRenewal{Granted: 1000})
 	}
 	open(stop, 2989, true, "stop, lease")
 	open(stop, 2991, false, "stop, lease over less the drift")
 	open(serve, 9000, true, "serve, lease over, nothing newer known")
-	serve.Renewed(9000, Renewal{Fenced: 1})
+	serve.HandleRenewal(9000, LeaseRenewal{FencedVersion: 1})
 	open(serve, 9001, false, "serve, behind a fence")
-	apply(Command{Kind: Published, Text: []byte("{}"), Fence: true})
+	apply(Command{Kind: PublishVersion, Text: []byte("{}"), Fence: true})
 	serve.state = s.Clone()
-	if v, ok := serve.Next(); !ok || v.Number != 1 {
+	if v, ok := serve.NextVersion(); !ok || v.Number != 1 {
 		t.Fatal("no next version")
 	}
 	open(serve, 9001, false, "serve, the fence's version not yet in force")
-	serve.Applied(1)
+	serve.VersionApplied(1)
 	open(serve, 9001, true, "serve, the fence's version in force")
-	apply(Command{Kind: ShutOut, Member: "m"})
+	apply(Command{Kind: ExcludeMember, Member: "m"})
 	serve.state = s.Clone()
-	serve.Renewed(9100, Renewal{Granted: 1000})
+	serve.HandleRenewal(9100, LeaseRenewal{Granted: 1000})
 	open(serve, 9101, false, "serve, shut out")
-	apply(Command{Kind: Admitted, Member: "m"})
-	apply(Command{Kind: Published, Text: []byte("{}"), Least: "0.3.0"})
+	apply(Command{Kind: AdmitMember, Member: "m"})
+	apply(Command{Kind: PublishVersion, Text: []byte("{}"), MinProgram: "0.3.0"})
 	serve.state = s.Clone()
-	if _, ok := serve.Next(); ok {
+	if _, ok := serve.NextVersion(); ok {
 		t.Error("a version for a newer program is brought into force")
 	}
-	if n, why := serve.Refuses(); n != 2 || why == "" {
+	if n, why := serve.RefusedVersion(); n != 2 || why == "" {
 		t.Errorf("refuses %d: %q", n, why)
 	}
 }
--- a/internal/fleet/history.go
+++ b/internal/fleet/state.go
@@ -19,11 +19,11 @@
 )
 
 // Format is that of entries, snapshots and messages.
-const Format = 1
+const FormatVersion = 1
 
 const (
 	// MostText is how long a version's text may be, in bytes.
-	MostText     = 64 << 10
+	MaxTextBytes = 64 << 10
 	keepTexts    = 16   // newest versions whose texts a state keeps, for who is behind and for the way back
 	keepVersions = 256  // older ones are forgotten
 	keepRequests = 1024 // numbers of requests that are known again
@@ -37,100 +37,100 @@
 func (d Digest) String() string { return hex.EncodeToString(d[:6]) }
 
 // Kind says what an entry does.
-type Kind uint8
+type CommandKind uint8
 
 // The kinds.
 const (
-	Admitted  Kind = iota + 1 // a member is in, or in again
-	Removed                   // it is no member any longer: nothing waits for it
-	Published                 // a version
-	ShutOut                   // a member must take no work until it is admitted again
-	Seated                    // a voter, in place of the one of its name if there is one
-	Unseated                  // a voter no longer
+	AdmitMember    CommandKind = iota + 1 // a member is in, or in again
+	RemoveMember                          // it is no member any longer: nothing waits for it
+	PublishVersion                        // a version
+	ExcludeMember                         // a member must take no work until it is admitted again
+	AddVoter                              // a voter, in place of the one of its name if there is one
+	RemoveVoter                           // a voter no longer
 )
 
-func (k Kind) String() string {
-	if k < Admitted || k > Unseated {
+func (k CommandKind) String() string {
+	if k < AdmitMember || k > RemoveVoter {
 		return "unknown"
 	}
 	return [...]string{"admitted", "removed", "published", "shut out", "seated", "unseated"}[k-1]
 }
 
 // Alone says what a member does whose lease is over and that knows of nothing newer.
-type Alone string
+type IsolationPolicy string
 
 // The two ways.
 const (
-	Serve Alone = "serve"
-	Stop  Alone = "stop"
+	ServeWhenIsolated IsolationPolicy = "serve"
+	StopWhenIsolated  IsolationPolicy = "stop"
 )
 
 // Command is what somebody wants to stand in the history.
 type Command struct {
-	Kind    Kind    `cbor:"1,keyasint"`
-	Request string  `cbor:"2,keyasint"` // the asker's own number: the same again is the same entry
-	By      string  `cbor:"3,keyasint,omitempty"`
-	At      float64 `cbor:"4,keyasint"`
-	Member  string  `cbor:"5,keyasint,omitempty"` // admitted, removed, shut out
-	Address string  `cbor:"6,keyasint,omitempty"`
-	Alone   Alone   `cbor:"7,keyasint,omitempty"`
-	Text    []byte  `cbor:"8,keyasint,omitempty"` // published
-	Least   string  `cbor:"9,keyasint,omitempty"` // least program version that understands it
-	Fence   bool    `cbor:"10,keyasint,omitempty"`
-	After   uint64  `cbor:"11,keyasint,omitempty"` // refused unless this is the newest version, plus 1; 0: whatever is
-	Seat    uint64  `cbor:"12,keyasint,omitempty"` // of the voter that is seated
-	Run     string  `cbor:"13,keyasint,omitempty"` // of the process that is admitted
-	Began   float64 `cbor:"14,keyasint,omitempty"`
+	Kind                CommandKind     `cbor:"1,keyasint"`
+	RequestID           string          `cbor:"2,keyasint"` // the asker's own number: the same again is the same entry
+	RequestedBy         string          `cbor:"3,keyasint,omitempty"`
+	IssuedAt            float64         `cbor:"4,keyasint"`
+	Member              string          `cbor:"5,keyasint,omitempty"` // admitted, removed, shut out
+	Address             string          `cbor:"6,keyasint,omitempty"`
+	IsolationPolicy     IsolationPolicy `cbor:"7,keyasint,omitempty"`
+	Text                []byte          `cbor:"8,keyasint,omitempty"` // published
+	MinProgram          string          `cbor:"9,keyasint,omitempty"` // least program version that understands it
+	Fence               bool            `cbor:"10,keyasint,omitempty"`
+	ExpectedNewestPlus1 uint64          `cbor:"11,keyasint,omitempty"` // refused unless this is the newest version, plus 1; 0: whatever is
+	RaftID              uint64          `cbor:"12,keyasint,omitempty"` // of the voter that is seated
+	RunID               string          `cbor:"13,keyasint,omitempty"` // of the process that is admitted
+	RunStartedAt        float64         `cbor:"14,keyasint,omitempty"`
 }
 
 // Entry is a command in its place.
 type Entry struct {
-	N       uint64  `cbor:"1,keyasint"` // from 1 on, without gaps
-	Prev    Digest  `cbor:"2,keyasint"`
-	Command Command `cbor:"3,keyasint"`
-	Digest  Digest  `cbor:"4,keyasint"`
+	Seq        uint64  `cbor:"1,keyasint"` // from 1 on, without gaps
+	PrevDigest Digest  `cbor:"2,keyasint"`
+	Command    Command `cbor:"3,keyasint"`
+	Digest     Digest  `cbor:"4,keyasint"`
 }
 
 // Version is one that was published. Number 0 is what each member's own files say.
 type Version struct {
-	Number uint64  `cbor:"1,keyasint"`
-	Entry  uint64  `cbor:"2,keyasint"`
-	Sum    Digest  `cbor:"3,keyasint"` // of the text
-	Text   []byte  `cbor:"4,keyasint,omitempty"`
-	Least  string  `cbor:"5,keyasint,omitempty"`
-	Fence  bool    `cbor:"6,keyasint,omitempty"`
-	By     string  `cbor:"7,keyasint,omitempty"`
-	At     float64 `cbor:"8,keyasint"`
+	Number      uint64  `cbor:"1,keyasint"`
+	EntrySeq    uint64  `cbor:"2,keyasint"`
+	TextDigest  Digest  `cbor:"3,keyasint"` // of the text
+	Text        []byte  `cbor:"4,keyasint,omitempty"`
+	MinProgram  string  `cbor:"5,keyasint,omitempty"`
+	Fence       bool    `cbor:"6,keyasint,omitempty"`
+	PublishedBy string  `cbor:"7,keyasint,omitempty"`
+	PublishedAt float64 `cbor:"8,keyasint"`
 }
 
 // Member is one as the history has it.
 type Member struct {
-	Name    string  `cbor:"1,keyasint"`
-	Address string  `cbor:"2,keyasint"`
-	Alone   Alone   `cbor:"3,keyasint"`
-	Shut    bool    `cbor:"4,keyasint,omitempty"`
-	Removed bool    `cbor:"5,keyasint,omitempty"`
-	Since   float64 `cbor:"6,keyasint"` // it stands as it does
-	First   float64 `cbor:"7,keyasint"` // it was first admitted
-	Runs    []Began `cbor:"8,keyasint"` // its newest processes: who is not told of what one did knows at least that it was
+	Name            string          `cbor:"1,keyasint"`
+	Address         string          `cbor:"2,keyasint"`
+	IsolationPolicy IsolationPolicy `cbor:"3,keyasint"`
+	Excluded        bool            `cbor:"4,keyasint,omitempty"`
+	Removed         bool            `cbor:"5,keyasint,omitempty"`
+	ChangedAt       float64         `cbor:"6,keyasint"` // it stands as it does
+	FirstAdmittedAt float64         `cbor:"7,keyasint"` // it was first admitted
+	Runs            []RunStart      `cbor:"8,keyasint"` // its newest processes: who is not told of what one did knows at least that it was
 }
 
 // Began is a process of a member.
-type Began struct {
-	Run string  `cbor:"1,keyasint"`
-	At  float64 `cbor:"2,keyasint"`
+type RunStart struct {
+	RunID     string  `cbor:"1,keyasint"`
+	StartedAt float64 `cbor:"2,keyasint"`
 }
 
 // Has tells whether a process of it was admitted.
-func (m Member) Has(run string) bool {
-	return slices.ContainsFunc(m.Runs, func(b Began) bool { return b.Run == run })
+func (m Member) HasRun(run string) bool {
+	return slices.ContainsFunc(m.Runs, func(b RunStart) bool { return b.RunID == run })
 }
 
 // Voter is one that has a seat in the council.
 type Voter struct {
 	Name    string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
-	Seat    uint64 `cbor:"3,keyasint"` // its number in the consensus; another one after its folder was lost
+	RaftID  uint64 `cbor:"3,keyasint"` // its number in the consensus; another one after its folder was lost
 }
 
 // asked is a request that was carried out.
@@ -161,10 +161,10 @@
 
 // What may be wrong.
 var (
-	ErrGap     = errors.New("entries are missing")
-	ErrFork    = errors.New("another history")
-	ErrRefused = errors.New("refused")
-	ErrFormat  = errors.New("a form that this program does not know")
+	ErrMissingEntries = errors.New("entries are missing")
+	ErrDiverged       = errors.New("another history")
+	ErrRefused        = errors.New("refused")
+	ErrUnknownFormat  = errors.New("a form that this program does not know")
 )
 
 var encoding = func() cbor.EncMode {
@@ -187,7 +187,7 @@
 // Decode reads it.
 func Decode(b []byte, v any) error {
 	if err := cbor.Unmarshal(b, v); err != nil {
-		return fmt.Errorf("%w: %w", ErrFormat, err)
+		return fmt.Errorf("%w: %w", ErrUnknownFormat, err)
 	}
 	return nil
 }
@@ -203,16 +203,16 @@
 }
 
 // N is the number of the last entry, 0 for none.
-func (s *State) N() uint64 { return s.c.N }
+func (s *State) LastSeq() uint64 { return s.c.N }
 
 // Digest proves the history up to N.
 func (s *State) Digest() Digest { return s.digest }
 
 // Newest is the number of the newest version; Fenced of the newest that fences.
-func (s *State) Newest() uint64 { return s.c.Newest }
+func (s *State) NewestVersion() uint64 { return s.c.Newest }
 
 // Fenced as Newest.
-func (s *State) Fenced() uint64 { return s.c.Fenced }
+func (s *State) FencedVersion() uint64 { return s.c.Fenced }
 
 // Versions are those that are remembered, oldest first; the caller must not change them.
 func (s *State) Versions() []Version { return s.c.Versions }
@@ -246,43 +246,43 @@
 
 // Result is what became of a command.
 type Result struct {
-	Entry   uint64 `cbor:"1,keyasint"`
-	Version uint64 `cbor:"2,keyasint,omitempty"`
-	Again   bool   `cbor:"3,keyasint,omitempty"` // it had been carried out before
+	EntrySeq  uint64 `cbor:"1,keyasint"`
+	Version   uint64 `cbor:"2,keyasint,omitempty"`
+	Duplicate bool   `cbor:"3,keyasint,omitempty"` // it had been carried out before
 }
 
 // Apply carries out a command that the council has agreed on, in its order. A command that is refused, or that was
 // carried out before, makes no entry; this is the same for everybody who applies it.
 func (s *State) Apply(c Command) (Result, *Entry, error) {
 	for _, a := range s.c.Requests {
-		if c.Request != "" && a.Request == c.Request {
-			return Result{Entry: a.Entry, Version: a.Version, Again: true}, nil, nil
+		if c.RequestID != "" && a.Request == c.RequestID {
+			return Result{EntrySeq: a.Entry, Version: a.Version, Duplicate: true}, nil, nil
 		}
 	}
 	next, version, err := s.after(c)
 	if err != nil {
 		return Result{}, nil, err
 	}
-	e := Entry{N: s.c.N + 1, Prev: s.digest, Command: c}
+	e := Entry{Seq: s.c.N + 1, PrevDigest: s.digest, Command: c}
 	e.Digest = digest(e, next)
 	s.c, s.last, s.digest = next, e, e.Digest
-	return Result{Entry: e.N, Version: version}, &e, nil
+	return Result{EntrySeq: e.Seq, Version: version}, &e, nil
 }
 
 // Follow takes the next entry as it was made elsewhere. An error changes nothing.
-func (s *State) Follow(e Entry) error {
-	if e.N != s.c.N+1 {
-		return fmt.Errorf("%w: entry %d after %d", ErrGap, e.N, s.c.N)
+func (s *State) ApplyEntry(e Entry) error {
+	if e.Seq != s.c.N+1 {
+		return fmt.Errorf("%w: entry %d after %d", ErrMissingEntries, e.Seq, s.c.N)
 	}
-	if e.Prev != s.digest {
-		return fmt.Errorf("%w: entry %d follows %s, here is %s", ErrFork, e.N, e.Prev, s.digest)
+	if e.PrevDigest != s.digest {
+		return fmt.Errorf("%w: entry %d follows %s, here is %s", ErrDiverged, e.Seq, e.PrevDigest, s.digest)
 	}
 	next, _, err := s.after(e.Command)
 	if err != nil {
-		return fmt.Errorf("entry %d: %w", e.N, err)
+		return fmt.Errorf("entry %d: %w", e.Seq, err)
 	}
 	if digest(e, next) != e.Digest { // its maker's program applies it otherwise, or it was damaged
-		return fmt.Errorf("%w: entry %d leads elsewhere here", ErrFork, e.N)
+		return fmt.Errorf("%w: entry %d leads elsewhere here", ErrDiverged, e.Seq)
 	}
 	s.c, s.last, s.digest = next, e, e.Digest
 	return nil
@@ -303,19 +303,19 @@
 	next.N++
 	version := uint64(0)
 	switch c.Kind {
-	case Published:
-		if len(c.Text) > MostText {
-			return refuse("a version of %d bytes, at most %d are allowed", len(c.Text), MostText)
+	case PublishVersion:
+		if len(c.Text) > MaxTextBytes {
+			return refuse("a version of %d bytes, at most %d are allowed", len(c.Text), MaxTextBytes)
 		}
-		if c.Least != "" && !semver.IsValid("v"+c.Least) {
-			return refuse("least program version %q is no version such as 0.2.0", c.Least)
+		if c.MinProgram != "" && !semver.IsValid("v"+c.MinProgram) {
+			return refuse("least program version %q is no version such as 0.2.0", c.MinProgram)
 		}
-		if c.After > 0 && c.After-1 != s.c.Newest {
-			return refuse("the newest version is %d, not %d", s.c.Newest, c.After-1)
+		if c.ExpectedNewestPlus1 > 0 && c.ExpectedNewestPlus1-1 != s.c.Newest {
+			return refuse("the newest version is %d, not %d", s.c.Newest, c.ExpectedNewestPlus1-1)
 		}
 		next.Newest++
 		version = next.Newest
-		v := Version{Number: version, Entry: next.N, Sum: sha256.Sum256(c.Text), Text: c.Text, Least: c.Least, Fence: c.Fence, By: c.By, At: c.At}
+		v := Version{Number: version, EntrySeq: next.N, TextDigest: sha256.Sum256(c.Text), Text: c.Text, MinProgram: c.MinProgram, Fence: c.Fence, PublishedBy: c.RequestedBy, PublishedAt: c.IssuedAt}
 		next.Versions = append(slices.Clone(s.c.Versions), v)
 		if over := len(next.Versions) - keepVersions; over > 0 {
 			next.Versions = next.Versions[over:]
@@ -326,49 +326,49 @@
 		if c.Fence {
 			next.Fenced = version
 		}
-	case Admitted, Removed, ShutOut:
+	case AdmitMember, RemoveMember, ExcludeMember:
 		if c.Member == "" || len(c.Member) > mostName {
 			return refuse("%q is no name of a member", c.Member)
 		}
 		k, known := s.find(c.Member)
 		next.Members = slices.Clone(s.c.Members)
 		if !known {
-			if c.Kind != Admitted {
+			if c.Kind != AdmitMember {
 				return refuse("no member is called %s", c.Member)
 			}
-			next.Members = slices.Insert(next.Members, k, Member{Name: c.Member, First: c.At})
+			next.Members = slices.Insert(next.Members, k, Member{Name: c.Member, FirstAdmittedAt: c.IssuedAt})
 		}
 		m := &next.Members[k]
-		m.Since = c.At
+		m.ChangedAt = c.IssuedAt
 		switch c.Kind {
-		case Admitted:
-			if c.Run == "" { // an operator's; a process's own beginning does not undo what an operator said
-				m.Shut, m.Removed = false, false
+		case AdmitMember:
+			if c.RunID == "" { // an operator's; a process's own beginning does not undo what an operator said
+				m.Excluded, m.Removed = false, false
 			}
 			if c.Address != "" {
 				m.Address = c.Address
 			}
-			if c.Alone != "" {
-				m.Alone = c.Alone
+			if c.IsolationPolicy != "" {
+				m.IsolationPolicy = c.IsolationPolicy
 			}
-			if c.Run != "" && !m.Has(c.Run) {
-				m.Runs = append(slices.Clone(m.Runs), Began{c.Run, c.Began})
+			if c.RunID != "" && !m.HasRun(c.RunID) {
+				m.Runs = append(slices.Clone(m.Runs), RunStart{c.RunID, c.RunStartedAt})
 				if over := len(m.Runs) - keepBegan; over > 0 {
 					m.Runs = m.Runs[over:]
 				}
 			}
-		case Removed:
+		case RemoveMember:
 			m.Removed = true
-		case ShutOut:
-			m.Shut = true
+		case ExcludeMember:
+			m.Excluded = true
 		}
-	case Seated, Unseated:
+	case AddVoter, RemoveVoter:
 		next.Voters = slices.DeleteFunc(slices.Clone(s.c.Voters), func(v Voter) bool { return v.Name == c.Member })
-		if c.Kind == Seated {
-			if c.Member == "" || c.Address == "" || c.Seat == 0 {
+		if c.Kind == AddVoter {
+			if c.Member == "" || c.Address == "" || c.RaftID == 0 {
 				return refuse("a voter needs a name, an address and a seat")
 			}
-			next.Voters = append(next.Voters, Voter{c.Member, c.Address, c.Seat})
+			next.Voters = append(next.Voters, Voter{c.Member, c.Address, c.RaftID})
 			slices.SortFunc(next.Voters, func(x, y Voter) int { return strings.Compare(x.Name, y.Name) })
 		} else if len(next.Voters) == len(s.c.Voters) {
 			return refuse("no voter is called %s", c.Member)
@@ -379,8 +379,8 @@
 	default:
 		return refuse("an entry of kind %d is unknown to this program", c.Kind)
 	}
-	if c.Request != "" {
-		next.Requests = append(slices.Clone(s.c.Requests), asked{c.Request, next.N, version})
+	if c.RequestID != "" {
+		next.Requests = append(slices.Clone(s.c.Requests), asked{c.RequestID, next.N, version})
 		if over := len(next.Requests) - keepRequests; over > 0 {
 			next.Requests = next.Requests[over:]
 		}
@@ -396,7 +396,7 @@
 }
 
 // Snapshot is the state as one text.
-func (s *State) Snapshot() []byte { return Encode(snapshot{Format, s.c, s.last}) }
+func (s *State) Snapshot() []byte { return Encode(snapshot{FormatVersion, s.c, s.last}) }
 
 // Restore reads a snapshot. One whose content is not what its last entry led to is refused.
 func Restore(b []byte) (*State, error) {
@@ -404,14 +404,14 @@
 	if err := Decode(b, &x); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if x.Format != Format {
-		return nil, fmt.Errorf("snapshot: %w: format %d", ErrFormat, x.Format)
+	if x.Format != FormatVersion {
+		return nil, fmt.Errorf("snapshot: %w: format %d", ErrUnknownFormat, x.Format)
 	}
 	if x.Content.N == 0 {
 		return NewState(x.Content.Fleet, x.Content.Voters...), nil
 	}
-	if x.Last.N != x.Content.N || digest(x.Last, x.Content) != x.Last.Digest {
-		return nil, fmt.Errorf("snapshot: %w: its content is not what entry %d led to", ErrFork, x.Last.N)
+	if x.Last.Seq != x.Content.N || digest(x.Last, x.Content) != x.Last.Digest {
+		return nil, fmt.Errorf("snapshot: %w: its content is not what entry %d led to", ErrDiverged, x.Last.Seq)
 	}
 	return &State{c: x.Content, last: x.Last, digest: x.Last.Digest}, nil
 }
@@ -429,6 +429,6 @@
 }
 
 // Understands tells whether a program of the given version understands one that asks for the least.
-func Understands(program, least string) bool {
+func SupportsVersion(program, least string) bool {
 	return least == "" || semver.Compare("v"+program, "v"+least) >= 0
 }
--- a/internal/member/member.go
+++ b/internal/fleetagent/agent.go
@@ -3,7 +3,7 @@
 // where work goes, vote, or hold up the reducer: what that asks it answers from values that are there.
 //
 // This file owns its goroutines; the others the folder and the gate.
-package member
+package fleetagent
 
 import (
 	"cmp"
@@ -17,30 +17,30 @@
 	"time"
 
 	"weldmast/internal/fleet"
-	"weldmast/internal/fleetlink"
+	"weldmast/internal/fleetrpc"
 )
 
 // Options say which member this is.
 type Options struct {
-	Fleet   string
-	Name    string
-	Address string
-	Alone   fleet.Alone
-	Voters  []fleet.Voter     // as the operator's file has them; the history's go before
-	Folder  string            // empty: it keeps nothing
-	Via     map[string]string // where addresses are found from here
-	Figures fleet.Figures
-	Program string // its version
-	Run     string
-	Seed    uint64
-	Clock   Clock
-	Council fleetlink.Council // of this process; nil: none
-	Bound   func() bool       // the member's address is this process's
+	Fleet           string
+	Name            string
+	Address         string
+	IsolationPolicy fleet.IsolationPolicy
+	Voters          []fleet.Voter     // as the operator's file has them; the history's go before
+	Dir             string            // empty: it keeps nothing
+	AddressMap      map[string]string // where addresses are found from here
+	Timing          fleet.Timing
+	ProgramVersion  string // its version
+	RunID           string
+	Seed            uint64
+	Clock           Clock
+	Voter           fleetrpc.VoterService // of this process; nil: none
+	OwnsAddress     func() bool           // the member's address is this process's
 	// Bring has a version brought into force. Applied is called once, from any goroutine, when nothing begun under an
 	// older one is still to be written; what waits for a restart is said. An error: it cannot be.
-	Bring func(v fleet.Version, applied func(waits string)) error
+	ApplyVersion func(v fleet.Version, applied func(waits string)) error
 	// Check tells whether a version's text could be brought into force here.
-	Check func(text []byte) error
+	CheckVersion func(text []byte) error
 }
 
 // Times of a member.
@@ -53,22 +53,22 @@
 )
 
 // Member is one at work.
-type Member struct {
+type Agent struct {
 	o       Options
 	ctx     context.Context
 	stop    context.CancelFunc
-	client  *fleetlink.Client
-	polls   *fleetlink.Client // its end ends the poll that is under way
-	gate    *Gate
+	client  *fleetrpc.Client
+	polls   *fleetrpc.Client // its end ends the poll that is under way
+	gate    *LeaseGuard
 	folder  *folder
 	running sync.WaitGroup
 
 	mu     sync.Mutex // of all below
-	self   *fleet.Self
+	self   *fleet.LeaseHolder
 	rnd    *rand.Rand
 	leader string // address of the voter that last led
 	told   uint64 // the newest version, by the last beat's answer
-	runs   []fleet.Run
+	runs   []fleet.RunRecord
 	waits  string
 	fault  string // why it cannot follow
 	lease  string // why the council does not renew the lease
@@ -78,13 +78,13 @@
 }
 
 // Start takes up the folder and begins to follow. The first version that the folder knows is brought into force at once.
-func Start(o Options, g *Gate) *Member {
-	m := &Member{o: o, client: fleetlink.NewClient(o.Fleet, o.Via), polls: fleetlink.NewClient(o.Fleet, o.Via), gate: g, rnd: rand.New(rand.NewPCG(o.Seed, 0x666c6565))}
+func Start(o Options, g *LeaseGuard) *Agent {
+	m := &Agent{o: o, client: fleetrpc.NewClient(o.Fleet, o.AddressMap), polls: fleetrpc.NewClient(o.Fleet, o.AddressMap), gate: g, rnd: rand.New(rand.NewPCG(o.Seed, 0x666c6565))}
 	m.ctx, m.stop = context.WithCancel(context.Background())
-	m.folder = openFolder(o.Folder)
+	m.folder = openFolder(o.Dir)
 	state, runs := m.folder.read(o.Fleet)
 	m.runs = runs
-	m.self = fleet.NewSelf(o.Figures, o.Name, o.Program, o.Alone, state, o.Clock.Now())
+	m.self = fleet.NewLeaseHolder(o.Timing, o.Name, o.ProgramVersion, o.IsolationPolicy, state, o.Clock.Now())
 	m.mu.Lock()
 	m.bring()
 	m.open()
@@ -96,7 +96,7 @@
 }
 
 // Close ends it, once the dispatcher has ended: the council is told that nothing more will be done.
-func (m *Member) Close() {
+func (m *Agent) Close() {
 	m.stop()
 	m.polls.Close()
 	m.running.Wait()
@@ -108,15 +108,15 @@
 }
 
 // Vote tells of the council of this process, which came up later.
-func (m *Member) Vote(c fleetlink.Council) {
+func (m *Agent) SetVoter(c fleetrpc.VoterService) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.o.Council = c
+	m.o.Voter = c
 }
 
 // Traffic counts its calls and the bytes of them.
-func (m *Member) Traffic() (calls, read, written uint64) {
-	for _, c := range []*fleetlink.Client{m.client, m.polls} {
+func (m *Agent) Traffic() (calls, read, written uint64) {
+	for _, c := range []*fleetrpc.Client{m.client, m.polls} {
 		n, r, w := c.Traffic()
 		calls, read, written = calls+n, read+r, written+w
 	}
@@ -124,42 +124,42 @@
 }
 
 // council is that of this process; nil: none.
-func (m *Member) council() fleetlink.Council {
+func (m *Agent) council() fleetrpc.VoterService {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.o.Council
+	return m.o.Voter
 }
 
 // open sets the gate anew. The lock is held.
-func (m *Member) open() { m.gate.set(m.self.OpenUntil(m.o.Clock.Now())) }
+func (m *Agent) open() { m.gate.set(m.self.AcceptUntil(m.o.Clock.Now())) }
 
 // bring has the newest version brought into force. The lock is held.
-func (m *Member) bring() {
-	v, ok := m.self.Next()
+func (m *Agent) bring() {
+	v, ok := m.self.NextVersion()
 	if !ok {
-		if n, why := m.self.Refuses(); n > 0 && why != m.said {
+		if n, why := m.self.RefusedVersion(); n > 0 && why != m.said {
 			m.said = why
 			slog.Error("fleet", "fleet", "refuses", "version", n, "err", why)
 		}
 		return
 	}
-	err := m.o.Bring(v, func(waits string) {
+	err := m.o.ApplyVersion(v, func(waits string) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.self.Applied(v.Number)
+		m.self.VersionApplied(v.Number)
 		m.waits = waits
 		m.bring() // a newer one may have come meanwhile
 		m.open()
 		slog.Info("fleet", "fleet", "in force", "version", v.Number, "waits_for_a_restart", waits)
 	})
 	if err != nil {
-		m.self.Refuse(v.Number, err)
+		m.self.RefuseVersion(v.Number, err)
 		slog.Error("fleet", "fleet", "refuses", "version", v.Number, "err", err)
 	}
 }
 
 // voters are the addresses at which the council may be found, drawn. The lock is held.
-func (m *Member) voters() (all []string) {
+func (m *Agent) voters() (all []string) {
 	seated := m.self.State().Voters()
 	if len(seated) == 0 {
 		seated = m.o.Voters
@@ -172,7 +172,7 @@
 }
 
 // sleep waits a span; false: it is over.
-func (m *Member) sleep(span time.Duration) bool {
+func (m *Agent) sleep(span time.Duration) bool {
 	t := time.NewTimer(span)
 	defer t.Stop()
 	select {
@@ -184,7 +184,7 @@
 }
 
 // pause is drawn, so that a fleet does not ask again in step.
-func (m *Member) pause() bool {
+func (m *Agent) pause() bool {
 	m.mu.Lock()
 	span := time.Duration((0.2 + 0.8*m.rnd.Float64()) * float64(pauseMost))
 	m.mu.Unlock()
@@ -192,8 +192,8 @@
 }
 
 // beats renews the lease.
-func (m *Member) beats() {
-	every := m.o.Figures.Beat
+func (m *Agent) beats() {
+	every := m.o.Timing.Beat
 	next := m.o.Clock.Now()
 	for {
 		if again := m.beat(false); again > 0 {
@@ -215,28 +215,28 @@
 }
 
 // message is the beat as it is now. The lock is held.
-func (m *Member) message(leaving bool) fleet.Beat {
+func (m *Agent) message(leaving bool) fleet.Heartbeat {
 	s := m.self.State()
-	b := fleet.Beat{Fleet: m.o.Fleet, Format: fleet.Format, Member: m.o.Name, Address: m.o.Address, Run: m.o.Run, Bound: m.o.Bound(),
-		Alone: m.o.Alone, Program: m.o.Program, N: s.N(), Digest: s.Digest(), InForce: m.self.InForce(), Leaving: leaving,
-		Stalled: m.gate.stalled, Waits: m.waits, Lease: m.o.Figures.Lease, Drift: m.o.Figures.Drift}
-	b.Refuses, b.Why = m.self.Refuses()
-	if m.fault != "" && b.Refuses == 0 {
-		b.Why = m.fault
+	b := fleet.Heartbeat{Fleet: m.o.Fleet, Format: fleet.FormatVersion, Member: m.o.Name, Address: m.o.Address, RunID: m.o.RunID, OwnsAddress: m.o.OwnsAddress(),
+		IsolationPolicy: m.o.IsolationPolicy, ProgramVersion: m.o.ProgramVersion, LastSeq: s.LastSeq(), Digest: s.Digest(), ActiveVersion: m.self.ActiveVersion(), Leaving: leaving,
+		StalledFor: m.gate.stalled, PendingRestart: m.waits, Lease: m.o.Timing.Lease, Drift: m.o.Timing.Drift}
+	b.RefusedVersion, b.Problem = m.self.RefusedVersion()
+	if m.fault != "" && b.RefusedVersion == 0 {
+		b.Problem = m.fault
 	}
 	b.Runs = append(slices.Clone(m.runs), m.gate.record())
-	if m.o.Council != nil {
-		b.Voter, b.Seat = m.o.Council.State()
+	if m.o.Voter != nil {
+		b.VoterState, b.RequestedRaftID = m.o.Voter.Status()
 	}
 	return b
 }
 
 // beat tells the council once and takes its answer; it gives the time after which to do so again, if that is said.
-func (m *Member) beat(leaving bool) (again float64) {
-	within := time.Duration(2 * m.o.Figures.Beat * 1e6)
+func (m *Agent) beat(leaving bool) (again float64) {
+	within := time.Duration(2 * m.o.Timing.Beat * 1e6)
 	m.mu.Lock()
 	b, tries := m.message(leaving), m.voters()
-	trouble := m.leader == "" || b.Stalled > 0 // the beat before failed, or this process stood still: its poll may hang
+	trouble := m.leader == "" || b.StalledFor > 0 // the beat before failed, or this process stood still: its poll may hang
 	if m.leader != "" {
 		tries = append([]string{m.leader}, slices.DeleteFunc(tries, func(a string) bool { return a == m.leader })...)
 	}
@@ -247,8 +247,8 @@
 			break
 		}
 		sent := m.o.Clock.Now()
-		a, err := m.client.Beat(addr, b, false, within)
-		if errors.Is(err, fleetlink.ErrElsewhere) {
+		a, err := m.client.Heartbeat(addr, b, false, within)
+		if errors.Is(err, fleetrpc.ErrFleetMismatch) {
 			m.cannot(err.Error())
 		}
 		if err != nil || a.NotLeader {
@@ -256,20 +256,20 @@
 		}
 		m.mu.Lock()
 		m.leader = addr
-		if a.Leader != "" {
-			m.leader = a.Leader
+		if a.LeaderAddress != "" {
+			m.leader = a.LeaderAddress
 		}
-		m.self.Renewed(sent, a.Renewal)
+		m.self.HandleRenewal(sent, a.Renewal)
 		m.gate.stalled = 0
 		m.open()
 		newest := m.told
-		if m.told = a.Renewal.Newest; trouble {
+		if m.told = a.Renewal.NewestVersion; trouble {
 			newest = m.told
 		}
-		behind := newest > m.self.State().Newest()
+		behind := newest > m.self.State().NewestVersion()
 		m.mu.Unlock()
-		if a.Renewal.Granted == 0 && a.Renewal.Why != "" && a.Renewal.Again == 0 {
-			m.cannot(a.Renewal.Why)
+		if a.Renewal.Granted == 0 && a.Renewal.Reason != "" && a.Renewal.RetryAfter == 0 {
+			m.cannot(a.Renewal.Reason)
 		} else {
 			m.cannot("")
 		}
@@ -278,7 +278,7 @@
 		if behind && !leaving {
 			m.fetch(addr, 0)
 		}
-		return a.Renewal.Again
+		return a.Renewal.RetryAfter
 	}
 	m.mu.Lock()
 	m.leader = ""
@@ -288,7 +288,7 @@
 }
 
 // cannot notes why the council does not renew the lease.
-func (m *Member) cannot(why string) {
+func (m *Agent) cannot(why string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if why != m.lease && why != "" {
@@ -298,7 +298,7 @@
 }
 
 // follow keeps up with the history at any voter.
-func (m *Member) follow() {
+func (m *Agent) follow() {
 	for m.ctx.Err() == nil {
 		m.mu.Lock()
 		all := m.voters()
@@ -317,24 +317,24 @@
 }
 
 // fetch asks a voter once for what comes after; false: another one is to be asked.
-func (m *Member) fetch(addr string, wait time.Duration) bool {
+func (m *Agent) fetch(addr string, wait time.Duration) bool {
 	m.mu.Lock()
 	s := m.self.State()
-	q := fleetlink.After{N: s.N(), Digest: s.Digest(), Wait: float64(wait) / 1e6, Skip: len(m.part), For: m.upto}
+	q := fleetrpc.EntriesRequest{AfterSeq: s.LastSeq(), Digest: s.Digest(), Wait: float64(wait) / 1e6, SnapshotOffset: len(m.part), SnapshotSeq: m.upto}
 	m.mu.Unlock()
 	b, err := m.polls.Entries(addr, q, wait+pollMore)
-	if err != nil || b.Fault != "" || b.Busy {
+	if err != nil || b.Error != "" || b.Busy {
 		return false
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
-	case b.Fork:
-		err = fmt.Errorf("%w at entry %d, by the word of %s", fleet.ErrFork, q.N, addr)
-	case b.Size > 0:
+	case b.Diverged:
+		err = fmt.Errorf("%w at entry %d, by the word of %s", fleet.ErrDiverged, q.AfterSeq, addr)
+	case b.SnapshotSize > 0:
 		err = m.snapshot(b)
 	default:
-		err = m.self.Follow(b.Entries)
+		err = m.self.ApplyEntries(b.Entries)
 	}
 	if err != nil {
 		if m.fault != err.Error() {
@@ -344,7 +344,7 @@
 		return false
 	}
 	m.fault = ""
-	if len(b.Entries) > 0 || b.Size > 0 && m.part == nil {
+	if len(b.Entries) > 0 || b.SnapshotSize > 0 && m.part == nil {
 		m.bring()
 		m.open()
 	}
@@ -352,16 +352,16 @@
 }
 
 // snapshot takes a part of one; what is there already is kept where the link broke. The lock is held.
-func (m *Member) snapshot(b fleetlink.Batch) error {
-	if b.Skip == 0 || b.Upto != m.upto || b.Skip != len(m.part) {
-		if b.Skip != 0 {
+func (m *Agent) snapshot(b fleetrpc.EntriesReply) error {
+	if b.SnapshotOffset == 0 || b.SnapshotSeq != m.upto || b.SnapshotOffset != len(m.part) {
+		if b.SnapshotOffset != 0 {
 			m.part, m.upto = nil, 0
 			return nil
 		}
 		m.part = nil
 	}
-	m.part, m.upto = append(m.part, b.Snapshot...), b.Upto
-	if len(m.part) < b.Size {
+	m.part, m.upto = append(m.part, b.SnapshotPart...), b.SnapshotSeq
+	if len(m.part) < b.SnapshotSize {
 		return nil
 	}
 	text := m.part
@@ -370,17 +370,17 @@
 	if err != nil {
 		return err
 	}
-	return m.self.Replace(s)
+	return m.self.ReplaceState(s)
 }
 
 // saves keeps the record and the history in the folder.
-func (m *Member) saves() {
+func (m *Agent) saves() {
 	for m.sleep(saveEvery) {
 		m.save()
 	}
 }
 
-func (m *Member) save() {
+func (m *Agent) save() {
 	m.mu.Lock()
 	s, runs := m.self.State(), append(slices.Clone(m.runs), m.gate.record())
 	m.open() // what ends by time alone
@@ -389,29 +389,29 @@
 }
 
 // Ask answers an operator: by the council, at any voter that leads, or from what this member knows itself.
-func (m *Member) Ask(ctx context.Context, q fleetlink.Ask) (a fleetlink.Answer) {
+func (m *Agent) HandleAdmin(ctx context.Context, q fleetrpc.AdminRequest) (a fleetrpc.AdminReply) {
 	m.mu.Lock()
 	all := m.voters()
 	m.mu.Unlock()
-	if q.Command.Kind == fleet.Published {
+	if q.Command.Kind == fleet.PublishVersion {
 		// This guards against a version that nobody can read: fenced, it would shut out the whole fleet.
-		if err := m.o.Check(q.Command.Text); err != nil {
-			a.Fault, a.Local = fmt.Sprintf("%s cannot bring it into force: %v", m.o.Name, err), m.Local()
+		if err := m.o.CheckVersion(q.Command.Text); err != nil {
+			a.Error, a.Local = fmt.Sprintf("%s cannot bring it into force: %v", m.o.Name, err), m.LocalStatus()
 			return a
 		}
 	}
 	a.NoLeader = true
 	council := m.council()
 	if council != nil {
-		a = council.Ask(ctx, q)
+		a = council.HandleAdmin(ctx, q)
 	}
-	for began := time.Now(); a.NoLeader && !q.Direct && time.Since(began) < askWithin && m.ctx.Err() == nil; {
+	for began := time.Now(); a.NoLeader && !q.NoForward && time.Since(began) < askWithin && m.ctx.Err() == nil; {
 		for _, addr := range all {
 			if addr == m.o.Address {
 				if council != nil {
-					a = council.Ask(ctx, q)
+					a = council.HandleAdmin(ctx, q)
 				}
-			} else if at, err := m.client.Ask(addr, fleetlink.Ask{Command: q.Command, Audit: q.Audit, Version: q.Version, Since: q.Since, Direct: true}, askWithin); err == nil {
+			} else if at, err := m.client.Admin(addr, fleetrpc.AdminRequest{Command: q.Command, Audit: q.Audit, AuditVersion: q.AuditVersion, AuditSince: q.AuditSince, NoForward: true}, askWithin); err == nil {
 				a = at
 			}
 			if !a.NoLeader {
@@ -422,22 +422,22 @@
 			break
 		}
 	}
-	a.Local = m.Local()
+	a.Local = m.LocalStatus()
 	return a
 }
 
 // Local is what this member knows itself.
-func (m *Member) Local() *fleetlink.Local {
+func (m *Agent) LocalStatus() *fleetrpc.LocalStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s, now := m.self.State(), m.o.Clock.Now()
-	l := &fleetlink.Local{Member: m.o.Name, N: s.N(), Digest: s.Digest().String(), Newest: s.Newest(), InForce: m.self.InForce(),
-		Lease: max(m.self.Lease()-now, -1), Open: m.gate.Allowed(), Fork: cmp.Or(m.fault, m.lease), Waits: m.waits}
-	if n, why := m.self.Refuses(); n > 0 {
-		l.Refuses = fmt.Sprintf("version %d: %s", n, why)
+	l := &fleetrpc.LocalStatus{Member: m.o.Name, LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), ActiveVersion: m.self.ActiveVersion(),
+		LeaseRemaining: max(m.self.LeaseExpiry()-now, -1), AcceptsWork: m.gate.Allowed(), Problem: cmp.Or(m.fault, m.lease), PendingRestart: m.waits}
+	if n, why := m.self.RefusedVersion(); n > 0 {
+		l.RefusedVersion = fmt.Sprintf("version %d: %s", n, why)
 	}
-	if m.o.Council != nil {
-		l.Voter, _ = m.o.Council.State()
+	if m.o.Voter != nil {
+		l.VoterState, _ = m.o.Voter.Status()
 	}
 	return l
 }
--- a/internal/member/member_test.go
+++ b/internal/fleetagent/agent_test.go
@@ -1,4 +1,4 @@
-package member
+package fleetagent
 
 import (
 	"os"
@@ -12,24 +12,24 @@
 func TestFolder(t *testing.T) {
 	dir := t.TempDir()
 	s := fleet.NewState("f")
-	if _, _, err := s.Apply(fleet.Command{Kind: fleet.Published, Request: "r", Text: []byte("{}")}); err != nil {
+	if _, _, err := s.Apply(fleet.Command{Kind: fleet.PublishVersion, RequestID: "r", Text: []byte("{}")}); err != nil {
 		t.Fatal(err)
 	}
-	g := NewGate(NewClock(), "run")
+	g := NewLeaseGuard(NewClock(), "run")
 	g.VersionInForce(1)
 	g.RecordAction(fleet.HandedOff)
 	f := openFolder(dir)
-	f.write(s, []fleet.Run{g.record()})
+	f.write(s, []fleet.RunRecord{g.record()})
 	other := openFolder(dir)
 	other.write(fleet.NewState("f"), nil) // the folder is another process's
 	read := func() (uint64, int) {
 		s, runs := openFolder(dir).read("f")
-		return s.N(), len(runs)
+		return s.LastSeq(), len(runs)
 	}
 	if n, runs := read(); n != 1 || runs != 1 {
 		t.Fatalf("read back: %d entries, %d runs", n, runs)
 	}
-	if s, _ := openFolder(dir).read("g"); s.N() != 0 {
+	if s, _ := openFolder(dir).read("g"); s.LastSeq() != 0 {
 		t.Error("another fleet's history is taken")
 	}
 	for _, name := range []string{historyFile, recordFile} {
@@ -65,14 +65,14 @@
 
 // TestRecord: acts stand under the version in force at their moment.
 func TestRecord(t *testing.T) {
-	g := NewGate(NewClock(), "run")
+	g := NewLeaseGuard(NewClock(), "run")
 	g.RecordAction(fleet.Deferred)
 	g.VersionInForce(3)
 	g.VersionInForce(3)
 	g.RecordAction(fleet.HandedOff)
 	g.RecordAction(fleet.HandedOff)
 	r := g.record()
-	if len(r.Versions) != 2 || r.Versions[0].Kinds[fleet.Deferred].Count != 1 || r.Versions[1].Version != 3 || r.Versions[1].Kinds[fleet.HandedOff].Count != 2 {
+	if len(r.Versions) != 2 || r.Versions[0].Counts[fleet.Deferred].Count != 1 || r.Versions[1].Version != 3 || r.Versions[1].Counts[fleet.HandedOff].Count != 2 {
 		t.Errorf("%+v", r)
 	}
 	if g.Allowed() {
@@ -83,7 +83,7 @@
 		t.Error("shut")
 	}
 	g.end()
-	if g.Allowed() || !g.record().Ended {
+	if g.Allowed() || !g.record().CleanExit {
 		t.Error("ended, and open")
 	}
 }
--- a/internal/member/gate.go
+++ b/internal/fleetagent/lease_guard.go
@@ -1,7 +1,7 @@
 // This file owns the gate, which forbids, and the record of acts, which counts: both are asked by the reducer at each act
 // and must never make it wait.
 
-package member
+package fleetagent
 
 import (
 	"math"
@@ -33,60 +33,60 @@
 func (c Clock) Now() float64 { return boot() }
 
 // Unix is the same as Unix time by the machine's clock at the process's start, for people.
-func (c Clock) Unix() float64 { return c.unix + boot() }
+func (c Clock) UnixTime() float64 { return c.unix + boot() }
 
 // Gate is asked before each hand-off and told of each act.
-type Gate struct {
+type LeaseGuard struct {
 	clock   Clock
 	until   atomic.Uint64 // bits of the time until which it is open
 	stalled float64       // the member's
 
 	mu  sync.Mutex
-	run fleet.Run
+	run fleet.RunRecord
 }
 
 // NewGate is closed, with nothing booked.
-func NewGate(c Clock, run string) *Gate {
-	g := &Gate{clock: c, run: fleet.Run{ID: run, Began: c.Unix()}}
-	g.run.Since(g.run.Began, 0)
+func NewLeaseGuard(c Clock, run string) *LeaseGuard {
+	g := &LeaseGuard{clock: c, run: fleet.RunRecord{ID: run, StartedAt: c.UnixTime()}}
+	g.run.RecordVersion(g.run.StartedAt, 0)
 	g.set(math.Inf(-1))
 	return g
 }
 
-func (g *Gate) set(until float64) { g.until.Store(math.Float64bits(until)) }
+func (g *LeaseGuard) set(until float64) { g.until.Store(math.Float64bits(until)) }
 
 // Open tells whether new work may be taken and handed off at this moment.
-func (g *Gate) Allowed() bool {
+func (g *LeaseGuard) Allowed() bool {
 	until := math.Float64frombits(g.until.Load())
 	return math.IsInf(until, 1) || !math.IsInf(until, -1) && g.clock.Now() < until
 }
 
 // InForce notes that a version is in force from now on.
-func (g *Gate) VersionInForce(version uint64) {
+func (g *LeaseGuard) VersionInForce(version uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.run.Since(g.clock.Unix(), version)
+	g.run.RecordVersion(g.clock.UnixTime(), version)
 }
 
 // Act books one under the version in force.
-func (g *Gate) RecordAction(a fleet.Act) {
+func (g *LeaseGuard) RecordAction(a fleet.Action) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.run.Book(g.clock.Unix(), a)
+	g.run.RecordAction(g.clock.UnixTime(), a)
 }
 
 // record is the run up to now.
-func (g *Gate) record() fleet.Run {
+func (g *LeaseGuard) record() fleet.RunRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.run.Saved = g.clock.Unix()
+	g.run.KnownUntil = g.clock.UnixTime()
 	return g.run.Clone()
 }
 
 // end notes that nothing more will be done.
-func (g *Gate) end() {
+func (g *LeaseGuard) end() {
 	g.set(math.Inf(-1))
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.run.Ended = true
+	g.run.CleanExit = true
 }
--- a/internal/member/folder.go
+++ b/internal/fleetagent/state_dir.go
@@ -2,7 +2,7 @@
 // that is not as it was written counts as absent. It must never keep the member from its work: what cannot be written is
 // logged.
 
-package member
+package fleetagent
 
 import (
 	"encoding/binary"
@@ -39,7 +39,7 @@
 }
 
 // read gives what is there, and an empty history where nothing is.
-func (f *folder) read(name string) (*fleet.State, []fleet.Run) {
+func (f *folder) read(name string) (*fleet.State, []fleet.RunRecord) {
 	s := fleet.NewState(name)
 	if f.dir == "" {
 		return s, nil
@@ -53,7 +53,7 @@
 	} else if !errors.Is(err, os.ErrNotExist) {
 		f.say(err)
 	}
-	var runs []fleet.Run
+	var runs []fleet.RunRecord
 	if text, err := f.load(recordFile); err == nil {
 		if err := fleet.Decode(text, &runs); err != nil {
 			f.say(fmt.Errorf("%s: %w", recordFile, err))
@@ -69,7 +69,7 @@
 }
 
 // write keeps both, if the folder is this process's: an older one of this member may still hold it.
-func (f *folder) write(s *fleet.State, runs []fleet.Run) {
+func (f *folder) write(s *fleet.State, runs []fleet.RunRecord) {
 	if f.dir == "" {
 		return
 	}
@@ -83,7 +83,7 @@
 		}
 	}
 	err := f.store(recordFile, fleet.Encode(runs))
-	if err == nil && (s.Digest() != f.wrote || s.N() == 0) {
+	if err == nil && (s.Digest() != f.wrote || s.LastSeq() == 0) {
 		if err = f.store(historyFile, s.Snapshot()); err == nil {
 			f.wrote = s.Digest()
 		}
--- a/internal/fleetlink/link.go
+++ b/internal/fleetrpc/rpc.go
@@ -1,7 +1,7 @@
 // Package fleetlink is how the processes of one fleet speak: the smallest HTTP there is, one POST a message, its body CBOR
 // of bounded size that bears the fleet's name and the format. It must never decide anything, send anything a second
 // time, or be open to more than a private network: there is no sign-in.
-package fleetlink
+package fleetrpc
 
 import (
 	"context"
@@ -31,160 +31,160 @@
 
 // Bounds of the link.
 const (
-	bodyMost    = 4 << 20
-	headMost    = 4 << 10
-	readWithin  = 10 * time.Second // a whole message, and until the next one
-	WaitMost    = 10 * time.Second // a long poll
-	dialWithin  = time.Second
-	Descriptors = 64 // set aside for a member's link; a voter takes half of what there is, as each member holds two
+	bodyMost            = 4 << 20
+	headMost            = 4 << 10
+	readWithin          = 10 * time.Second // a whole message, and until the next one
+	MaxPollWait         = 10 * time.Second // a long poll
+	dialWithin          = time.Second
+	ReservedDescriptors = 64 // set aside for a member's link; a voter takes half of what there is, as each member holds two
 )
 
 // Head stands in each message.
-type Head struct {
+type Header struct {
 	Fleet  string `cbor:"1,keyasint"`
 	Format int    `cbor:"2,keyasint"`
 }
 
 // Vote holds messages of the consensus.
-type Vote struct {
-	Head Head     `cbor:"1,keyasint"`
-	From string   `cbor:"2,keyasint"` // the sender's address
-	Seat uint64   `cbor:"3,keyasint"`
-	Data [][]byte `cbor:"4,keyasint"`
+type RaftMessages struct {
+	Header      Header   `cbor:"1,keyasint"`
+	FromAddress string   `cbor:"2,keyasint"` // the sender's address
+	RaftID      uint64   `cbor:"3,keyasint"`
+	Messages    [][]byte `cbor:"4,keyasint"`
 }
 
 // Hello is a voter's that starts: it asks whether it may vote as the one it was.
 type Hello struct {
-	Head   Head   `cbor:"1,keyasint"`
+	Header Header `cbor:"1,keyasint"`
 	Voter  string `cbor:"2,keyasint"`
 	Starts uint64 `cbor:"3,keyasint"` // 0: its folder is empty
-	Run    string `cbor:"4,keyasint"` // of this start: asked again, it is the same
+	RunID  string `cbor:"4,keyasint"` // of this start: asked again, it is the same
 }
 
 // HelloAnswer is another voter's.
-type HelloAnswer struct {
-	Known uint64 `cbor:"1,keyasint"` // starts that it knows of, but for this one
-	Fault string `cbor:"2,keyasint,omitempty"`
+type HelloReply struct {
+	KnownStarts uint64 `cbor:"1,keyasint"` // starts that it knows of, but for this one
+	Error       string `cbor:"2,keyasint,omitempty"`
 }
 
 // BeatAnswer is a voter's answer to a beat.
-type BeatAnswer struct {
-	Renewal   fleet.Renewal `cbor:"1,keyasint"`
-	NotLeader bool          `cbor:"2,keyasint,omitempty"`
-	Leader    string        `cbor:"3,keyasint,omitempty"` // its address, if known
-	Fault     string        `cbor:"4,keyasint,omitempty"`
+type HeartbeatReply struct {
+	Renewal       fleet.LeaseRenewal `cbor:"1,keyasint"`
+	NotLeader     bool               `cbor:"2,keyasint,omitempty"`
+	LeaderAddress string             `cbor:"3,keyasint,omitempty"` // its address, if known
+	Error         string             `cbor:"4,keyasint,omitempty"`
 }
 
-type beatMessage struct {
-	Head Head       `cbor:"1,keyasint"`
-	Beat fleet.Beat `cbor:"2,keyasint"`
-	Via  bool       `cbor:"3,keyasint,omitempty"` // a voter that does not lead passes it on; it goes no further
+type heartbeatRequest struct {
+	Header    Header          `cbor:"1,keyasint"`
+	Heartbeat fleet.Heartbeat `cbor:"2,keyasint"`
+	Forwarded bool            `cbor:"3,keyasint,omitempty"` // a voter that does not lead passes it on; it goes no further
 }
 
 // After asks for what comes after an entry.
-type After struct {
-	Head   Head         `cbor:"1,keyasint"`
-	N      uint64       `cbor:"2,keyasint"`
-	Digest fleet.Digest `cbor:"3,keyasint"`
-	Wait   float64      `cbor:"4,keyasint"` // for so long if there is nothing yet
-	Skip   int          `cbor:"5,keyasint"` // bytes of the snapshot up to entry For that it has
-	For    uint64       `cbor:"6,keyasint"`
+type EntriesRequest struct {
+	Header         Header       `cbor:"1,keyasint"`
+	AfterSeq       uint64       `cbor:"2,keyasint"`
+	Digest         fleet.Digest `cbor:"3,keyasint"`
+	Wait           float64      `cbor:"4,keyasint"` // for so long if there is nothing yet
+	SnapshotOffset int          `cbor:"5,keyasint"` // bytes of the snapshot up to entry For that it has
+	SnapshotSeq    uint64       `cbor:"6,keyasint"`
 }
 
 // Batch is what comes after: entries, or a part of a snapshot.
-type Batch struct {
-	Entries  []fleet.Entry `cbor:"1,keyasint,omitempty"`
-	Snapshot []byte        `cbor:"2,keyasint,omitempty"` // from byte Skip on
-	Size     int           `cbor:"3,keyasint,omitempty"` // of the whole
-	Upto     uint64        `cbor:"4,keyasint,omitempty"`
-	Skip     int           `cbor:"5,keyasint,omitempty"`
-	Fork     bool          `cbor:"6,keyasint,omitempty"` // the asker's history is another one
-	Busy     bool          `cbor:"7,keyasint,omitempty"` // too many catch up at once: again after a pause
-	Fault    string        `cbor:"8,keyasint,omitempty"`
+type EntriesReply struct {
+	Entries        []fleet.Entry `cbor:"1,keyasint,omitempty"`
+	SnapshotPart   []byte        `cbor:"2,keyasint,omitempty"` // from byte Skip on
+	SnapshotSize   int           `cbor:"3,keyasint,omitempty"` // of the whole
+	SnapshotSeq    uint64        `cbor:"4,keyasint,omitempty"`
+	SnapshotOffset int           `cbor:"5,keyasint,omitempty"`
+	Diverged       bool          `cbor:"6,keyasint,omitempty"` // the asker's history is another one
+	Busy           bool          `cbor:"7,keyasint,omitempty"` // too many catch up at once: again after a pause
+	Error          string        `cbor:"8,keyasint,omitempty"`
 }
 
 // Ask is an operator's.
-type Ask struct {
-	Head    Head          `cbor:"1,keyasint"`
-	Command fleet.Command `cbor:"2,keyasint"` // what is to stand in the history; Kind 0: nothing, only tell
-	Audit   bool          `cbor:"3,keyasint,omitempty"`
-	Version uint64        `cbor:"4,keyasint,omitempty"` // of the audit
-	Since   float64       `cbor:"5,keyasint,omitempty"`
-	Direct  bool          `cbor:"6,keyasint,omitempty"` // not to be passed on
+type AdminRequest struct {
+	Header       Header        `cbor:"1,keyasint"`
+	Command      fleet.Command `cbor:"2,keyasint"` // what is to stand in the history; Kind 0: nothing, only tell
+	Audit        bool          `cbor:"3,keyasint,omitempty"`
+	AuditVersion uint64        `cbor:"4,keyasint,omitempty"` // of the audit
+	AuditSince   float64       `cbor:"5,keyasint,omitempty"`
+	NoForward    bool          `cbor:"6,keyasint,omitempty"` // not to be passed on
 }
 
 // Answer is what an operator is told.
-type Answer struct {
+type AdminReply struct {
 	Result   fleet.Result `cbor:"1,keyasint"`
 	Audit    *fleet.Audit `cbor:"2,keyasint,omitempty"`
-	Status   *Status      `cbor:"3,keyasint,omitempty"`
-	Fault    string       `cbor:"4,keyasint,omitempty"`
+	Status   *FleetStatus `cbor:"3,keyasint,omitempty"`
+	Error    string       `cbor:"4,keyasint,omitempty"`
 	NoLeader bool         `cbor:"5,keyasint,omitempty"` // nobody who leads could be reached: it may have been taken all the same
-	Local    *Local       `cbor:"6,keyasint,omitempty"` // what the member that was asked knows itself
+	Local    *LocalStatus `cbor:"6,keyasint,omitempty"` // what the member that was asked knows itself
 }
 
 // Status is the fleet's.
-type Status struct {
-	Fleet   string         `cbor:"1,keyasint" json:"fleet"`
-	N       uint64         `cbor:"2,keyasint" json:"entries"`
-	Digest  string         `cbor:"3,keyasint" json:"digest"`
-	Newest  uint64         `cbor:"4,keyasint" json:"newest"`
-	Fenced  uint64         `cbor:"5,keyasint" json:"fenced"`
-	Fence   float64        `cbor:"6,keyasint" json:"fence_complete_ms"` // 0: none, or not yet
-	Waits   []fleet.Wait   `cbor:"7,keyasint" json:"fence_waits_for"`
-	Leader  string         `cbor:"8,keyasint" json:"leader"`
-	Voters  []VoterStatus  `cbor:"9,keyasint" json:"voters"`
-	Members []fleet.Status `cbor:"10,keyasint" json:"members"`
+type FleetStatus struct {
+	Fleet           string               `cbor:"1,keyasint" json:"fleet"`
+	LastSeq         uint64               `cbor:"2,keyasint" json:"entries"`
+	Digest          string               `cbor:"3,keyasint" json:"digest"`
+	NewestVersion   uint64               `cbor:"4,keyasint" json:"newest"`
+	FencedVersion   uint64               `cbor:"5,keyasint" json:"fenced"`
+	FenceCompleteAt float64              `cbor:"6,keyasint" json:"fence_complete_ms"` // 0: none, or not yet
+	FenceWaits      []fleet.FenceWait    `cbor:"7,keyasint" json:"fence_waits_for"`
+	Leader          string               `cbor:"8,keyasint" json:"leader"`
+	Voters          []VoterStatus        `cbor:"9,keyasint" json:"voters"`
+	Members         []fleet.MemberStatus `cbor:"10,keyasint" json:"members"`
 }
 
 // VoterStatus is one voter's as the leader sees it.
 type VoterStatus struct {
-	Name  string  `cbor:"1,keyasint" json:"name"`
-	Heard float64 `cbor:"2,keyasint" json:"heard_ms_ago"` // below 0: not since the leader's election
+	Name         string  `cbor:"1,keyasint" json:"name"`
+	SinceContact float64 `cbor:"2,keyasint" json:"heard_ms_ago"` // below 0: not since the leader's election
 }
 
 // Local is what one member knows itself, council or none.
-type Local struct {
-	Member  string  `cbor:"1,keyasint" json:"member"`
-	N       uint64  `cbor:"2,keyasint" json:"entries"`
-	Digest  string  `cbor:"3,keyasint" json:"digest"`
-	Newest  uint64  `cbor:"4,keyasint" json:"newest"`
-	InForce uint64  `cbor:"5,keyasint" json:"in_force"`
-	Lease   float64 `cbor:"6,keyasint" json:"lease_ms"`
-	Open    bool    `cbor:"7,keyasint" json:"takes_work"`
-	Refuses string  `cbor:"8,keyasint" json:"refuses,omitempty"`
-	Voter   string  `cbor:"9,keyasint" json:"voter,omitempty"`
-	Fork    string  `cbor:"10,keyasint" json:"fault,omitempty"`
-	Waits   string  `cbor:"11,keyasint" json:"waits_for_a_restart,omitempty"`
+type LocalStatus struct {
+	Member         string  `cbor:"1,keyasint" json:"member"`
+	LastSeq        uint64  `cbor:"2,keyasint" json:"entries"`
+	Digest         string  `cbor:"3,keyasint" json:"digest"`
+	NewestVersion  uint64  `cbor:"4,keyasint" json:"newest"`
+	ActiveVersion  uint64  `cbor:"5,keyasint" json:"in_force"`
+	LeaseRemaining float64 `cbor:"6,keyasint" json:"lease_ms"`
+	AcceptsWork    bool    `cbor:"7,keyasint" json:"takes_work"`
+	RefusedVersion string  `cbor:"8,keyasint" json:"refuses,omitempty"`
+	VoterState     string  `cbor:"9,keyasint" json:"voter,omitempty"`
+	Problem        string  `cbor:"10,keyasint" json:"fault,omitempty"`
+	PendingRestart string  `cbor:"11,keyasint" json:"waits_for_a_restart,omitempty"`
 }
 
 // Council is the part of a process that votes, where it has one.
-type Council interface {
-	Vote(Vote)
-	Hello(Hello) HelloAnswer
+type VoterService interface {
+	HandleRaftMessages(RaftMessages)
+	HandleHello(Hello) HelloReply
 	// Beat passes on to the leader what it cannot answer, unless that came via a voter already.
-	Beat(ctx context.Context, b fleet.Beat, via bool) BeatAnswer
-	Entries(context.Context, After) Batch
+	HandleHeartbeat(ctx context.Context, b fleet.Heartbeat, via bool) HeartbeatReply
+	HandleEntries(context.Context, EntriesRequest) EntriesReply
 	// Ask answers as the leader; NoLeader if it does not lead.
-	Ask(context.Context, Ask) Answer
+	HandleAdmin(context.Context, AdminRequest) AdminReply
 	// State says in a few words how it votes, and which seat it asks for if it has lost its own.
-	State() (string, uint64)
+	Status() (string, uint64)
 	Close()
 }
 
 // Member is the part that follows.
-type Member interface {
-	Ask(context.Context, Ask) Answer
+type MemberService interface {
+	HandleAdmin(context.Context, AdminRequest) AdminReply
 }
 
 // ErrElsewhere: the message is of another fleet or format.
-var ErrElsewhere = errors.New("of another fleet or format")
+var ErrFleetMismatch = errors.New("of another fleet or format")
 
 // Server answers at a member's address.
 type Server struct {
-	head     Head
-	council  Council // nil: none
-	member   Member
+	head     Header
+	council  VoterService // nil: none
+	member   MemberService
 	server   *fasthttp.Server
 	listener net.Listener
 	ctx      context.Context
@@ -193,8 +193,8 @@
 }
 
 // Serve answers on a listener until Close, so many calls at once at most.
-func Serve(l net.Listener, name string, most int, council Council, member Member) *Server {
-	s := &Server{head: Head{name, fleet.Format}, council: council, member: member, listener: l}
+func Serve(l net.Listener, name string, most int, council VoterService, member MemberService) *Server {
+	s := &Server{head: Header{name, fleet.FormatVersion}, council: council, member: member, listener: l}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.server = &fasthttp.Server{Handler: s.handle, Concurrency: most, ReadTimeout: readWithin, WriteTimeout: readWithin,
 		IdleTimeout: 3 * readWithin, ReadBufferSize: headMost, MaxRequestBodySize: bodyMost, NoDefaultServerHeader: true, SecureErrorLogMessage: true, Logger: silent{}}
@@ -230,23 +230,23 @@
 	case path == pathThere:
 		ctx.SetBodyString("there\n")
 	case path == pathAsk:
-		answer(s, ctx, body, func(m Ask) Head { return m.Head }, func(m Ask) any { return s.member.Ask(s.ctx, m) })
+		answer(s, ctx, body, func(m AdminRequest) Header { return m.Header }, func(m AdminRequest) any { return s.member.HandleAdmin(s.ctx, m) })
 	case s.council == nil:
 		ctx.Error("no voter\n", fasthttp.StatusNotFound)
 	case path == pathVote:
-		answer(s, ctx, body, func(m Vote) Head { return m.Head }, func(m Vote) any { s.council.Vote(m); return true })
+		answer(s, ctx, body, func(m RaftMessages) Header { return m.Header }, func(m RaftMessages) any { s.council.HandleRaftMessages(m); return true })
 	case path == pathHello:
-		answer(s, ctx, body, func(m Hello) Head { return m.Head }, func(m Hello) any { return s.council.Hello(m) })
+		answer(s, ctx, body, func(m Hello) Header { return m.Header }, func(m Hello) any { return s.council.HandleHello(m) })
 	case path == pathBeat:
-		answer(s, ctx, body, func(m beatMessage) Head { return m.Head }, func(m beatMessage) any { return s.council.Beat(s.ctx, m.Beat, m.Via) })
+		answer(s, ctx, body, func(m heartbeatRequest) Header { return m.Header }, func(m heartbeatRequest) any { return s.council.HandleHeartbeat(s.ctx, m.Heartbeat, m.Forwarded) })
 	case path == pathEntries:
-		answer(s, ctx, body, func(m After) Head { return m.Head }, func(m After) any { return s.council.Entries(s.ctx, m) })
+		answer(s, ctx, body, func(m EntriesRequest) Header { return m.Header }, func(m EntriesRequest) any { return s.council.HandleEntries(s.ctx, m) })
 	default:
 		ctx.Error("no such path\n", fasthttp.StatusNotFound)
 	}
 }
 
-func answer[M any](s *Server, ctx *fasthttp.RequestCtx, body []byte, head func(M) Head, do func(M) any) {
+func answer[M any](s *Server, ctx *fasthttp.RequestCtx, body []byte, head func(M) Header, do func(M) any) {
 	var m M
 	if err := fleet.Decode(body, &m); err != nil {
 		slog.Warn("fleet", "fleet", "unread", "from", ctx.RemoteAddr(), "err", err)
@@ -264,7 +264,7 @@
 
 // Client calls other processes of the fleet. Each call is made once.
 type Client struct {
-	head Head
+	head Header
 	via  map[string]string
 	c    *fasthttp.Client
 	mu   sync.Mutex
@@ -310,7 +310,7 @@
 // NewClient speaks for the named fleet. Via tells where addresses are found from here; those that it lacks are found where
 // they are.
 func NewClient(name string, via map[string]string) *Client {
-	c := &Client{head: Head{name, fleet.Format}, via: via, open: map[*dialed]bool{}}
+	c := &Client{head: Header{name, fleet.FormatVersion}, via: via, open: map[*dialed]bool{}}
 	c.c = &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
 		RetryIfErr:      func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		MaxConnsPerHost: 64, MaxResponseBodySize: bodyMost, MaxIdleConnDuration: readWithin, StreamResponseBody: false,
@@ -370,7 +370,7 @@
 	switch r.StatusCode() {
 	case fasthttp.StatusOK:
 	case fasthttp.StatusConflict:
-		return a, fmt.Errorf("%s: %w: %s", addr, ErrElsewhere, r.Body())
+		return a, fmt.Errorf("%s: %w: %s", addr, ErrFleetMismatch, r.Body())
 	default:
 		return a, fmt.Errorf("%s: answered %d", addr, r.StatusCode())
 	}
@@ -381,37 +381,37 @@
 }
 
 // Vote brings another voter messages.
-func (c *Client) Vote(addr string, v Vote, within time.Duration) error {
-	v.Head = c.head
+func (c *Client) SendRaftMessages(addr string, v RaftMessages, within time.Duration) error {
+	v.Header = c.head
 	_, err := call[bool](c, addr, pathVote, within, v)
 	return err
 }
 
 // Hello asks another voter whether it knows this one.
-func (c *Client) Hello(addr string, h Hello, within time.Duration) (HelloAnswer, error) {
-	h.Head = c.head
-	return call[HelloAnswer](c, addr, pathHello, within, h)
+func (c *Client) Hello(addr string, h Hello, within time.Duration) (HelloReply, error) {
+	h.Header = c.head
+	return call[HelloReply](c, addr, pathHello, within, h)
 }
 
 // Beat brings a member's beat to a voter.
-func (c *Client) Beat(addr string, b fleet.Beat, via bool, within time.Duration) (BeatAnswer, error) {
-	return call[BeatAnswer](c, addr, pathBeat, within, beatMessage{c.head, b, via})
+func (c *Client) Heartbeat(addr string, b fleet.Heartbeat, via bool, within time.Duration) (HeartbeatReply, error) {
+	return call[HeartbeatReply](c, addr, pathBeat, within, heartbeatRequest{c.head, b, via})
 }
 
 // Entries asks a voter for what comes after.
-func (c *Client) Entries(addr string, a After, within time.Duration) (Batch, error) {
-	a.Head = c.head
-	return call[Batch](c, addr, pathEntries, within, a)
+func (c *Client) Entries(addr string, a EntriesRequest, within time.Duration) (EntriesReply, error) {
+	a.Header = c.head
+	return call[EntriesReply](c, addr, pathEntries, within, a)
 }
 
 // Ask asks a member as an operator does.
-func (c *Client) Ask(addr string, a Ask, within time.Duration) (Answer, error) {
-	a.Head = c.head
-	return call[Answer](c, addr, pathAsk, within, a)
+func (c *Client) Admin(addr string, a AdminRequest, within time.Duration) (AdminReply, error) {
+	a.Header = c.head
+	return call[AdminReply](c, addr, pathAsk, within, a)
 }
 
 // There finds out what of a silent member is left: an error tells whether its address or its process is gone.
-func (c *Client) There(addr string, within time.Duration) (connects bool, err error) {
+func (c *Client) Probe(addr string, within time.Duration) (connects bool, err error) {
 	conn, err := c.dial(addr, within)
 	if err != nil {
 		return false, fmt.Errorf("%s: %w", addr, err)
--- a/internal/node/lease_guard_test.go
+++ b/internal/node/lease_guard_test.go
@@ -42,7 +42,7 @@
 func (f *fleetFront) CloseIdle()                            {}
 func (f *fleetFront) Allowed() bool                         { return f.open }
 func (f *fleetFront) VersionInForce(version uint64)         { f.version = version }
-func (f *fleetFront) RecordAction(a fleet.Act)              { f.acts[a]++ }
+func (f *fleetFront) RecordAction(a fleet.Action)           { f.acts[a]++ }
 
 func (f *fleetFront) client(id string, category int) RequestArrived {
 	c := &Request{ID: id, Category: category, Tenant: -1, Hint: 10, Expiry: f.now + 5000}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -237,7 +237,7 @@
 	Allowed() bool
 	// InForce tells that a version of the fleet's is in force, Act that something was done.
 	VersionInForce(version uint64)
-	RecordAction(fleet.Act)
+	RecordAction(fleet.Action)
 }
 
 // Known is all that a process tells the one that takes its place.
@@ -671,7 +671,7 @@
 }
 
 // book counts an act, where somebody keeps account.
-func (n *Node) book(a fleet.Act) {
+func (n *Node) book(a fleet.Action) {
 	if n.gate != nil {
 		n.gate.RecordAction(a)
 	}
--- a/internal/program/ask.go
+++ b/internal/program/ask.go
@@ -21,7 +21,7 @@
 
 	"weldmast/internal/config"
 	"weldmast/internal/fleet"
-	"weldmast/internal/fleetlink"
+	"weldmast/internal/fleetrpc"
 )
 
 type fleetCommand struct {
@@ -77,7 +77,7 @@
 // asker finds a member and asks it.
 type asker struct {
 	asking
-	client *fleetlink.Client
+	client *fleetrpc.Client
 	addrs  []string
 }
 
@@ -108,15 +108,15 @@
 		}
 		x.Request = hex.EncodeToString(b[:])
 	}
-	x.client = fleetlink.NewClient(name, nil)
+	x.client = fleetrpc.NewClient(name, nil)
 	return x, nil
 }
 
 // ask asks members in turn until one has an answer.
-func (x *asker) ask(q fleetlink.Ask) (a fleetlink.Answer, err error) {
+func (x *asker) ask(q fleetrpc.AdminRequest) (a fleetrpc.AdminReply, err error) {
 	err = errNobody
 	for _, addr := range x.addrs {
-		got, e := x.client.Ask(addr, q, askWithin)
+		got, e := x.client.Admin(addr, q, askWithin)
 		if e != nil {
 			err = e
 			continue
@@ -129,20 +129,20 @@
 }
 
 // command has something stand in the history.
-func (x *asker) command(c fleet.Command) (fleetlink.Answer, error) {
-	c.Request, c.At = x.Request, float64(time.Now().UnixMicro())/1000
-	c.By = "unknown"
+func (x *asker) command(c fleet.Command) (fleetrpc.AdminReply, error) {
+	c.RequestID, c.IssuedAt = x.Request, float64(time.Now().UnixMicro())/1000
+	c.RequestedBy = "unknown"
 	if u, err := user.Current(); err == nil {
-		c.By = u.Username
+		c.RequestedBy = u.Username
 	}
-	a, err := x.ask(fleetlink.Ask{Command: c})
+	a, err := x.ask(fleetrpc.AdminRequest{Command: c})
 	switch {
 	case err != nil:
 		return a, fmt.Errorf("%w; whether it was taken is not known: the same again with --request %s carries it out once", err, x.Request)
 	case a.NoLeader:
 		return a, fmt.Errorf("the council has no leader that can be reached; whether it was taken is not known: the same again with --request %s carries it out once", x.Request)
-	case a.Fault != "":
-		return a, fmt.Errorf("%s", a.Fault)
+	case a.Error != "":
+		return a, fmt.Errorf("%s", a.Error)
 	}
 	return a, nil
 }
@@ -165,7 +165,7 @@
 var errUsage = fmt.Errorf("no such command")
 
 func (c *fleetCommand) do(out io.Writer) error {
-	of := func(kind fleet.Kind, n *fleetName) error {
+	of := func(kind fleet.CommandKind, n *fleetName) error {
 		x, err := n.asker()
 		if err != nil {
 			return err
@@ -174,7 +174,7 @@
 		if err != nil {
 			return err
 		}
-		return x.show(out, a.Result, fmt.Sprintf("%s: %s, entry %d\n", n.Member, kind, a.Result.Entry))
+		return x.show(out, a.Result, fmt.Sprintf("%s: %s, entry %d\n", n.Member, kind, a.Result.EntrySeq))
 	}
 	switch {
 	case c.Status != nil:
@@ -184,11 +184,11 @@
 	case c.Publish != nil:
 		return c.Publish.do(out)
 	case c.ShutOut != nil:
-		return of(fleet.ShutOut, c.ShutOut)
+		return of(fleet.ExcludeMember, c.ShutOut)
 	case c.Admit != nil:
-		return of(fleet.Admitted, c.Admit)
+		return of(fleet.AdmitMember, c.Admit)
 	case c.Remove != nil:
-		return of(fleet.Removed, c.Remove)
+		return of(fleet.RemoveMember, c.Remove)
 	case c.Voters != nil:
 		return c.Voters.do(out)
 	}
@@ -211,7 +211,7 @@
 	if err != nil {
 		return err
 	}
-	a, err := x.ask(fleetlink.Ask{})
+	a, err := x.ask(fleetrpc.AdminRequest{})
 	if err != nil {
 		return err
 	}
@@ -219,7 +219,7 @@
 	if a.Status == nil {
 		fmt.Fprintln(&b, "no leader can be reached; this is what the member itself knows")
 		if l := a.Local; l != nil {
-			fmt.Fprintf(&b, "%s: version %d in force, %d is the newest it knows; lease %s; takes work: %v; voter: %s\n", l.Member, l.InForce, l.Newest, span(l.Lease), l.Open, cmp.Or(l.Voter, "none"))
+			fmt.Fprintf(&b, "%s: version %d in force, %d is the newest it knows; lease %s; takes work: %v; voter: %s\n", l.Member, l.ActiveVersion, l.NewestVersion, span(l.LeaseRemaining), l.AcceptsWork, cmp.Or(l.VoterState, "none"))
 		}
 		if err := x.show(out, a.Local, b.String()); err != nil {
 			return err
@@ -227,22 +227,22 @@
 		return fmt.Errorf("the council has no leader that can be reached")
 	}
 	st := a.Status
-	fmt.Fprintf(&b, "fleet %s: %d entries, digest %s, newest version %d, led by %s\n", st.Fleet, st.N, st.Digest, st.Newest, st.Leader)
+	fmt.Fprintf(&b, "fleet %s: %d entries, digest %s, newest version %d, led by %s\n", st.Fleet, st.LastSeq, st.Digest, st.NewestVersion, st.Leader)
 	switch {
-	case st.Fenced > 0 && st.Fence > 0:
-		fmt.Fprintf(&b, "fence %d: complete since %s; nobody acts on an older version\n", st.Fenced, clock(st.Fence))
-	case st.Fenced > 0:
-		fmt.Fprintf(&b, "fence %d: not complete\n", st.Fenced)
-		for _, w := range st.Waits {
-			fmt.Fprintf(&b, "  waits for %s: %s%s\n", w.Member, w.Why, within(w.Until))
+	case st.FencedVersion > 0 && st.FenceCompleteAt > 0:
+		fmt.Fprintf(&b, "fence %d: complete since %s; nobody acts on an older version\n", st.FencedVersion, clock(st.FenceCompleteAt))
+	case st.FencedVersion > 0:
+		fmt.Fprintf(&b, "fence %d: not complete\n", st.FencedVersion)
+		for _, w := range st.FenceWaits {
+			fmt.Fprintf(&b, "  waits for %s: %s%s\n", w.Member, w.Reason, within(w.Remaining))
 		}
 	}
 	for _, v := range st.Voters {
-		fmt.Fprintf(&b, "voter %s: heard %s\n", v.Name, ago(v.Heard))
+		fmt.Fprintf(&b, "voter %s: heard %s\n", v.Name, ago(v.SinceContact))
 	}
 	for _, m := range st.Members {
-		fmt.Fprintf(&b, "%-12s %-10s version %-4d lease %-8s heard %-16s %s\n", m.Member, m.Standing, m.InForce, span(m.Lease), ago(m.Heard), m.Cause)
-		for _, more := range []string{prefixed("waits for a restart: ", m.Waits), prefixed("voter: ", m.Voter)} {
+		fmt.Fprintf(&b, "%-12s %-10s version %-4d lease %-8s heard %-16s %s\n", m.Member, m.State, m.ActiveVersion, span(m.LeaseRemaining), ago(m.SinceContact), m.Cause)
+		for _, more := range []string{prefixed("waits for a restart: ", m.PendingRestart), prefixed("voter: ", m.VoterState)} {
 			if more != "" {
 				fmt.Fprintf(&b, "%-12s %s\n", "", more)
 			}
@@ -291,12 +291,12 @@
 	if err != nil {
 		return err
 	}
-	q := fleetlink.Ask{Audit: true, Version: s.Version}
+	q := fleetrpc.AdminRequest{Audit: true, AuditVersion: s.Version}
 	if s.Since != "" {
 		if d, err := time.ParseDuration(s.Since); err == nil {
-			q.Since = float64(time.Now().Add(-d).UnixMilli())
+			q.AuditSince = float64(time.Now().Add(-d).UnixMilli())
 		} else if t, err := time.Parse(time.RFC3339, s.Since); err == nil {
-			q.Since = float64(t.UnixMilli())
+			q.AuditSince = float64(t.UnixMilli())
 		} else {
 			return fmt.Errorf("--since: %q is neither a time such as 2026-12-01T10:00:00Z nor one ago such as 15m", s.Since)
 		}
@@ -309,42 +309,42 @@
 		return fmt.Errorf("the council has no leader that can be reached: nobody has all reports")
 	}
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%d entries, digest %s, newest version %d\n", a.Audit.N, a.Audit.Digest, a.Audit.Newest)
+	fmt.Fprintf(&b, "%d entries, digest %s, newest version %d\n", a.Audit.LastSeq, a.Audit.Digest, a.Audit.NewestVersion)
 	for _, v := range a.Audit.Versions {
 		switch {
 		case v.Version == 0:
 			fmt.Fprintln(&b, "version 0: each member's own files")
-		case v.Complete > 0:
-			fmt.Fprintf(&b, "version %d %s: published %s by %s; fence complete %s\n", v.Version, v.Sum, clock(v.Published), v.By, clock(v.Complete))
+		case v.FenceCompleteAt > 0:
+			fmt.Fprintf(&b, "version %d %s: published %s by %s; fence complete %s\n", v.Version, v.TextDigest, clock(v.PublishedAt), v.PublishedBy, clock(v.FenceCompleteAt))
 		default:
-			fmt.Fprintf(&b, "version %d %s: published %s by %s%s\n", v.Version, v.Sum, clock(v.Published), v.By, map[bool]string{true: "; fence not complete"}[v.Fence])
+			fmt.Fprintf(&b, "version %d %s: published %s by %s%s\n", v.Version, v.TextDigest, clock(v.PublishedAt), v.PublishedBy, map[bool]string{true: "; fence not complete"}[v.Fence])
 		}
-		for _, w := range v.Waits {
-			fmt.Fprintf(&b, "  waits for %s: %s%s\n", w.Member, w.Why, within(w.Until))
+		for _, w := range v.FenceWaits {
+			fmt.Fprintf(&b, "  waits for %s: %s%s\n", w.Member, w.Reason, within(w.Remaining))
 		}
-		if v.LastOlder > 0 {
-			fmt.Fprintf(&b, "  last act on an older one: %s by %s, as far as is known\n", clock(v.LastOlder), v.OlderBy)
+		if v.LastOlderAction > 0 {
+			fmt.Fprintf(&b, "  last act on an older one: %s by %s, as far as is known\n", clock(v.LastOlderAction), v.LastOlderMember)
 		}
 		for _, l := range v.Lines {
-			fmt.Fprintf(&b, "  %-12s run %.8s in force %s", l.Member, l.Run, clock(l.Acts.Since))
-			for k, t := range l.Acts.Kinds {
+			fmt.Fprintf(&b, "  %-12s run %.8s in force %s", l.Member, l.RunID, clock(l.Actions.ActiveSince))
+			for k, t := range l.Actions.Counts {
 				if t.Count > 0 {
-					fmt.Fprintf(&b, "; %s %d, %s to %s", fleet.Act(k), t.Count, clock(t.First), clock(t.Last))
+					fmt.Fprintf(&b, "; %s %d, %s to %s", fleet.Action(k), t.Count, clock(t.First), clock(t.Last))
 				}
 			}
 			fmt.Fprintf(&b, " (%s)\n", l.Evidence)
 		}
 	}
-	for _, g := range a.Audit.Unknown {
+	for _, g := range a.Audit.Gaps {
 		to := "now"
-		if g.Span.To > 0 {
-			to = clock(g.Span.To)
+		if g.Interval.To > 0 {
+			to = clock(g.Interval.To)
 		}
-		fmt.Fprintf(&b, "unknown: %s from %s to %s\n", g.Member, clock(g.Span.From), to)
+		fmt.Fprintf(&b, "unknown: %s from %s to %s\n", g.Member, clock(g.Interval.From), to)
 	}
 	for _, m := range a.Audit.Members {
-		if m.Standing != fleet.Current {
-			fmt.Fprintf(&b, "%s: %s, version %d: %s\n", m.Member, m.Standing, m.InForce, m.Cause)
+		if m.State != fleet.MemberCurrent {
+			fmt.Fprintf(&b, "%s: %s, version %d: %s\n", m.Member, m.State, m.ActiveVersion, m.Cause)
 		}
 	}
 	return x.show(out, a.Audit, b.String())
@@ -359,40 +359,40 @@
 	if err != nil {
 		return err
 	}
-	c := fleet.Command{Kind: fleet.Published, Text: text, Least: s.Least, Fence: s.Fence}
+	c := fleet.Command{Kind: fleet.PublishVersion, Text: text, MinProgram: s.Least, Fence: s.Fence}
 	if s.After != nil {
-		c.After = *s.After + 1
+		c.ExpectedNewestPlus1 = *s.After + 1
 	}
 	a, err := x.command(c)
 	if err != nil {
 		return err
 	}
-	said := fmt.Sprintf("version %d, entry %d%s\n", a.Result.Version, a.Result.Entry, map[bool]string{true: ", as before"}[a.Result.Again])
+	said := fmt.Sprintf("version %d, entry %d%s\n", a.Result.Version, a.Result.EntrySeq, map[bool]string{true: ", as before"}[a.Result.Duplicate])
 	if !s.Wait {
 		return x.show(out, a.Result, said)
 	}
 	waits := ""
 	for end := time.Now().Add(waitWithin); time.Now().Before(end); time.Sleep(waitEvery) {
-		st, err := x.ask(fleetlink.Ask{})
+		st, err := x.ask(fleetrpc.AdminRequest{})
 		if err != nil || st.Status == nil {
 			waits = "the council has no leader that can be reached"
 			continue
 		}
 		var open []string
 		if s.Fence {
-			for _, w := range st.Status.Waits {
-				open = append(open, w.Member+" ("+w.Why+")")
+			for _, w := range st.Status.FenceWaits {
+				open = append(open, w.Member+" ("+w.Reason+")")
 			}
 		} else {
 			for _, m := range st.Status.Members {
-				if m.InForce < a.Result.Version && slices.Contains([]fleet.Standing{fleet.Current, fleet.Behind, fleet.Straggler}, m.Standing) {
-					open = append(open, m.Member+" ("+string(m.Standing)+": "+m.Cause+")")
+				if m.ActiveVersion < a.Result.Version && slices.Contains([]fleet.MemberState{fleet.MemberCurrent, fleet.MemberBehind, fleet.MemberStraggler}, m.State) {
+					open = append(open, m.Member+" ("+string(m.State)+": "+m.Cause+")")
 				}
 			}
 		}
-		if waits = strings.Join(open, ", "); waits == "" && (!s.Fence || st.Status.Fence > 0) {
+		if waits = strings.Join(open, ", "); waits == "" && (!s.Fence || st.Status.FenceCompleteAt > 0) {
 			if s.Fence {
-				said += fmt.Sprintf("fence complete since %s\n", clock(st.Status.Fence))
+				said += fmt.Sprintf("fence complete since %s\n", clock(st.Status.FenceCompleteAt))
 			} else {
 				said += "in force at all that were heard of\n"
 			}
@@ -408,13 +408,13 @@
 		return err
 	}
 	if s.Replace != "" {
-		a, err := x.command(fleet.Command{Kind: fleet.Seated, Member: s.Replace})
+		a, err := x.command(fleet.Command{Kind: fleet.AddVoter, Member: s.Replace})
 		if err != nil {
 			return err
 		}
-		return x.show(out, a.Result, fmt.Sprintf("%s: seated anew, entry %d\n", s.Replace, a.Result.Entry))
+		return x.show(out, a.Result, fmt.Sprintf("%s: seated anew, entry %d\n", s.Replace, a.Result.EntrySeq))
 	}
-	a, err := x.ask(fleetlink.Ask{})
+	a, err := x.ask(fleetrpc.AdminRequest{})
 	if err != nil {
 		return err
 	}
@@ -423,7 +423,7 @@
 	}
 	var b bytes.Buffer
 	for _, v := range a.Status.Voters {
-		fmt.Fprintf(&b, "%s: heard %s\n", v.Name, ago(v.Heard))
+		fmt.Fprintf(&b, "%s: heard %s\n", v.Name, ago(v.SinceContact))
 	}
 	return x.show(out, a.Status.Voters, b.String())
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -22,8 +22,8 @@
 
 	"weldmast/internal/config"
 	"weldmast/internal/fleet"
-	"weldmast/internal/fleetlink"
-	"weldmast/internal/member"
+	"weldmast/internal/fleetagent"
+	"weldmast/internal/fleetrpc"
 	"weldmast/internal/node"
 	"weldmast/internal/settings"
 )
@@ -111,8 +111,8 @@
 	m       config.Membership
 	own     config.Config
 	force   *inForce
-	clock   member.Clock
-	gate    *member.Gate
+	clock   fleetagent.Clock
+	gate    *fleetagent.LeaseGuard
 	run     string
 	seed    uint64
 	voting  Voting
@@ -121,9 +121,9 @@
 
 	bound   atomic.Bool // the member's address is this process's
 	mu      sync.Mutex
-	council fleetlink.Council
-	member  *member.Member
-	server  *fleetlink.Server
+	council fleetrpc.VoterService
+	member  *fleetagent.Agent
+	server  *fleetrpc.Server
 }
 
 // join prepares the part.
@@ -143,18 +143,18 @@
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	p := &part{m: m, own: own, force: force, clock: member.NewClock(), run: hex.EncodeToString(random[:8]), voting: voting, stop: make(chan struct{}),
+	p := &part{m: m, own: own, force: force, clock: fleetagent.NewClock(), run: hex.EncodeToString(random[:8]), voting: voting, stop: make(chan struct{}),
 		seed: binary.BigEndian.Uint64(random[8:])}
-	p.gate = member.NewGate(p.clock, p.run)
+	p.gate = fleetagent.NewLeaseGuard(p.clock, p.run)
 	return p, nil
 }
 
 // descriptors are those that the part may use, out of the limit.
 func (p *part) descriptors() int {
 	if p.m.Voter {
-		return max(fleetlink.Descriptors, p.own.Sockets/2)
+		return max(fleetrpc.ReservedDescriptors, p.own.Sockets/2)
 	}
-	return fleetlink.Descriptors
+	return fleetrpc.ReservedDescriptors
 }
 
 // follow begins, once the reducer is about to run.
@@ -194,7 +194,7 @@
 func (p *part) begin(l net.Listener) {
 	p.bound.Store(true)
 	addr := l.Addr().String()
-	var council fleetlink.Council
+	var council fleetrpc.VoterService
 	if p.m.Voter {
 		var err error
 		if council, err = p.voting(VotingOptions{Membership: p.m, Address: addr, Run: p.run, Seed: p.seed, Clock: p.clock}); err != nil {
@@ -210,20 +210,20 @@
 	case <-p.stop:
 		l.Close()
 	default:
-		p.server = fleetlink.Serve(l, p.m.Fleet, p.descriptors(), council, p.member)
+		p.server = fleetrpc.Serve(l, p.m.Fleet, p.descriptors(), council, p.member)
 	}
 }
 
 // start begins to follow, unless it does already.
-func (p *part) start(addr string, council fleetlink.Council) {
+func (p *part) start(addr string, council fleetrpc.VoterService) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.member != nil {
-		p.member.Vote(council)
+		p.member.SetVoter(council)
 		return
 	}
-	p.member = member.Start(member.Options{Fleet: p.m.Fleet, Name: p.m.Name, Address: addr, Alone: p.m.Alone, Voters: p.m.Voters, Via: p.m.Via, Folder: p.m.Folder,
-		Figures: p.m.Figures, Program: release, Run: p.run, Seed: p.seed, Clock: p.clock, Council: council, Bound: p.bound.Load, Bring: p.force.bring, Check: p.force.check}, p.gate)
+	p.member = fleetagent.Start(fleetagent.Options{Fleet: p.m.Fleet, Name: p.m.Name, Address: addr, IsolationPolicy: p.m.Alone, Voters: p.m.Voters, AddressMap: p.m.Via, Dir: p.m.Folder,
+		Timing: p.m.Figures, ProgramVersion: release, RunID: p.run, Seed: p.seed, Clock: p.clock, Voter: council, OwnsAddress: p.bound.Load, ApplyVersion: p.force.bring, CheckVersion: p.force.check}, p.gate)
 }
 
 // close ends the part, after the dispatcher has ended.
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -14,9 +14,9 @@
 	"github.com/alexflint/go-arg"
 
 	"weldmast/internal/config"
-	"weldmast/internal/fleetlink"
+	"weldmast/internal/fleetagent"
+	"weldmast/internal/fleetrpc"
 	"weldmast/internal/logs"
-	"weldmast/internal/member"
 )
 
 // What the program ends with.
@@ -56,7 +56,7 @@
 Ends with 0 when all is well, 1 for a fault, 2 for arguments that it does not know.`
 
 // Voting starts the part of a process that votes; nil in its place: this build has none.
-type Voting func(o VotingOptions) (fleetlink.Council, error)
+type Voting func(o VotingOptions) (fleetrpc.VoterService, error)
 
 // VotingOptions say which voter it is.
 type VotingOptions struct {
@@ -64,7 +64,7 @@
 	Address string
 	Run     string
 	Seed    uint64
-	Clock   member.Clock
+	Clock   fleetagent.Clock
 }
 
 // Run carries out a command line and tells what to end with.
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -23,8 +23,8 @@
 	"github.com/valyala/fasthttp"
 
 	"weldmast/internal/fleet"
-	"weldmast/internal/fleetlink"
-	"weldmast/internal/member"
+	"weldmast/internal/fleetagent"
+	"weldmast/internal/fleetrpc"
 )
 
 // Task is what a hollow process is to be: its first line.
@@ -40,7 +40,7 @@
 	Voters  []fleet.Voter
 	First   int
 	Count   int
-	Figures fleet.Figures
+	Figures fleet.Timing
 	Apart   float64 // ms from one's beginning to the next one's
 }
 
@@ -151,9 +151,9 @@
 
 // members are hollow members.
 type members struct {
-	clock  member.Clock
-	server *fleetlink.Server
-	all    []*member.Member
+	clock  fleetagent.Clock
+	server *fleetrpc.Server
+	all    []*fleetagent.Agent
 
 	mu        sync.Mutex
 	published map[uint64]float64 // by version, on the clock of members
@@ -167,24 +167,24 @@
 // nobody answers operators at a hollow member.
 type nobody struct{}
 
-func (nobody) Ask(context.Context, fleetlink.Ask) fleetlink.Answer {
-	return fleetlink.Answer{NoLeader: true}
+func (nobody) HandleAdmin(context.Context, fleetrpc.AdminRequest) fleetrpc.AdminReply {
+	return fleetrpc.AdminReply{NoLeader: true}
 }
 
 func newMembers(t *MembersTask) (*members, error) {
-	h := &members{clock: member.NewClock(), published: map[uint64]float64{}, have: make([]uint64, t.Count)}
+	h := &members{clock: fleetagent.NewClock(), published: map[uint64]float64{}, have: make([]uint64, t.Count)}
 	l, err := net.Listen("tcp4", "127.0.4.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("hollow: %w", err)
 	}
-	h.server = fleetlink.Serve(l, t.Fleet, fleetlink.Descriptors, nil, nobody{})
+	h.server = fleetrpc.Serve(l, t.Fleet, fleetrpc.ReservedDescriptors, nil, nobody{})
 	for k := range t.Count {
 		name := fmt.Sprintf("h%05d", t.First+k)
-		h.all = append(h.all, member.Start(member.Options{Fleet: t.Fleet, Name: name, Address: l.Addr().String(), Alone: fleet.Serve, Voters: t.Voters,
-			Figures: t.Figures, Program: "0.2.0", Run: fmt.Sprintf("%s-%d", name, time.Now().UnixNano()), Seed: uint64(t.First + k + 1), Clock: h.clock,
-			Bound: func() bool { return true }, Check: func([]byte) error { return nil },
-			Bring: func(v fleet.Version, applied func(string)) error { h.bring(k, v, applied); return nil }},
-			member.NewGate(h.clock, name)))
+		h.all = append(h.all, fleetagent.Start(fleetagent.Options{Fleet: t.Fleet, Name: name, Address: l.Addr().String(), IsolationPolicy: fleet.ServeWhenIsolated, Voters: t.Voters,
+			Timing: t.Figures, ProgramVersion: "0.2.0", RunID: fmt.Sprintf("%s-%d", name, time.Now().UnixNano()), Seed: uint64(t.First + k + 1), Clock: h.clock,
+			OwnsAddress: func() bool { return true }, CheckVersion: func([]byte) error { return nil },
+			ApplyVersion: func(v fleet.Version, applied func(string)) error { h.bring(k, v, applied); return nil }},
+			fleetagent.NewLeaseGuard(h.clock, name)))
 		time.Sleep(time.Duration(t.Apart * 1e6))
 	}
 	return h, nil
--- a/internal/scale/play.go
+++ b/internal/scale/play.go
@@ -25,8 +25,8 @@
 	"github.com/valyala/fasthttp"
 
 	"weldmast/internal/fleet"
-	"weldmast/internal/fleetlink"
-	"weldmast/internal/member"
+	"weldmast/internal/fleetagent"
+	"weldmast/internal/fleetrpc"
 	"weldmast/internal/world"
 )
 
@@ -110,7 +110,7 @@
 	stop  context.CancelFunc
 	dir   string
 	bound float64
-	clock member.Clock
+	clock fleetagent.Clock
 	mu    sync.Mutex // of all below
 	all   []*process
 	most  float64
@@ -133,7 +133,7 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	u := &run{p: p, o: o, dir: dir, bound: m.BoundMB, clock: member.NewClock()}
+	u := &run{p: p, o: o, dir: dir, bound: m.BoundMB, clock: fleetagent.NewClock()}
 	u.ctx, u.stop = context.WithCancel(ctx)
 	r = &Result{Plan: p.About, When: began.UTC().Format(time.RFC3339), Machine: m}
 	var guard sync.WaitGroup
@@ -681,7 +681,7 @@
 	if _, err := u.doors(busy, p.Fleet, port); err != nil {
 		return err
 	}
-	client := fleetlink.NewClient(fleetName, nil)
+	client := fleetrpc.NewClient(fleetName, nil)
 	defer client.Close()
 	ctx, stop := context.WithCancel(u.ctx)
 	var jobs, served atomic.Int64
@@ -694,7 +694,7 @@
 		for want := size - len(all); count < want; {
 			t := MembersTask{Fleet: fleetName, Voters: voters, First: count, Count: min(p.Each, want-count),
 				Apart:   1000 / p.Grow,
-				Figures: fleet.Figures{Beat: float64(p.Beat), Lease: float64(p.Lease), Drift: 0.01}}
+				Figures: fleet.Timing{Beat: float64(p.Beat), Lease: float64(p.Lease), Drift: 0.01}}
 			h, err := u.hollow(Task{Members: &t}, t.Count)
 			if err != nil {
 				return err
@@ -741,9 +741,9 @@
 					id := fmt.Sprintf("scale %d", request)
 					wait.Go(func() {
 						at := u.clock.Now()
-						x := fleet.Command{Kind: fleet.Published, Request: id, By: "scale", At: u.clock.Unix(), Text: Text(at, p.Text)}
+						x := fleet.Command{Kind: fleet.PublishVersion, RequestID: id, RequestedBy: "scale", IssuedAt: u.clock.UnixTime(), Text: Text(at, p.Text)}
 						for _, v := range voters {
-							if a, err := client.Ask(v.Address, fleetlink.Ask{Command: x}, 4*time.Second); err == nil && a.Fault == "" && !a.NoLeader {
+							if a, err := client.Admin(v.Address, fleetrpc.AdminRequest{Command: x}, 4*time.Second); err == nil && a.Error == "" && !a.NoLeader {
 								published.Add(1)
 								return
 							}
@@ -771,16 +771,16 @@
 }
 
 // status asks voters how the fleet stands.
-func (u *run) status(client *fleetlink.Client, voters []fleet.Voter) *fleetlink.Status {
+func (u *run) status(client *fleetrpc.Client, voters []fleet.Voter) *fleetrpc.FleetStatus {
 	for _, v := range voters {
-		if a, err := client.Ask(v.Address, fleetlink.Ask{}, 4*time.Second); err == nil && a.Status != nil {
+		if a, err := client.Admin(v.Address, fleetrpc.AdminRequest{}, 4*time.Second); err == nil && a.Status != nil {
 			return a.Status
 		}
 	}
 	return nil
 }
 
-func (u *run) leader(client *fleetlink.Client, voters []fleet.Voter) string {
+func (u *run) leader(client *fleetrpc.Client, voters []fleet.Voter) string {
 	if s := u.status(client, voters); s != nil {
 		return s.Leader
 	}
@@ -791,16 +791,16 @@
 const currentWithin = 45 * time.Second
 
 // current waits until so many members stand as they should, and tells how many do, and how the others stand.
-func (u *run) current(client *fleetlink.Client, voters []fleet.Voter, members int) (have int, others string, err error) {
+func (u *run) current(client *fleetrpc.Client, voters []fleet.Voter, members int) (have int, others string, err error) {
 	for began := time.Now(); time.Since(began) < currentWithin; {
 		have = 0
 		how := map[string]int{}
 		if s := u.status(client, voters); s != nil {
 			for _, m := range s.Members {
-				if m.Standing == fleet.Current {
+				if m.State == fleet.MemberCurrent {
 					have++
 				} else {
-					how[fmt.Sprintf("%s, %s", m.Standing, m.Cause)]++
+					how[fmt.Sprintf("%s, %s", m.State, m.Cause)]++
 				}
 			}
 		}
--- a/internal/sockets/fleet.go
+++ b/internal/sockets/fleet.go
@@ -19,7 +19,7 @@
 
 	"weldmast/internal/audit"
 	"weldmast/internal/fleet"
-	"weldmast/internal/fleetlink"
+	"weldmast/internal/fleetrpc"
 	"weldmast/internal/world"
 )
 
@@ -39,7 +39,7 @@
 	rnd     *rand.Rand // the world's goroutine's
 	addrs   []string
 	relays  map[[2]int]*relay // from one to another
-	client  *fleetlink.Client
+	client  *fleetrpc.Client
 	alter   map[int]string // what is done to a folder before the next start
 	manners map[*world.Fault]func()
 	asked   int
@@ -52,7 +52,7 @@
 }
 
 func (r *rig) newFleet(seed uint64) error {
-	f := &fleetRig{r: r, x: r.x.Fleet, rnd: rand.New(rand.NewPCG(seed, 0x666c)), relays: map[[2]int]*relay{}, client: fleetlink.NewClient(fleetName, nil),
+	f := &fleetRig{r: r, x: r.x.Fleet, rnd: rand.New(rand.NewPCG(seed, 0x666c)), relays: map[[2]int]*relay{}, client: fleetrpc.NewClient(fleetName, nil),
 		alter: map[int]string{}, manners: map[*world.Fault]func(){}, open: map[string]bool{}, done: make(chan struct{}),
 		j: audit.Fleet{Complete: map[uint64]float64{}, Releases: map[string]uint64{"": 0}}}
 	r.fleet = f
@@ -125,7 +125,7 @@
 }
 
 // stands holds what an operator was told of members against the stalls that are open. The lock is held.
-func (f *fleetRig) stands(call audit.Call, members []fleet.Status) {
+func (f *fleetRig) stands(call audit.Call, members []fleet.MemberStatus) {
 	for k := range f.stalls {
 		s := &f.stalls[k]
 		if s.Up > 0 || s.Ended {
@@ -134,9 +134,9 @@
 		for _, m := range members {
 			switch {
 			case m.Member != f.name(s.Dispatcher):
-			case s.Found == 0 && s.To == 0 && call.From > s.From && m.Standing != fleet.Current && m.Standing != fleet.Behind:
+			case s.Found == 0 && s.To == 0 && call.From > s.From && m.State != fleet.MemberCurrent && m.State != fleet.MemberBehind:
 				s.Found = call.To
-			case s.To > 0 && call.From > s.To && m.Standing == fleet.Current && m.Heard < call.To-s.To:
+			case s.To > 0 && call.From > s.To && m.State == fleet.MemberCurrent && m.SinceContact < call.To-s.To:
 				s.Up = call.To
 			}
 		}
@@ -305,10 +305,10 @@
 // tell publishes once; true: it was answered.
 func (f *fleetRig) tell(request string, at int, fence bool) bool {
 	call := audit.Call{From: f.r.now(), Request: request}
-	a, err := f.client.Ask(f.addrs[at], fleetlink.Ask{Command: fleet.Command{Kind: fleet.Published, Request: request, By: "lab", At: float64(time.Now().UnixMilli()),
+	a, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.PublishVersion, RequestID: request, RequestedBy: "lab", IssuedAt: float64(time.Now().UnixMilli()),
 		Text: []byte(`{"mark":"` + request + `"}`), Fence: fence}}, askWithin)
 	call.To = f.r.now()
-	call.Known = err == nil && !a.NoLeader && a.Fault == ""
+	call.Known = err == nil && !a.NoLeader && a.Error == ""
 	call.Version = a.Result.Version
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -321,21 +321,21 @@
 }
 
 // status asks one member how the fleet stands.
-func (f *fleetRig) status(at int, audited bool) (fleetlink.Answer, bool) {
+func (f *fleetRig) status(at int, audited bool) (fleetrpc.AdminReply, bool) {
 	call := audit.Call{From: f.r.now()}
-	a, err := f.client.Ask(f.addrs[at], fleetlink.Ask{Audit: audited}, lookWithin)
+	a, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Audit: audited}, lookWithin)
 	call.To = f.r.now()
 	if err != nil || a.Status == nil {
 		return a, false
 	}
-	call.Known, call.Version = true, a.Status.Newest
+	call.Known, call.Version = true, a.Status.NewestVersion
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.j.Calls = append(f.j.Calls, call)
 	f.stands(call, a.Status.Members)
-	if st := a.Status; st.Fence > 0 {
-		if _, told := f.j.Complete[st.Fenced]; !told {
-			f.j.Complete[st.Fenced] = call.To
+	if st := a.Status; st.FenceCompleteAt > 0 {
+		if _, told := f.j.Complete[st.FencedVersion]; !told {
+			f.j.Complete[st.FencedVersion] = call.To
 		}
 	}
 	return a, true
@@ -384,11 +384,11 @@
 			}
 			what = ""
 			for _, m := range a.Status.Members {
-				if strings.HasPrefix(m.Voter, "lost its folder") {
+				if strings.HasPrefix(m.VoterState, "lost its folder") {
 					f.seat(m.Member)
 				}
-				if m.Standing != fleet.Current {
-					what += fmt.Sprintf(" %s is %s (%s)", m.Member, m.Standing, m.Cause)
+				if m.State != fleet.MemberCurrent {
+					what += fmt.Sprintf(" %s is %s (%s)", m.Member, m.State, m.Cause)
 				}
 			}
 			if len(a.Status.Members) < len(f.addrs) {
@@ -407,7 +407,7 @@
 
 // seat gives a voter that lost its folder a new seat.
 func (f *fleetRig) seat(name string) {
-	_, _ = f.client.Ask(f.addrs[0], fleetlink.Ask{Command: fleet.Command{Kind: fleet.Seated, Member: name, Request: "seat " + name, By: "lab"}}, askWithin) // asked again if it fails
+	_, _ = f.client.Admin(f.addrs[0], fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.AddVoter, Member: name, RequestID: "seat " + name, RequestedBy: "lab"}}, askWithin) // asked again if it fails
 }
 
 // saw notes a hand-off that came to a worker, on the world's goroutine.
--- a/internal/virtual/fleet.go
+++ b/internal/virtual/fleet.go
@@ -12,7 +12,7 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"weldmast/internal/council"
+	"weldmast/internal/consensus"
 	"weldmast/internal/fleet"
 )
 
@@ -62,14 +62,14 @@
 func (q *fleetQueue) Pop() any     { x := (*q)[len(*q)-1]; *q = (*q)[:len(*q)-1]; return x }
 
 // kept is a voter's store.
-type kept struct{ k council.Kept }
+type kept struct{ k consensus.PersistedState }
 
 func (s *kept) Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	if snapshot.GetMetadata().GetIndex() > 0 {
 		s.k.Snapshot, s.k.Entries = snapshot, nil
 	}
 	if hard != nil {
-		s.k.Hard = hard
+		s.k.HardState = hard
 	}
 	if len(entries) > 0 {
 		s.k.Entries = append(slices.DeleteFunc(s.k.Entries, func(e *pb.Entry) bool { return e.GetIndex() >= entries[0].GetIndex() }), entries...)
@@ -90,8 +90,8 @@
 }
 
 type fleetMember struct {
-	self   *fleet.Self
-	run    fleet.Run
+	self   *fleet.LeaseHolder
+	run    fleet.RunRecord
 	runs   int
 	up     bool
 	still  float64 // it stands still until then
@@ -109,12 +109,12 @@
 
 type fleetPlay struct {
 	d       FleetDay
-	f       fleet.Figures
+	f       fleet.Timing
 	now     float64
 	rnd     *rand.Rand
 	queue   fleetQueue
 	seq     int
-	cores   []*council.Core
+	cores   []*consensus.Core
 	stores  []*kept
 	seats   map[uint64]int
 	members []*fleetMember
@@ -133,16 +133,16 @@
 
 // playFleet is the same; not shared: each member works out by itself what entries lead to.
 func playFleet(d FleetDay, shared bool) FleetResult {
-	p := &fleetPlay{d: d, shared: shared, f: fleet.Figures{Beat: 250, Lease: 1000, Drift: 0.01}, rnd: rand.New(rand.NewPCG(d.Seed, 0x666c6474)), seats: map[uint64]int{},
+	p := &fleetPlay{d: d, shared: shared, f: fleet.Timing{Beat: 250, Lease: 1000, Drift: 0.01}, rnd: rand.New(rand.NewPCG(d.Seed, 0x666c6474)), seats: map[uint64]int{},
 		told: map[uint64]float64{}, pending: map[uint64]*spread{}, led: map[fleet.Digest]*fleet.State{}}
 	var voters []fleet.Voter
 	for k := range d.Voters {
 		name := fmt.Sprintf("m%04d", k)
-		voters = append(voters, fleet.Voter{Name: name, Address: name, Seat: council.FirstSeat("lab", name)})
-		p.seats[voters[k].Seat] = k
+		voters = append(voters, fleet.Voter{Name: name, Address: name, RaftID: consensus.InitialRaftID("lab", name)})
+		p.seats[voters[k].RaftID] = k
 	}
 	for range d.Voters {
-		p.stores = append(p.stores, &kept{council.First("lab", voters)})
+		p.stores = append(p.stores, &kept{consensus.InitialState("lab", voters)})
 		p.cores = append(p.cores, nil)
 	}
 	for k := range d.Voters {
@@ -195,7 +195,7 @@
 }
 
 func (p *fleetPlay) voter(k int) {
-	c, err := council.NewCore(p.f, council.FirstSeat("lab", fmt.Sprintf("m%04d", k)), p.stores[k].k, p.stores[k], p.rnd.Uint64(), p.now)
+	c, err := consensus.NewCore(p.f, consensus.InitialRaftID("lab", fmt.Sprintf("m%04d", k)), p.stores[k].k, p.stores[k], p.rnd.Uint64(), p.now)
 	if err != nil {
 		p.broken("voter %d: %v", k, err)
 		return
@@ -219,9 +219,9 @@
 		state = m.self.State()
 	}
 	m.runs++
-	m.up, m.run = true, fleet.Run{ID: fmt.Sprint(k, "-", m.runs), Began: p.now}
-	m.run.Since(p.now, 0)
-	m.self = fleet.NewSelf(p.f, fmt.Sprintf("m%04d", k), "1.0.0", fleet.Stop, state, p.now)
+	m.up, m.run = true, fleet.RunRecord{ID: fmt.Sprint(k, "-", m.runs), StartedAt: p.now}
+	m.run.RecordVersion(p.now, 0)
+	m.self = fleet.NewLeaseHolder(p.f, fmt.Sprintf("m%04d", k), "1.0.0", fleet.StopWhenIsolated, state, p.now)
 	p.bring(k)
 	p.beat(k, m.runs, true)
 	p.poll(k, m.runs)
@@ -270,9 +270,9 @@
 			p.at(p.now+p.f.Beat, func() { p.beat(k, run, true) })
 		}
 		s := m.self.State()
-		m.run.Saved = p.now
-		b := fleet.Beat{Fleet: "lab", Format: fleet.Format, Member: fmt.Sprintf("m%04d", k), Address: fmt.Sprint("a", k), Run: m.run.ID, Bound: true, Alone: fleet.Stop,
-			Program: "1.0.0", N: s.N(), Digest: s.Digest(), InForce: m.self.InForce(), Lease: p.f.Lease, Drift: p.f.Drift, Runs: []fleet.Run{m.run.Clone()}}
+		m.run.KnownUntil = p.now
+		b := fleet.Heartbeat{Fleet: "lab", Format: fleet.FormatVersion, Member: fmt.Sprintf("m%04d", k), Address: fmt.Sprint("a", k), RunID: m.run.ID, OwnsAddress: true, IsolationPolicy: fleet.StopWhenIsolated,
+			ProgramVersion: "1.0.0", LastSeq: s.LastSeq(), Digest: s.Digest(), ActiveVersion: m.self.ActiveVersion(), Lease: p.f.Lease, Drift: p.f.Drift, Runs: []fleet.RunRecord{m.run.Clone()}}
 		v := m.leader
 		if v < 0 {
 			v = p.rnd.IntN(p.d.Voters)
@@ -285,7 +285,7 @@
 				return
 			}
 			p.count(v)
-			c.Beat(p.now, b, func(r fleet.Renewal, err error) {
+			c.Heartbeat(p.now, b, func(r fleet.LeaseRenewal, err error) {
 				p.count(v)
 				if err != nil { // it says who leads
 					lead := p.lead(v)
@@ -295,12 +295,12 @@
 				p.carry(k, len(fleet.Encode(r)), func() {
 					p.lives(k, run, func() {
 						m.leader = v
-						m.self.Renewed(sent, r)
-						if r.Newest > m.self.State().Newest() { // the poll that is under way may hang
+						m.self.HandleRenewal(sent, r)
+						if r.NewestVersion > m.self.State().NewestVersion() { // the poll that is under way may hang
 							p.poll(k, run)
 						}
-						if r.Again > 0 {
-							p.at(p.now+r.Again, func() { p.beat(k, run, false) })
+						if r.RetryAfter > 0 {
+							p.at(p.now+r.RetryAfter, func() { p.beat(k, run, false) })
 						}
 					})
 				})
@@ -311,7 +311,7 @@
 
 func (p *fleetPlay) lead(v int) int {
 	if c := p.cores[v]; c != nil {
-		if k, ok := p.seats[c.Lead()]; ok {
+		if k, ok := p.seats[c.Leader()]; ok {
 			return k
 		}
 	}
@@ -320,7 +320,7 @@
 
 // count counts a message at a voter that leads.
 func (p *fleetPlay) count(v int) {
-	if c := p.cores[v]; c != nil && c.Book() != nil {
+	if c := p.cores[v]; c != nil && c.Leases() != nil {
 		p.load++
 	}
 }
@@ -336,7 +336,7 @@
 				p.at(p.now+300*p.rnd.Float64(), func() { p.poll(k, run) })
 			}
 		})
-		n, digest := m.self.State().N(), m.self.State().Digest()
+		n, digest := m.self.State().LastSeq(), m.self.State().Digest()
 		p.carry(k, 96, func() {
 			p.count(v)
 			p.serve(v, waiter{k, run, call}, n, digest, p.now+fleetPoll)
@@ -352,7 +352,7 @@
 		if c == nil {
 			return
 		}
-		entries, snapshot, fork := c.Entries(n, digest)
+		entries, snapshot, fork := c.EntriesAfter(n, digest)
 		if fork {
 			p.broken("two histories: member %d at %d", w.m, n)
 			return
@@ -371,7 +371,7 @@
 				if snapshot != nil {
 					s, err := fleet.Restore(snapshot)
 					if err == nil {
-						err = m.self.Replace(s)
+						err = m.self.ReplaceState(s)
 					}
 					if err != nil {
 						p.broken("member %d: %v", w.m, err)
@@ -390,19 +390,19 @@
 // follow takes further entries. What an entry leads to from the one before it, its digest tells: it is worked out by the first
 // member that comes there and taken over by the others, as processors cost nothing here. Whatever does not fit is the member's
 // own to refuse.
-func (p *fleetPlay) follow(m *fleet.Self, entries []fleet.Entry) error {
+func (p *fleetPlay) follow(m *fleet.LeaseHolder, entries []fleet.Entry) error {
 	for k, e := range entries {
 		s := m.State()
-		if e.N <= s.N() {
+		if e.Seq <= s.LastSeq() {
 			continue
 		}
-		if led := p.led[e.Digest]; p.shared && led != nil && e.N == s.N()+1 && e.Prev == s.Digest() {
-			if err := m.Replace(led.Clone()); err != nil {
+		if led := p.led[e.Digest]; p.shared && led != nil && e.Seq == s.LastSeq()+1 && e.PrevDigest == s.Digest() {
+			if err := m.ReplaceState(led.Clone()); err != nil {
 				return err
 			}
 			continue
 		}
-		if err := m.Follow(entries[k : k+1]); err != nil {
+		if err := m.ApplyEntries(entries[k : k+1]); err != nil {
 			return err
 		}
 		p.led[e.Digest] = m.State()
@@ -417,11 +417,11 @@
 func (p *fleetPlay) bring(k int) {
 	m := p.members[k]
 	run := m.runs
-	if v, ok := m.self.Next(); ok {
+	if v, ok := m.self.NextVersion(); ok {
 		p.at(p.now+fleetApply, func() {
 			p.lives(k, run, func() {
-				m.self.Applied(v.Number)
-				m.run.Since(p.now, v.Number)
+				m.self.VersionApplied(v.Number)
+				m.run.RecordVersion(p.now, v.Number)
 				p.bring(k)
 			})
 		})
@@ -437,8 +437,8 @@
 	}
 	answered := false
 	for _, c := range p.cores {
-		if c != nil && c.Book() != nil {
-			c.Propose(p.now, fleet.Command{Kind: fleet.Published, Request: request, Text: []byte(`{"mark":"` + request + `"}`), Fence: n%2 == 1}, func(r fleet.Result, err error) {
+		if c != nil && c.Leases() != nil {
+			c.Propose(p.now, fleet.Command{Kind: fleet.PublishVersion, RequestID: request, Text: []byte(`{"mark":"` + request + `"}`), Fence: n%2 == 1}, func(r fleet.Result, err error) {
 				if err == nil && !answered {
 					answered = true
 					p.r.Published++
@@ -461,10 +461,10 @@
 		if c == nil {
 			continue
 		}
-		c.Step(p.now)
-		for _, m := range c.Take(p.now) {
+		c.Tick(p.now)
+		for _, m := range c.TakeMessages(p.now) {
 			to := p.seats[m.To]
-			if c.Book() != nil {
+			if c.Leases() != nil {
 				p.load++
 			}
 			if p.rnd.Float64() < p.d.Loss {
@@ -475,14 +475,14 @@
 					p.count(to)
 					c.Receive(p.now, m.Data)
 				}
-				if m.Snap && p.cores[v] != nil {
-					p.cores[v].SnapshotSent(p.now, m.To, true)
+				if m.IsSnapshot && p.cores[v] != nil {
+					p.cores[v].ReportSnapshot(p.now, m.To, true)
 				}
 			})
 		}
-		if b := c.Book(); b != nil && int(p.now)%10 == 0 {
-			if f := c.State().Fenced(); f > 0 && p.told[f] == 0 {
-				if at, _ := b.Fence(p.now, p.now, f, c.State()); at > 0 {
+		if b := c.Leases(); b != nil && int(p.now)%10 == 0 {
+			if f := c.State().FencedVersion(); f > 0 && p.told[f] == 0 {
+				if at, _ := b.FenceStatus(p.now, p.now, f, c.State()); at > 0 {
 					p.told[f] = p.now
 					p.r.Fences++
 				}
@@ -502,19 +502,19 @@
 		fence = max(fence, v)
 	}
 	for k, m := range p.members {
-		if m.up && p.now >= m.still && m.self.InForce() < fence && m.self.OpenUntil(p.now) > p.now {
-			p.broken("member %d acts on version %d, the fence of %d was told at %.0f", k, m.self.InForce(), fence, p.told[fence])
+		if m.up && p.now >= m.still && m.self.ActiveVersion() < fence && m.self.AcceptUntil(p.now) > p.now {
+			p.broken("member %d acts on version %d, the fence of %d was told at %.0f", k, m.self.ActiveVersion(), fence, p.told[fence])
 		}
 	}
 	for _, v := range slices.Sorted(maps.Keys(p.pending)) {
 		x := p.pending[v]
 		have, reach, all := 0, 0, 0
 		for _, m := range p.members {
-			if m.up && m.self.InForce() >= v {
+			if m.up && m.self.ActiveVersion() >= v {
 				all++
 			}
 			if m.up && !m.cut && p.now >= m.still {
-				if reach++; m.self.InForce() >= v {
+				if reach++; m.self.ActiveVersion() >= v {
 					have++
 				}
 			}
@@ -540,8 +540,8 @@
 	if len(p.pending) > 0 {
 		lacks := ""
 		for k, m := range p.members {
-			if !m.up || m.self.InForce() < slices.Max(slices.Collect(maps.Keys(p.pending))) {
-				lacks += fmt.Sprintf(" member %d (runs: %v, version %d of %d known)", k, m.up, m.self.InForce(), m.self.State().Newest())
+			if !m.up || m.self.ActiveVersion() < slices.Max(slices.Collect(maps.Keys(p.pending))) {
+				lacks += fmt.Sprintf(" member %d (runs: %v, version %d of %d known)", k, m.up, m.self.ActiveVersion(), m.self.State().NewestVersion())
 			}
 		}
 		p.broken("%d versions never came into force at all members: %s", len(p.pending), lacks)
