--- a/cmd/weldlab/commands.go
+++ b/cmd/weldlab/commands.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
+	"weldmast/internal/fleetmodel"
 	"weldmast/internal/lab"
 	"weldmast/internal/sockets"
-	"weldmast/internal/world"
 )
 
 // output is where results go besides the terminal.
@@ -186,7 +186,7 @@
 }
 
 func (c *sweepCommand) Run(ctx context.Context, s *streams) error {
-	var xs []*world.Experiment
+	var xs []*fleetmodel.Experiment
 	for _, v := range c.Values {
 		x, err := lab.Load(c.File, c.Key+"="+v)
 		if err != nil {
@@ -216,7 +216,7 @@
 
 func (c *tableCommand) Run(ctx context.Context, s *streams) error {
 	var names []string
-	var xs []*world.Experiment
+	var xs []*fleetmodel.Experiment
 	for _, f := range c.Files {
 		x, err := lab.Load(f)
 		if err != nil {
--- a/cmd/weldlab/live.go
+++ b/cmd/weldlab/live.go
@@ -12,9 +12,9 @@
 
 	"golang.org/x/term"
 
+	"weldmast/internal/fleetmodel"
 	"weldmast/internal/lab"
 	"weldmast/internal/sockets"
-	"weldmast/internal/world"
 )
 
 type ceilingCommand struct {
@@ -83,36 +83,36 @@
 // keys are troubles by what is pressed.
 var keys = []struct {
 	key   byte
-	fault world.Fault
+	fault fleetmodel.Fault
 	help  string
 }{
-	{'k', world.Fault{What: "kill", Count: 1, For: 5000}, "kill a worker"},
-	{'v', world.Fault{What: "vanish", Count: 1, For: 5000}, "a worker falls silent"},
-	{'d', world.Fault{What: "drain", Count: 1, For: 8000}, "drain a worker"},
-	{'z', world.Fault{What: "site_loss", Site: "b", Share: 1, For: 5000}, "lose site b"},
-	{'s', world.Fault{What: "slow", Count: 2, Amount: 0.25, For: 8000}, "slow two workers"},
-	{'x', world.Fault{What: "dispatcher_kill", Count: 1}, "kill the dispatcher"},
-	{'b', world.Fault{What: "burst", Amount: 4, Share: 1, For: 5000}, "a burst of work"},
+	{'k', fleetmodel.Fault{Type: "kill", Count: 1, Duration: 5000}, "kill a worker"},
+	{'v', fleetmodel.Fault{Type: "vanish", Count: 1, Duration: 5000}, "a worker falls silent"},
+	{'d', fleetmodel.Fault{Type: "drain", Count: 1, Duration: 8000}, "drain a worker"},
+	{'z', fleetmodel.Fault{Type: "site_loss", Site: "b", Share: 1, Duration: 5000}, "lose site b"},
+	{'s', fleetmodel.Fault{Type: "slow", Count: 2, Amount: 0.25, Duration: 8000}, "slow two workers"},
+	{'x', fleetmodel.Fault{Type: "dispatcher_kill", Count: 1}, "kill the dispatcher"},
+	{'b', fleetmodel.Fault{Type: "burst", Amount: 4, Share: 1, Duration: 5000}, "a burst of work"},
 }
 
 func (c *demoCommand) Run(ctx context.Context, s *streams) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	x, err := world.Read("demo.toml", demo)
+	x, err := fleetmodel.ParseExperiment("demo.toml", demo)
 	if err != nil {
 		return err
 	}
 	if c.Seconds > 0 {
-		x.Length = world.Span(c.Seconds) * 1000
+		x.Length = fleetmodel.Millis(c.Seconds) * 1000
 	}
-	inject := make(chan func(*world.World), 16)
+	inject := make(chan func(*fleetmodel.Model), 16)
 	o := c.options()
 	o.Inject, o.Endless, o.LateP99, o.LateMost = inject, c.Seconds == 0, 1e6, 1e6
-	strike := func(f world.Fault) { inject <- func(w *world.World) { w.Strike(f) } }
+	strike := func(f fleetmodel.Fault) { inject <- func(w *fleetmodel.Model) { w.InjectFault(f) } }
 	if c.Fault != "" {
 		found := false
 		for _, k := range keys {
-			if k.fault.What == c.Fault {
+			if k.fault.Type == c.Fault {
 				f := k.fault
 				f.At = 5000
 				x.Faults, found = append(x.Faults, f), true
@@ -150,7 +150,7 @@
 		}
 	}
 	shown := -1000.
-	o.Watch = func(w *world.World) {
+	o.Watch = func(w *fleetmodel.Model) {
 		every := 1000.
 		if screen {
 			every = 250
@@ -178,16 +178,16 @@
 }
 
 // count is what became of all so far, in a line.
-func count(x *world.Experiment, w *world.World) string {
-	n, inTime := map[world.Outcome]int{}, 0
+func count(x *fleetmodel.Experiment, w *fleetmodel.Model) string {
+	n, inTime := map[fleetmodel.Outcome]int{}, 0
 	for _, j := range w.Jobs {
 		n[j.Outcome]++
 		if x.InTime(j) {
 			inTime++
 		}
 	}
-	line := fmt.Sprintf("%6.1f s  taken %d  in time %d  waiting %d", w.Now()/1000, len(w.Jobs), inTime, n[world.Waiting])
-	for _, o := range world.Outcomes {
+	line := fmt.Sprintf("%6.1f s  taken %d  in time %d  waiting %d", w.Now()/1000, len(w.Jobs), inTime, n[fleetmodel.Waiting])
+	for _, o := range fleetmodel.Outcomes {
 		if n[o] > 0 {
 			line += fmt.Sprintf("  %s %d", o, n[o])
 		}
@@ -196,17 +196,17 @@
 }
 
 // picture is the whole screen.
-func picture(x *world.Experiment, w *world.World) string {
+func picture(x *fleetmodel.Experiment, w *fleetmodel.Model) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "weldlab demo: one dispatcher, stand-in workers, clients and discovery on loopback\n\n%s\n\n", count(x, w))
 	fmt.Fprintf(&b, "%-6s %-6s %-5s %-9s %-6s %8s %8s\n", "worker", "kind", "site", "state", "warm", "at work", "finished")
-	for _, v := range w.Look() {
-		fmt.Fprintf(&b, "%-6s %-6s %-5s %-9s %5.0f%% %-8s %8d\n", v.ID, x.Kinds[v.Kind].Name, world.SiteName(v.Site), v.State, 100*v.Warmth,
+	for _, v := range w.WorkerViews() {
+		fmt.Fprintf(&b, "%-6s %-6s %-5s %-9s %5.0f%% %-8s %8d\n", v.ID, x.Kinds[v.Kind].Name, fleetmodel.SiteName(v.Site), v.State, 100*v.Warmth,
 			strings.Repeat("#", v.Running)+strings.Repeat(".", v.Queued), v.Finished)
 	}
 	b.WriteString("\n")
-	for _, m := range w.Marks[max(0, len(w.Marks)-4):] {
-		fmt.Fprintf(&b, "%6.1f s  %s\n", m.At/1000, m.What)
+	for _, m := range w.Annotations[max(0, len(w.Annotations)-4):] {
+		fmt.Fprintf(&b, "%6.1f s  %s\n", m.At/1000, m.Text)
 	}
 	b.WriteString("\n")
 	for _, k := range keys {
--- a/cmd/weldlab/storm.go
+++ b/cmd/weldlab/storm.go
@@ -10,7 +10,7 @@
 	"sync"
 
 	"weldmast/internal/lab"
-	"weldmast/internal/virtual"
+	"weldmast/internal/virtualtime"
 )
 
 type stormCommand struct {
@@ -64,11 +64,11 @@
 			return err
 		}
 		for _, f := range faults {
-			fmt.Fprintf(s.out, "at %.0f ms for %.0f ms: %s of %v, amount %g\n", float64(f.At), float64(f.For), f.What, f.Hits, f.Amount)
+			fmt.Fprintf(s.out, "at %.0f ms for %.0f ms: %s of %v, amount %g\n", float64(f.At), float64(f.Duration), f.Type, f.Dispatchers, f.Amount)
 		}
 	}
 	if x.Fleet != nil {
-		found, up := lab.StallFigures(all, float64(x.Fleet.Beat))
+		found, up := lab.StallFigures(all, float64(x.Fleet.HeartbeatInterval))
 		fmt.Fprintf(s.out, "stalls: found %s; current again after going on %s; late acts %d\n", quantiles(found), quantiles(up), late)
 	}
 	fmt.Fprintf(s.out, "void %d\nstorms %d, broken %d\n", void, c.Count, len(broken))
@@ -102,13 +102,13 @@
 	}
 	fmt.Fprintln(s.out, "members  versions  to 99% ms (median)  to all ms (median)  at the leader, messages/s  a member, bytes/s")
 	for _, n := range c.Members {
-		r := virtual.PlayFleet(virtual.FleetDay{Members: n, Voters: 5, Seed: c.First, Loss: c.Loss, Cut: c.Cut, Length: c.Seconds * 1000})
-		if r.Broken != "" {
-			return fmt.Errorf("%d members: %s", n, r.Broken)
+		r := virtualtime.RunFleet(virtualtime.FleetScenario{Members: n, Voters: 5, Seed: c.First, MessageLoss: c.Loss, CutShare: c.Cut, Length: c.Seconds * 1000})
+		if r.Violation != "" {
+			return fmt.Errorf("%d members: %s", n, r.Violation)
 		}
-		slices.Sort(r.To99)
-		slices.Sort(r.ToAll)
-		fmt.Fprintf(s.out, "%7d  %8d  %18.0f  %18.0f  %25.0f  %17.0f\n", n, r.Published, middle(r.To99), middle(r.ToAll), r.Leader, r.Bytes)
+		slices.Sort(r.TimeTo99)
+		slices.Sort(r.TimeToAll)
+		fmt.Fprintf(s.out, "%7d  %8d  %18.0f  %18.0f  %25.0f  %17.0f\n", n, r.Published, middle(r.TimeTo99), middle(r.TimeToAll), r.LeaderMessageRate, r.MemberByteRate)
 	}
 	return nil
 }
@@ -128,13 +128,13 @@
 	for range runtime.GOMAXPROCS(0) {
 		wait.Go(func() {
 			for seed := range seeds {
-				r := virtual.PlayFleet(virtual.FleetDay{Members: 7, Voters: []int{1, 3, 5}[seed%3], Seed: seed, Loss: c.Loss, Cut: 0.3, Faults: 8, Length: c.Seconds * 1000})
+				r := virtualtime.RunFleet(virtualtime.FleetScenario{Members: 7, Voters: []int{1, 3, 5}[seed%3], Seed: seed, MessageLoss: c.Loss, CutShare: 0.3, Faults: 8, Length: c.Seconds * 1000})
 				mu.Lock()
 				published += r.Published
-				fences += r.Fences
-				if r.Broken != "" {
+				fences += r.FencesCompleted
+				if r.Violation != "" {
 					broken++
-					fmt.Fprintf(s.out, "seed %d: %s\n", seed, r.Broken)
+					fmt.Fprintf(s.out, "seed %d: %s\n", seed, r.Violation)
 				}
 				mu.Unlock()
 			}
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -14,20 +14,20 @@
 )
 
 // Truth is what no dispatcher can see.
-type Truth interface {
+type Oracle interface {
 	// Finish is when a job of that cost would end if it reached the worker now; infinite: never.
-	Finish(worker string, cost float64) float64
+	FinishTime(worker string, cost float64) float64
 }
 
 // Names of all, in the order of tables.
 var Names = []string{"random", "round-robin", "least", "two-choices", "sita", "omniscient"}
 
 // Shared is what the baselines of one day have in common: for the omniscient one, what all of them sent just now.
-type Shared struct {
-	Truth  Truth
-	Speeds []float64 // of each kind, for sita
-	Slots  []float64 // of each kind
-	sent   map[string][]spent
+type SharedState struct {
+	Oracle      Oracle
+	Speeds      []float64 // of each kind, for sita
+	Parallelism []float64 // of each kind
+	sent        map[string][]spent
 }
 
 type spent struct{ at, cost float64 }
@@ -40,7 +40,7 @@
 	"round-robin": roundRobin, "least": least, "two-choices": twoChoices, "sita": sita, "omniscient": omniscient}
 
 // New makes the baseline of that name; nil if there is none.
-func New(name string, s dispatch.Settings, shared *Shared) *Baseline {
+func New(name string, s dispatch.Settings, shared *SharedState) *Baseline {
 	w := ways[name]
 	if w == nil {
 		return nil
@@ -56,7 +56,7 @@
 type Baseline struct {
 	s      dispatch.Settings
 	way    way
-	shared *Shared
+	shared *SharedState
 	rnd    *rand.Rand
 	now    float64
 	out    dispatch.Executor
@@ -290,7 +290,7 @@
 	kinds := make([]float64, len(b.shared.Speeds)) // capacity of each
 	total := 0.
 	for _, w := range all {
-		c := b.shared.Speeds[w.Kind] * b.shared.Slots[w.Kind]
+		c := b.shared.Speeds[w.Kind] * b.shared.Parallelism[w.Kind]
 		kinds[w.Kind] += c
 		total += c
 	}
@@ -350,7 +350,7 @@
 		for _, s := range list {
 			under += s.cost
 		}
-		if t := b.shared.Truth.Finish(w.Worker, under); t < end {
+		if t := b.shared.Oracle.FinishTime(w.Worker, under); t < end {
 			best, end = w, t
 		}
 	}
--- /dev/null
+++ b/internal/fleetmodel/experiment.go
@@ -0,0 +1,307 @@
+// Package world models what a dispatcher lives among: sites and the network between them, workers, discovery, clients
+// and what goes wrong. It is pure: no I/O, no clock but the one handed in, every draw from the seed. Two drivers play
+// it, one in virtual time with whole nodes, one in real time against the program on sockets; both carry messages
+// through a Port and hand in what dispatchers do. It must never know how a dispatcher decides.
+//
+// This file owns what an experiment may say. Times are milliseconds; work is milliseconds on a core of speed 1.
+package fleetmodel
+
+import (
+	"fmt"
+	"strings"
+
+	"weldmast/internal/tomlfile"
+)
+
+// Span is a time in milliseconds.
+type Millis = tomlfile.Span
+
+// Experiment is one day to play: a deployment, its traffic and its troubles.
+type Experiment struct {
+	About       string      `toml:"about"`
+	Length      Millis      `toml:"length" min:"100" max:"86400000"` // arrivals go on for so long
+	Warmup      Millis      `toml:"warmup" min:"0"`                  // work items sent before it are not counted
+	Dispatchers Dispatchers `toml:"dispatchers"`
+	Network     Network     `toml:"network"`
+	Workers     Workers     `toml:"workers"`
+	Kinds       []Kind      `toml:"kind"`
+	Categories  []Category  `toml:"category"`
+	Tenants     []Tenant    `toml:"tenant"`
+	Arrivals    Arrivals    `toml:"arrivals"`
+	Clients     Clients     `toml:"clients"`
+	Faults      []Fault     `toml:"fault"`
+	Fleet       *Fleet      `toml:"fleet"` // nil: the dispatchers are of none
+	Chaos       *Chaos      `toml:"storm"` // faults to draw; nil: none
+}
+
+// Fleet says how the dispatchers are one.
+type Fleet struct {
+	Voters            int     `toml:"voters" min:"1" max:"5"` // the first of them
+	WhenIsolated      string  `toml:"alone" oneof:"serve stop"`
+	HeartbeatInterval Millis  `toml:"beat" min:"20"`
+	LeaseDuration     Millis  `toml:"lease" min:"100"`
+	MaxClockDrift     float64 `toml:"drift" min:"0" max:"0.2"`
+	RecoveryTime      Millis  `toml:"heal" min:"100"` // after the last fault all must be current within this time
+}
+
+// Defaults of a fleet.
+func (f *Fleet) Defaults() {
+	f.Voters, f.WhenIsolated, f.HeartbeatInterval, f.LeaseDuration, f.MaxClockDrift, f.RecoveryTime = 3, "stop", 250, 1000, 0.01, 5000
+}
+
+// Storm says what is drawn for a day.
+type Chaos struct {
+	Count       int      `toml:"faults" min:"1" max:"1000"` // so many at most, at least half of that
+	From        Millis   `toml:"from" min:"0"`
+	Until       Millis   `toml:"until" min:"0"` // the last has ended by then
+	MaxTime     Millis   `toml:"span" min:"1"`  // of one, at most
+	MaxHit      int      `toml:"most" min:"1"`  // dispatchers that one hits
+	Dispatchers []int    `toml:"only"`          // dispatchers that may be hit, by number; none: all
+	Types       []string `toml:"what"`          // a kind that is named twice is drawn twice as often
+}
+
+// Defaults of a storm.
+func (s *Chaos) Defaults() { s.Count, s.From, s.Until, s.MaxTime, s.MaxHit = 12, 1000, 10000, 2000, 3 }
+
+// Dispatchers says how many there are and what they are allowed.
+type Dispatchers struct {
+	Count              int     `toml:"count" min:"1" max:"4096"`
+	RoundInterval      Millis  `toml:"grain" min:"0.1" max:"1000"` // least time between rounds
+	PeerMessages       bool    `toml:"tell"`                       // messages between siblings
+	SecondCopies       bool    `toml:"second_copies"`
+	MayCancel          bool    `toml:"cancel"`
+	HonorPauses        bool    `toml:"pauses"` // clients heed a pause
+	MaxPause           Millis  `toml:"max_pause" min:"0"`
+	MaxHandOffs        int     `toml:"max_hand_offs" min:"1" max:"64"`
+	MaxOpen            int     `toml:"max_open" min:"1"`
+	AnswerSlack        Millis  `toml:"answer_slack" min:"1"`
+	DiscoveryOnRequest bool    `toml:"ask"` // discovery tells only when asked
+	AskWithin          Millis  `toml:"ask_within" min:"1"`
+	ExcessCredit       float64 `toml:"excess_credit" min:"0" max:"1"`
+	RestartDelay       Millis  `toml:"restart" min:"1"` // from the end of a process to its next start
+	StopTimeout        Millis  `toml:"kill" min:"0"`    // from the order to stop to the kill
+}
+
+// Network says how long messages take, one way, and how long a connection may be idle.
+type Network struct {
+	SameSite       Millis `toml:"near" min:"0"`   // within a site
+	CrossSite      Millis `toml:"far" min:"0"`    // between sites
+	Jitter         Millis `toml:"jitter" min:"0"` // mean of an exponential part on top
+	ConnectTimeout Millis `toml:"connect" min:"1"`
+	IdleTimeout    Millis `toml:"conn_idle" min:"1"`
+	DiscoveryDelay Millis `toml:"list" min:"0"`   // from a change of the fleet to its being told
+	DetectionDelay Millis `toml:"notice" min:"0"` // until discovery and the clients' front see a death
+}
+
+// Workers says what all workers have in common.
+type Workers struct {
+	Sites             int     `toml:"sites" min:"1" max:"26"`
+	StartShare        float64 `toml:"start_share" min:"0.01" max:"1"` // of its capacity, as it comes up
+	WarmUp            Millis  `toml:"cold" min:"1"`                   // it is warm after so long; growth is linear
+	OverloadWindow    Millis  `toml:"fall" min:"1"`
+	OverloadFactor    float64 `toml:"fall_multiple" min:"1"`
+	DrainGrace        Millis  `toml:"drain_grace" min:"0"`
+	OnlyDrainingBinds bool    `toml:"only_draining_binds"` // one that is called gone, or left out, may still be sent to
+	ReportStart       bool    `toml:"tell_start"`
+	ProgressInterval  Millis  `toml:"progress" min:"0"` // between progress notices; 0: none
+}
+
+// Kind is one kind of worker.
+type Kind struct {
+	Name       string  `toml:"name" need:"true"`
+	Count      int     `toml:"count" min:"0" max:"10000"`
+	Speed      float64 `toml:"speed" min:"0.001" max:"1000"`
+	Cores      int     `toml:"cores" min:"1" max:"1024"` // jobs beyond it share them
+	Slots      int     `toml:"slots" min:"1" max:"100000"`
+	QueueLimit int     `toml:"queue" min:"0"` // waiting beyond the slots; then it turns away
+}
+
+// Category is one category of work items.
+type Category struct {
+	Name          string  `toml:"name" need:"true"`
+	Share         float64 `toml:"share" min:"0"`
+	Repeat        string  `toml:"repeat" oneof:"rerunnable ticketed exclusive"`
+	TicketWindow  Millis  `toml:"window" min:"0"`
+	Group         string  `toml:"group" oneof:"all zone cell"`
+	DueTime       Millis  `toml:"due" min:"1"`
+	DuePerHint    float64 `toml:"stretch" min:"0"` // the due time grows by so much of the hint
+	Expiry        Millis  `toml:"expiry" min:"0"`
+	Credit        float64 `toml:"credit" min:"0"`
+	MeanCost      Millis  `toml:"cost" min:"0.001"` // mean
+	Distribution  string  `toml:"law" oneof:"fixed exponential pareto lognormal"`
+	Shape         float64 `toml:"shape" min:"0.1" max:"10"` // alpha of pareto, sigma of lognormal
+	MaxCostFactor float64 `toml:"most" min:"1"`             // a cost is at most so many means
+	HintSigma     float64 `toml:"hint_off" min:"0" max:"5"` // sigma of the hint's error, lognormal; 0: hints are exact
+	NoHintShare   float64 `toml:"no_hint" min:"0" max:"1"`  // share of requests without a hint
+}
+
+// Tenant is one who sends work.
+type Tenant struct {
+	Name      string  `toml:"name" need:"true"`
+	Share     float64 `toml:"share" min:"0"`
+	Allowance float64 `toml:"allowance" min:"0"` // work items a second, all dispatchers together
+}
+
+// Arrivals are open-loop: nobody waits for an answer before the next.
+type Arrivals struct {
+	Rate    float64 `toml:"rate" min:"0"` // work items a second, all together
+	Load    float64 `toml:"load" min:"0"` // in place of rate: part of the warm fleet's capacity
+	Spacing string  `toml:"gaps" oneof:"poisson even"`
+}
+
+// Clients says what clients do about answers.
+type Clients struct {
+	MaxRetries int     `toml:"retries" min:"0" max:"16"` // further requests after a deferral, or a failure of what is not exclusive
+	Backoff    Millis  `toml:"backoff" min:"0"`          // before one without a pause; drawn around it
+	LeaveShare float64 `toml:"leave" min:"0" max:"1"`    // share that goes away before its deadline
+}
+
+// Fault is one trouble in the timeline. What is hit is drawn from those that site, kind and name allow.
+type Fault struct {
+	At          Millis  `toml:"at" min:"0" need:"true"`
+	Duration    Millis  `toml:"for" min:"0"`
+	Type        string  `toml:"what" need:"true" oneof:"kill vanish site_loss cut drain deploy slow neighbour fail tail burst discovery_silent discovery_late list_wrong messages_lost messages_late callbacks_repeat callbacks_late dispatcher_kill dispatcher_stop dispatcher_reload dispatcher_upgrade dispatcher_freeze clients_flood clock_jump link_cut link_oneway link_late link_held link_reset link_trickle link_half folder_full folder_gone folder_empty folder_older folder_flipped publish publish_twice"`
+	Site        string  `toml:"site"`
+	WorkerKind  string  `toml:"kind"`
+	Tenant      string  `toml:"tenant"`
+	Count       int     `toml:"count" min:"0"` // how many are hit; 0: by share
+	Share       float64 `toml:"share" min:"0" max:"1"`
+	Amount      float64 `toml:"amount"` // what it means stands with each kind of fault in docs/lab.md
+	Path        string  `toml:"of" oneof:"workers clients siblings discovery"`
+	Dispatchers []int   `toml:"hits"` // dispatchers by number, in place of drawn ones
+}
+
+// Defaults of a kind.
+func (k *Kind) Defaults() { k.Count, k.Speed, k.Cores, k.Slots, k.QueueLimit = 1, 1, 1, 1, 8 }
+
+// Defaults of a category.
+func (c *Category) Defaults() {
+	c.Share, c.Repeat, c.Group, c.DueTime, c.Expiry, c.Credit = 1, "rerunnable", "all", 1000, 5000, 1
+	c.MeanCost, c.Distribution, c.Shape, c.MaxCostFactor = 20, "exponential", 1.5, 1000
+}
+
+// Defaults of a tenant.
+func (t *Tenant) Defaults() { t.Share = 1 }
+
+// Defaults of a fault.
+func (f *Fault) Defaults() { f.Share, f.Path = 1, "workers" }
+
+// Read makes an experiment of a file's text. An error lists every fault with its line and key.
+func ParseExperiment(file string, text []byte) (*Experiment, error) {
+	x := &Experiment{Length: 20000,
+		Dispatchers: Dispatchers{Count: 1, RoundInterval: 5, PeerMessages: true, SecondCopies: true, MayCancel: true, HonorPauses: true, MaxPause: 2000,
+			MaxHandOffs: 5, MaxOpen: 20000, AnswerSlack: 20, AskWithin: 10000, ExcessCredit: 0.1, RestartDelay: 2000, StopTimeout: 3700},
+		Network: Network{SameSite: 0.2, CrossSite: 1, Jitter: 0.05, ConnectTimeout: 250, IdleTimeout: 15000, DiscoveryDelay: 100, DetectionDelay: 2000},
+		Workers: Workers{Sites: 1, StartShare: 0.1, WarmUp: 10000, OverloadWindow: 2000, OverloadFactor: 3, DrainGrace: 500, ReportStart: true,
+			ProgressInterval: 1000},
+		Arrivals: Arrivals{Spacing: "poisson"}, Clients: Clients{MaxRetries: 1, Backoff: 200}}
+	d := tomlfile.Parse(file, text)
+	d.Decode(x)
+	if d.Err() == nil {
+		x.check(d.Fault)
+	}
+	return x, d.Err()
+}
+
+// check finds what single values do not show.
+func (x *Experiment) check(fault func(key, format string, a ...any)) {
+	if len(x.Kinds) == 0 {
+		fault("kind", "at least one is needed")
+	}
+	if len(x.Categories) == 0 {
+		fault("category", "at least one is needed")
+	}
+	if x.Warmup >= x.Length {
+		fault("warmup", "leaves nothing of the length")
+	}
+	if x.Arrivals.Rate > 0 && x.Arrivals.Load > 0 {
+		fault("arrivals.load", "rate is said as well; one of them decides")
+	}
+	if x.Arrivals.Rate == 0 && x.Arrivals.Load == 0 {
+		fault("arrivals", "a rate or a load is needed")
+	}
+	if f := x.Fleet; f != nil {
+		if f.Voters > x.Dispatchers.Count {
+			fault("fleet.voters", "%d of %d dispatchers", f.Voters, x.Dispatchers.Count)
+		}
+		if f.Voters == 2 || f.Voters == 4 {
+			fault("fleet.voters", "there have to be 1, 3 or 5")
+		}
+	}
+	if s := x.Chaos; s != nil && (len(s.Types) == 0 || s.From >= s.Until || s.Until > x.Length) {
+		fault("storm", "needs kinds of faults (what), and from before until within the day")
+	}
+	names := map[string]bool{}
+	unique := func(key, name string) {
+		if name == "" || strings.ContainsAny(name, "/ ,?%") {
+			fault(key, "%q cannot be used as a name", name)
+		}
+		if names[key[:4]+name] {
+			fault(key, "%q is taken", name)
+		}
+		names[key[:4]+name] = true
+	}
+	shares := 0.
+	for k, c := range x.Categories {
+		unique(fmt.Sprintf("category.%d.name", k), c.Name)
+		shares += c.Share
+		if c.Distribution == "pareto" && c.Shape <= 1 {
+			fault(fmt.Sprintf("category.%d.shape", k), "a pareto law with a shape of %v has no mean", c.Shape)
+		}
+	}
+	if shares <= 0 && len(x.Categories) > 0 {
+		fault("category", "the shares add up to nothing")
+	}
+	for k, c := range x.Kinds {
+		unique(fmt.Sprintf("kind.%d.name", k), c.Name)
+	}
+	for k, t := range x.Tenants {
+		unique(fmt.Sprintf("tenant.%d.name", k), t.Name)
+	}
+	for k, f := range x.Faults {
+		at := fmt.Sprintf("fault.%d.", k)
+		if f.Site != "" && (len(f.Site) != 1 || int(f.Site[0]-'a') >= x.Workers.Sites) {
+			fault(at+"site", "%q is no site; there are a to %c", f.Site, 'a'+x.Workers.Sites-1)
+		}
+		if f.WorkerKind != "" && !names["kind"+f.WorkerKind] {
+			fault(at+"kind", "%q is no kind", f.WorkerKind)
+		}
+		if f.Tenant != "" && !names["tena"+f.Tenant] {
+			fault(at+"tenant", "%q is no tenant", f.Tenant)
+		}
+		if f.Amount < 0 && f.Type != "clock_jump" {
+			fault(at+"amount", "%v is below 0", f.Amount)
+		}
+	}
+}
+
+// Capacity is the work that the warm fleet does in a millisecond.
+func (x *Experiment) Capacity() (sum float64) {
+	for _, k := range x.Kinds {
+		sum += float64(k.Count) * k.capacity()
+	}
+	return sum
+}
+
+func (k *Kind) capacity() float64 { return k.Speed * float64(min(k.Cores, k.Slots)) }
+
+// MeanCost is that of a work item of any category.
+func (x *Experiment) MeanCost() float64 {
+	cost, shares := 0., 0.
+	for _, c := range x.Categories {
+		cost += c.Share * float64(c.MeanCost)
+		shares += c.Share
+	}
+	return cost / shares
+}
+
+// PerSecond is the rate of work items.
+func (x *Experiment) ArrivalRate() float64 {
+	if x.Arrivals.Rate > 0 {
+		return x.Arrivals.Rate
+	}
+	return x.Arrivals.Load * x.Capacity() * 1000 / x.MeanCost()
+}
+
+// SiteName is a letter.
+func SiteName(site int) string { return string(rune('a' + site)) }
--- a/internal/world/faults.go
+++ b/internal/fleetmodel/faults.go
@@ -1,6 +1,6 @@
 // This file owns the timeline of troubles and the record of how busy workers are.
 
-package world
+package fleetmodel
 
 import (
 	"fmt"
@@ -9,15 +9,15 @@
 	"weldmast/internal/dispatch"
 )
 
-func (w *World) mark(format string, a ...any) {
-	w.Marks = append(w.Marks, Mark{w.now, fmt.Sprintf(format, a...)})
+func (w *Model) mark(format string, a ...any) {
+	w.Annotations = append(w.Annotations, Annotation{w.now, fmt.Sprintf(format, a...)})
 }
 
 // hit draws the workers that a fault hits: of those up of its site and kind, a count or a share, at least one.
-func (w *World) hit(f *Fault) []*worker {
+func (w *Model) hit(f *Fault) []*worker {
 	var all []*worker
 	for _, x := range w.workers {
-		if x.up && x.state == dispatch.Up && (f.Site == "" || SiteName(x.site) == f.Site) && (f.Kind == "" || x.k.Name == f.Kind) {
+		if x.up && x.state == dispatch.Up && (f.Site == "" || SiteName(x.site) == f.Site) && (f.WorkerKind == "" || x.k.Name == f.WorkerKind) {
 			all = append(all, x)
 		}
 	}
@@ -30,10 +30,10 @@
 }
 
 // among draws dispatchers: a count, or a share if none is given.
-func (w *World) among(f *Fault) []*dispatcher {
-	if len(f.Hits) > 0 {
+func (w *Model) among(f *Fault) []*dispatcher {
+	if len(f.Dispatchers) > 0 {
 		var all []*dispatcher
-		for _, d := range f.Hits {
+		for _, d := range f.Dispatchers {
 			if d >= 0 && d < len(w.dispatchers) {
 				all = append(all, w.dispatchers[d])
 			}
@@ -52,10 +52,10 @@
 }
 
 // Strike lets a fault begin now, whatever its time.
-func (w *World) Strike(f Fault) { w.strike(&f) }
+func (w *Model) InjectFault(f Fault) { w.strike(&f) }
 
 // View is a worker as it is now.
-type View struct {
+type WorkerView struct {
 	ID       string
 	Kind     int
 	Site     int
@@ -67,9 +67,9 @@
 }
 
 // Look shows all workers but those that were replaced.
-func (w *World) Look() (all []View) {
+func (w *Model) WorkerViews() (all []WorkerView) {
 	for _, x := range w.workers {
-		v := View{ID: x.id, Kind: x.kind, Site: x.site, State: "up", Running: len(x.running), Queued: len(x.queue), Finished: x.done}
+		v := WorkerView{ID: x.id, Kind: x.kind, Site: x.site, State: "up", Running: len(x.running), Queued: len(x.queue), Finished: x.done}
 		switch {
 		case x.silent:
 			v.State = "silent"
@@ -89,8 +89,8 @@
 }
 
 // strike lets a fault begin; what lasts ends after its time, 0: never.
-func (w *World) strike(f *Fault) {
-	span := float64(f.For)
+func (w *Model) strike(f *Fault) {
+	span := float64(f.Duration)
 	until := func(undo func()) {
 		if span > 0 {
 			w.After(span, undo)
@@ -115,7 +115,7 @@
 		return len(hit)
 	}
 	n := -1
-	switch f.What {
+	switch f.Type {
 	case "kill":
 		hit := w.hit(f)
 		for _, x := range hit {
@@ -157,7 +157,7 @@
 		w.tail = amount(10)
 		until(func() { w.tail = 1 })
 	case "burst":
-		for k, t := range w.X.Tenants {
+		for k, t := range w.Experiment.Tenants {
 			if f.Tenant == "" || t.Name == f.Tenant {
 				w.bursts[k] *= amount(4)
 				until(func() { w.bursts[k] /= amount(4) })
@@ -202,14 +202,14 @@
 	case "dispatcher_reload":
 		for _, d := range w.among(f) {
 			if d.up {
-				w.port.Reload(d.n)
+				w.port.ReloadDispatcher(d.n)
 			}
 		}
 	case "dispatcher_upgrade":
 		for k, d := range w.among(f) {
 			w.After(span*float64(k), func() {
 				if d.up && !d.frozen { // beside one that hangs a newer process shares its address: another trouble
-					w.port.Upgrade(d.n)
+					w.port.UpgradeDispatcher(d.n)
 				}
 			})
 		}
@@ -223,16 +223,16 @@
 		for _, d := range w.among(f) {
 			hit = append(hit, d.n)
 		}
-		w.port.Trouble(f, hit, true)
-		until(func() { w.port.Trouble(f, hit, false) })
-		if f.What == "folder_empty" || f.What == "folder_older" || f.What == "folder_flipped" { // found so at the next start
+		w.port.SetFleetFault(f, hit, true)
+		until(func() { w.port.SetFleetFault(f, hit, false) })
+		if f.Type == "folder_empty" || f.Type == "folder_older" || f.Type == "folder_flipped" { // found so at the next start
 			for _, d := range hit {
 				w.killDispatcher(w.dispatchers[d], true)
 			}
 		}
 	case "clients_flood":
 		for _, d := range w.among(f) {
-			w.port.Flood(d.n, amount(200), max(span, 1000))
+			w.port.FloodConnections(d.n, amount(200), max(span, 1000))
 		}
 	case "clock_jump": // workers' machines: what they say of their start is off by so much
 		hit := w.hit(f)
@@ -243,21 +243,21 @@
 		n = len(hit)
 	}
 	if n >= 0 {
-		w.mark("%s of %d workers", f.What, n)
+		w.mark("%s of %d workers", f.Type, n)
 	} else {
-		w.mark("%s", f.What)
+		w.mark("%s", f.Type)
 	}
-	switch f.What {
+	switch f.Type {
 	case "publish", "publish_twice", "deploy", "dispatcher_stop", "dispatcher_kill", "dispatcher_reload", "dispatcher_upgrade", "clock_jump":
 	default:
 		if span > 0 {
-			w.After(span, func() { w.mark("%s ends", f.What) })
+			w.After(span, func() { w.mark("%s ends", f.Type) })
 		}
 	}
 }
 
 // heal ends a cut: what was written into it arrives now.
-func (w *World) heal(f *Fault) {
+func (w *Model) heal(f *Fault) {
 	for k, c := range w.cuts {
 		if c == f {
 			w.cuts = append(w.cuts[:k], w.cuts[k+1:]...)
@@ -271,7 +271,7 @@
 		held := x.limbo
 		x.limbo = nil
 		for _, h := range held {
-			d := w.dispatchers[h.D]
+			d := w.dispatchers[h.Dispatcher]
 			switch {
 			case w.cut(withWorkers, d, x.site):
 				x.limbo = append(x.limbo, h)
@@ -283,7 +283,7 @@
 			}
 		}
 	}
-	if f.Of == "discovery" {
+	if f.Path == "discovery" {
 		for _, d := range w.dispatchers {
 			if d.up && d.watching {
 				w.Watch(d.n, d.watch, -1)
@@ -293,20 +293,20 @@
 }
 
 // sample notes each second how busy each kind was.
-func (w *World) sample(start float64) {
-	before := make([]float64, len(w.X.Kinds))
+func (w *Model) sample(start float64) {
+	before := make([]float64, len(w.Experiment.Kinds))
 	var next func()
 	next = func() {
-		s := Second{Busy: make([]float64, len(w.X.Kinds))}
+		s := LoadSample{BusyCores: make([]float64, len(w.Experiment.Kinds))}
 		for _, x := range w.workers {
 			w.work(x)
-			s.Busy[x.kind] += x.busy
+			s.BusyCores[x.kind] += x.busy
 		}
-		for k := range s.Busy {
-			s.Busy[k], before[k] = (s.Busy[k]-before[k])/1000, s.Busy[k]
+		for k := range s.BusyCores {
+			s.BusyCores[k], before[k] = (s.BusyCores[k]-before[k])/1000, s.BusyCores[k]
 		}
-		w.Seconds = append(w.Seconds, s)
-		if !w.Over() {
+		w.LoadSamples = append(w.LoadSamples, s)
+		if !w.Done() {
 			w.After(1000, next)
 		}
 	}
--- a/internal/world/crook_test.go
+++ b/internal/fleetmodel/misbehaving_dispatcher_test.go
@@ -1,28 +1,28 @@
-package world
+package fleetmodel
 
 import (
 	"fmt"
 	"math"
 	"testing"
 
-	"weldmast/internal/audit"
 	"weldmast/internal/dispatch"
+	"weldmast/internal/invariants"
 )
 
 // crook is a dispatcher made to be wrong in one way. It sends each request to the next worker in turn, and answers when
 // one is done.
 type crook struct {
-	w       *World
+	w       *Model
 	way     string
 	list    []string
 	turn    int
-	clients map[string]*Try
+	clients map[string]*Request
 	out     map[string][]*HandOff
 	states  map[string]dispatch.WorkerState
 }
 
-func (c *crook) send(d int, t *Try, to string) {
-	c.out[t.ID] = append(c.out[t.ID], c.w.Send(d, t.ID, to, nil))
+func (c *crook) send(d int, t *Request, to string) {
+	c.out[t.ID] = append(c.out[t.ID], c.w.HandOff(d, t.ID, to, nil))
 }
 
 func (c *crook) next() string {
@@ -35,33 +35,33 @@
 	return ""
 }
 
-func (c *crook) Request(d int, t *Try) {
+func (c *crook) RequestArrived(d int, t *Request) {
 	c.clients[t.ID] = t
 	to := c.next()
 	switch c.way {
 	case "drained worker":
-		to = c.list[t.Job.N%len(c.list)]
+		to = c.list[t.Job.Number%len(c.list)]
 	case "one cold worker":
 		to = c.list[0]
 	}
 	if to == "" {
-		c.answer(d, t.ID, ComeAgain, "")
+		c.answer(d, t.ID, RetryLater, "")
 		return
 	}
 	if c.send(d, t, to); c.way == "come again at once" {
-		c.answer(d, t.ID, ComeAgain, "")
+		c.answer(d, t.ID, RetryLater, "")
 	}
 	if c.way == "a second copy" {
 		c.send(d, t, c.next())
 	}
 	if c.way == "too many hand-offs" {
 		for range 5 {
-			c.w.GiveUp(c.out[t.ID][len(c.out[t.ID])-1])
+			c.w.CancelHandOff(c.out[t.ID][len(c.out[t.ID])-1])
 			c.send(d, t, c.next())
 		}
 	}
 	if c.way == "an id of its own" {
-		c.w.Send(d, "made-up", to, nil)
+		c.w.HandOff(d, "made-up", to, nil)
 	}
 }
 
@@ -72,16 +72,16 @@
 	}
 }
 
-func (c *crook) Leave(int, *Try) {}
-func (c *crook) Ended(d int, h *HandOff, how End) {
+func (c *crook) ClientLeft(int, *Request) {}
+func (c *crook) HandOffEnded(d int, h *HandOff, how HandOffResult) {
 	switch how {
-	case TurnedAway, NoConnect:
+	case Rejected, ConnectFailed:
 		if t := c.clients[h.ID]; t != nil && len(c.out[h.ID]) < 5 {
 			c.send(d, t, c.next())
 		} else {
-			c.answer(d, h.ID, ComeAgain, "")
+			c.answer(d, h.ID, RetryLater, "")
 		}
-	case Reset, Failed:
+	case ConnectionReset, Failed:
 		c.lost(d, h.ID)
 	}
 }
@@ -94,9 +94,9 @@
 	case c.way == "exclusive again":
 		c.send(d, t, c.next())
 	case c.way == "come again after a loss":
-		c.answer(d, id, ComeAgain, "")
+		c.answer(d, id, RetryLater, "")
 	default:
-		c.answer(d, id, Erred, "")
+		c.answer(d, id, OtherStatus, "")
 	}
 }
 
@@ -126,27 +126,27 @@
 	return true
 }
 
-func (c *crook) List(d int, l Listing) {
-	for _, m := range l.Members {
+func (c *crook) DiscoveryUpdated(d int, l DiscoveryUpdate) {
+	for _, m := range l.Workers {
 		if _, known := c.states[m.ID]; !known {
 			c.list = append(c.list, m.ID)
 		}
 		c.states[m.ID] = m.State
 	}
-	c.w.Ready(d)
+	c.w.DispatcherReady(d)
 }
-func (c *crook) Broken(int, int)             {}
-func (c *crook) Message(int, int, []byte)    {}
-func (c *crook) Start(d int, _ []Member)     { c.w.Watch(d, 1, -1) }
-func (c *crook) Up(string)                   {}
-func (c *crook) Down(string)                 {}
-func (c *crook) Kill(int)                    {}
-func (c *crook) Stop(int)                    {}
-func (c *crook) Reload(int)                  {}
-func (c *crook) Upgrade(int)                 {}
-func (c *crook) Flood(int, float64, float64) {}
-func (c *crook) Freeze(int, bool)            {}
-func (c *crook) Trouble(*Fault, []int, bool) {}
+func (c *crook) WatchEnded(int, int)                    {}
+func (c *crook) PeerMessage(int, int, []byte)           {}
+func (c *crook) StartDispatcher(d int, _ []WorkerEntry) { c.w.Watch(d, 1, -1) }
+func (c *crook) WorkerStarted(string)                   {}
+func (c *crook) WorkerStopped(string)                   {}
+func (c *crook) KillDispatcher(int)                     {}
+func (c *crook) StopDispatcher(int)                     {}
+func (c *crook) ReloadDispatcher(int)                   {}
+func (c *crook) UpgradeDispatcher(int)                  {}
+func (c *crook) FloodConnections(int, float64, float64) {}
+func (c *crook) SetPaused(int, bool)                    {}
+func (c *crook) SetFleetFault(*Fault, []int, bool)      {}
 
 const crooked = `
 length = "4s"
@@ -179,27 +179,27 @@
 	for _, c := range []struct {
 		way, repeat, fault string
 		copies             bool
-		rule               audit.Rule
+		rule               invariants.Rule
 		after              float64 // no conviction before it: on the clock of the world, clients come at 1000
 	}{
 		{"none", "exclusive", "", false, "", 0},
 		{"none", "exclusive", "kill", false, "", 0},
 		{"none", "exclusive", "drain", false, "", 0},
-		{"no answer", "rerunnable", "", true, audit.Lost, 1000},
-		{"two answers", "rerunnable", "", true, audit.Lost, 1000},
-		{"made up", "rerunnable", "", true, audit.Lost, 1000},
-		{"late answer", "rerunnable", "", true, audit.Lost, 2000},
-		{"hand-off after the answer", "rerunnable", "", true, audit.Twice, 1000},
-		{"too many hand-offs", "rerunnable", "", true, audit.Twice, 1000},
-		{"a second copy", "rerunnable", "", false, audit.Twice, 1000},
-		{"a second copy", "exclusive", "", true, audit.Twice, 1000},
-		{"an id of its own", "rerunnable", "", true, audit.Twice, 1000},
-		{"come again at once", "exclusive", "", true, audit.Twice, 1000},
-		{"exclusive again", "exclusive", "kill", true, audit.Twice, 2000},
-		{"exclusive again", "ticketed", "vanish", true, audit.Twice, 2000},
-		{"come again after a loss", "ticketed", "kill", true, audit.Twice, 2000},
-		{"drained worker", "rerunnable", "drain", true, audit.Drain, 2500},
-		{"one cold worker", "rerunnable", "cold", true, audit.Pushed, 2000},
+		{"no answer", "rerunnable", "", true, invariants.NoItemLost, 1000},
+		{"two answers", "rerunnable", "", true, invariants.NoItemLost, 1000},
+		{"made up", "rerunnable", "", true, invariants.NoItemLost, 1000},
+		{"late answer", "rerunnable", "", true, invariants.NoItemLost, 2000},
+		{"hand-off after the answer", "rerunnable", "", true, invariants.NoDoubleEffect, 1000},
+		{"too many hand-offs", "rerunnable", "", true, invariants.NoDoubleEffect, 1000},
+		{"a second copy", "rerunnable", "", false, invariants.NoDoubleEffect, 1000},
+		{"a second copy", "exclusive", "", true, invariants.NoDoubleEffect, 1000},
+		{"an id of its own", "rerunnable", "", true, invariants.NoDoubleEffect, 1000},
+		{"come again at once", "exclusive", "", true, invariants.NoDoubleEffect, 1000},
+		{"exclusive again", "exclusive", "kill", true, invariants.NoDoubleEffect, 2000},
+		{"exclusive again", "ticketed", "vanish", true, invariants.NoDoubleEffect, 2000},
+		{"come again after a loss", "ticketed", "kill", true, invariants.NoDoubleEffect, 2000},
+		{"drained worker", "rerunnable", "drain", true, invariants.DrainRespected, 2500},
+		{"one cold worker", "rerunnable", "cold", true, invariants.NoColdOverload, 2000},
 	} {
 		t.Run(c.way+" "+c.repeat+" "+c.fault, func(t *testing.T) {
 			text := fmt.Sprintf(crooked, c.copies, c.repeat)
@@ -210,29 +210,29 @@
 			if c.fault != "" {
 				text += fmt.Sprintf("[[fault]]\nat = \"1s\"\nfor = \"1s\"\nwhat = %q\ncount = 4\n", c.fault)
 			}
-			x, err := Read("crook", []byte(text))
+			x, err := ParseExperiment("crook", []byte(text))
 			if err != nil {
 				t.Fatal(err)
 			}
 			w := New(x, 7)
-			b := &crook{w: w, way: c.way, clients: map[string]*Try{}, out: map[string][]*HandOff{},
+			b := &crook{w: w, way: c.way, clients: map[string]*Request{}, out: map[string][]*HandOff{},
 				states: map[string]dispatch.WorkerState{}}
 			w.Begin(b, 1000)
-			for !w.Over() && !math.IsInf(w.Next(), 1) {
+			for !w.Done() && !math.IsInf(w.Next(), 1) {
 				w.Step()
 			}
 			w.Advance(w.Now() + 1000)
-			w.Audit.Finish(w.Now())
+			w.Checker.Finish(w.Now())
 			if c.rule == "" {
-				if !w.Audit.Clean() || w.Audit.Answers < 700 {
-					t.Errorf("%d answers, convicted: %v", w.Audit.Answers, w.Audit.Verdicts[:min(3, len(w.Audit.Verdicts))])
+				if !w.Checker.Clean() || w.Checker.Answers < 700 {
+					t.Errorf("%d answers, convicted: %v", w.Checker.Answers, w.Checker.Violations[:min(3, len(w.Checker.Violations))])
 				}
 				return
 			}
-			if w.Audit.Clean() {
+			if w.Checker.Clean() {
 				t.Fatal("not convicted")
 			}
-			v := w.Audit.Verdicts[0]
+			v := w.Checker.Violations[0]
 			if v.Rule != c.rule || v.At < c.after || v.ID == "" {
 				t.Errorf("convicted of %v", v)
 			}
--- a/internal/world/world.go
+++ b/internal/fleetmodel/model.go
@@ -1,6 +1,6 @@
 // This file owns time, chance and the network of the model, and the interface with what carries its messages.
 
-package world
+package fleetmodel
 
 import (
 	"container/heap"
@@ -8,80 +8,80 @@
 	"math"
 	"math/rand/v2"
 
-	"weldmast/internal/audit"
 	"weldmast/internal/dispatch"
+	"weldmast/internal/invariants"
 )
 
 // Port carries what the model does to dispatchers, by nodes in the same process or by sockets.
-type Port interface {
+type Driver interface {
 	// Request: the whole of a client's request has reached the dispatcher.
-	Request(d int, t *Try)
+	RequestArrived(d int, t *Request)
 	// Leave: a client that was not answered has closed its connection.
-	Leave(d int, t *Try)
+	ClientLeft(d int, t *Request)
 	// Ended is what the connection of a hand-off shows; of Accepted too.
-	Ended(d int, h *HandOff, how End)
+	HandOffEnded(d int, h *HandOff, how HandOffResult)
 	// Callback is what a worker tells. False: nobody took it.
 	Callback(d int, c Callback) bool
 	// List is what discovery tells on a watch.
-	List(d int, l Listing)
+	DiscoveryUpdated(d int, l DiscoveryUpdate)
 	// Broken is the end of a watch.
-	Broken(d int, watch int)
+	WatchEnded(d int, watch int)
 	// Message is a sibling's.
-	Message(d, from int, data []byte)
+	PeerMessage(d, from int, data []byte)
 	// Start brings a dispatcher up, with the list as it last had it. Ready tells the World when it takes work.
-	Start(d int, known []Member)
+	StartDispatcher(d int, known []WorkerEntry)
 	// Up and Down are a worker's process as it comes and goes; one that is silent is neither.
-	Up(worker string)
-	Down(worker string)
+	WorkerStarted(worker string)
+	WorkerStopped(worker string)
 	// Kill ends it without warning, Stop asks it to end, Reload makes it read its configuration again.
-	Kill(d int)
-	Stop(d int)
-	Reload(d int)
+	KillDispatcher(d int)
+	StopDispatcher(d int)
+	ReloadDispatcher(d int)
 	// Upgrade has a newer process take its place. Flood opens connections that never say a whole request, so many a second.
-	Upgrade(d int)
-	Flood(d int, rate, span float64)
+	UpgradeDispatcher(d int)
+	FloodConnections(d int, rate, span float64)
 	// Freeze has its process stand still, or go on.
-	Freeze(d int, on bool)
+	SetPaused(d int, on bool)
 	// Trouble is one of the fleet's links, folders or operators, of those hit; it ends when it is called once more, off.
-	Trouble(f *Fault, hit []int, on bool)
+	SetFleetFault(f *Fault, hit []int, on bool)
 }
 
 // End is how a hand-off's connection ends.
-type End int
+type HandOffResult int
 
 // The ends.
 const (
-	Accepted   End = iota // 202: callbacks will tell
-	TurnedAway            // 503, not run
-	NoConnect             // the connection never came up
-	Reset                 // it broke after the last byte
-	Failed                // 500
-	Dropped               // given up by the dispatcher, and told to the worker as far as can be
+	Accepted        HandOffResult = iota // 202: callbacks will tell
+	Rejected                             // 503, not run
+	ConnectFailed                        // the connection never came up
+	ConnectionReset                      // it broke after the last byte
+	Failed                               // 500
+	Cancelled                            // given up by the dispatcher, and told to the worker as far as can be
 )
 
 // Callback is what a worker tells of a job.
 type Callback struct {
 	ID, From, State string
-	Share           float64
+	Progress        float64
 	Result          string
 }
 
 // Member is a worker as discovery lists it.
-type Member struct {
-	ID    string
-	Site  int
-	Kind  int
-	State dispatch.WorkerState
-	Since float64 // on the model's clock; below 0: long ago
-	told  float64 // the same where it is true, else below 0
+type WorkerEntry struct {
+	ID        string
+	Site      int
+	Kind      int
+	State     dispatch.WorkerState
+	StartTime float64 // on the model's clock; below 0: long ago
+	told      float64 // the same where it is true, else below 0
 }
 
 // Listing is what discovery tells at once.
-type Listing struct {
+type DiscoveryUpdate struct {
 	Watch    int
 	Revision int64
 	Complete bool
-	Members  []Member
+	Workers  []WorkerEntry
 }
 
 // event is something that happens at a time; those of one time happen in the order in which they were planned.
@@ -108,13 +108,13 @@
 }
 
 // World is one experiment being played. Its methods must be called by one goroutine at a time.
-type World struct {
-	X           *Experiment
-	Audit       *audit.Audit
-	Jobs        []*Job // in order of arrival
-	Marks       []Mark // faults as they came
-	Seconds     []Second
-	port        Port
+type Model struct {
+	Experiment  *Experiment
+	Checker     *invariants.Checker
+	Jobs        []*Job       // in order of arrival
+	Annotations []Annotation // faults as they came
+	LoadSamples []LoadSample
+	port        Driver
 	now         float64
 	seq         uint64
 	queue       events
@@ -125,7 +125,7 @@
 	workers     []*worker
 	byID        map[string]*worker
 	dispatchers []*dispatcher
-	tries       map[string]*Try
+	tries       map[string]*Request
 	revision    int64
 	openJobs    int
 	closed      bool // no more arrivals
@@ -143,14 +143,14 @@
 }
 
 // Mark is a moment in the timeline that a reader should see.
-type Mark struct {
+type Annotation struct {
 	At   float64 `json:"at"`
-	What string  `json:"what"`
+	Text string  `json:"what"`
 }
 
 // Second is what was done in one second of the day.
-type Second struct {
-	Busy []float64 // of each kind: mean of the cores at work
+type LoadSample struct {
+	BusyCores []float64 // of each kind: mean of the cores at work
 }
 
 // dispatcher is one as the model sees it from outside.
@@ -163,25 +163,25 @@
 	life     int  // number of its process
 	watch    int
 	watching bool
-	told     map[string]Member
-	open     map[string]*Try // of clients that wait, and
-	order    []string        // their ids by arrival
-	talked   []float64       // with each worker, last
-	frozen   bool            // its process stands still
-	thawed   float64         // when it last went on
+	told     map[string]WorkerEntry
+	open     map[string]*Request // of clients that wait, and
+	order    []string            // their ids by arrival
+	talked   []float64           // with each worker, last
+	frozen   bool                // its process stands still
+	thawed   float64             // when it last went on
 }
 
 // New makes a world at time 0. The driver calls Begin next.
-func New(x *Experiment, seed uint64) *World {
+func New(x *Experiment, seed uint64) *Model {
 	stream := func(name string) *rand.Rand {
 		h := fnv.New64a()
 		h.Write([]byte(name))
 		return rand.New(rand.NewPCG(seed, h.Sum64()))
 	}
-	w := &World{X: x, arrivals: stream("arrivals"), netRnd: stream("network"), faultRnd: stream("faults"),
-		clientRnd: stream("clients"), byID: map[string]*worker{}, tries: map[string]*Try{}, tail: 1,
+	w := &Model{Experiment: x, arrivals: stream("arrivals"), netRnd: stream("network"), faultRnd: stream("faults"),
+		clientRnd: stream("clients"), byID: map[string]*worker{}, tries: map[string]*Request{}, tail: 1,
 		ids: stream("ids").Uint64()}
-	w.Audit = audit.New(x.rules())
+	w.Checker = invariants.New(x.rules())
 	for range x.Tenants {
 		w.bursts = append(w.bursts, 1)
 	}
@@ -196,22 +196,22 @@
 		}
 	}
 	for d := range x.Dispatchers.Count {
-		w.dispatchers = append(w.dispatchers, &dispatcher{n: d, site: d % x.Workers.Sites, told: map[string]Member{},
-			open: map[string]*Try{}})
+		w.dispatchers = append(w.dispatchers, &dispatcher{n: d, site: d % x.Workers.Sites, told: map[string]WorkerEntry{},
+			open: map[string]*Request{}})
 	}
 	return w
 }
 
 // rules are what the audit judges by.
-func (x *Experiment) rules() audit.Rules {
-	r := audit.Rules{SecondCopies: x.Dispatchers.SecondCopies, DrainGrace: float64(x.Workers.DrainGrace),
-		OnlyDraining: x.Workers.OnlyDraining,
-		AnswerSlack:  float64(x.Dispatchers.AnswerSlack), MaxHandOffs: x.Dispatchers.MaxHandOffs,
-		StartShare: x.Workers.StartShare, Cold: float64(x.Workers.Cold), Fall: float64(x.Workers.Fall),
-		FallMultiple: x.Workers.FallMultiple, MeanCost: x.MeanCost()}
+func (x *Experiment) rules() invariants.Config {
+	r := invariants.Config{SecondCopies: x.Dispatchers.SecondCopies, DrainGrace: float64(x.Workers.DrainGrace),
+		OnlyDrainingBinds: x.Workers.OnlyDrainingBinds,
+		AnswerSlack:       float64(x.Dispatchers.AnswerSlack), MaxHandOffs: x.Dispatchers.MaxHandOffs,
+		StartShare: x.Workers.StartShare, WarmUp: float64(x.Workers.WarmUp), OverloadWindow: float64(x.Workers.OverloadWindow),
+		OverloadFactor: x.Workers.OverloadFactor, MeanCost: x.MeanCost()}
 	for _, c := range x.Categories {
-		r.Categories = append(r.Categories, audit.Category{Name: c.Name, Repeat: c.repeat(), Group: c.group(),
-			Window: float64(c.Window)})
+		r.Categories = append(r.Categories, invariants.Category{Name: c.Name, Repeat: c.repeat(), Group: c.group(),
+			TicketWindow: float64(c.TicketWindow)})
 	}
 	return r
 }
@@ -226,7 +226,7 @@
 }
 
 // Begin starts the dispatchers, plans the faults and the first arrival. Clients come from start on.
-func (w *World) Begin(port Port, start float64) {
+func (w *Model) Begin(port Driver, start float64) {
 	w.port = port
 	for _, d := range w.dispatchers {
 		d.talked = make([]float64, len(w.workers))
@@ -235,29 +235,29 @@
 		}
 		w.startDispatcher(d)
 	}
-	for k := range w.X.Faults {
-		f := &w.X.Faults[k]
+	for k := range w.Experiment.Faults {
+		f := &w.Experiment.Faults[k]
 		w.At(start+float64(f.At), func() { w.strike(f) })
 	}
 	w.At(start, func() { w.nextArrival(start) })
-	w.At(start+float64(w.X.Length), func() { w.closed = true })
+	w.At(start+float64(w.Experiment.Length), func() { w.closed = true })
 	w.sample(start)
 }
 
 // Now is the model's time.
-func (w *World) Now() float64 { return w.now }
+func (w *Model) Now() float64 { return w.now }
 
 // At plans something; what lies in the past happens next.
-func (w *World) At(at float64, do func()) {
+func (w *Model) At(at float64, do func()) {
 	w.seq++
 	heap.Push(&w.queue, &event{max(at, w.now), w.seq, do})
 }
 
 // After plans something after a time.
-func (w *World) After(span float64, do func()) { w.At(w.now+span, do) }
+func (w *Model) After(span float64, do func()) { w.At(w.now+span, do) }
 
 // Next is when the next thing is planned; infinite: never.
-func (w *World) Next() float64 {
+func (w *Model) Next() float64 {
 	if len(w.queue) == 0 {
 		return math.Inf(1)
 	}
@@ -265,14 +265,14 @@
 }
 
 // Step does the next thing that is planned.
-func (w *World) Step() {
+func (w *Model) Step() {
 	e := heap.Pop(&w.queue).(*event)
 	w.now = e.at
 	e.do()
 }
 
 // Advance does all that is due by a time, and stands there then.
-func (w *World) Advance(to float64) {
+func (w *Model) Advance(to float64) {
 	for w.Next() <= to {
 		w.Step()
 	}
@@ -280,18 +280,18 @@
 }
 
 // Silent tells whether discovery says nothing just now.
-func (w *World) Silent() bool { return w.silent > 0 }
+func (w *Model) DiscoverySilent() bool { return w.silent > 0 }
 
 // Over tells that no more work comes and every client has its end.
-func (w *World) Over() bool { return w.closed && w.openJobs == 0 }
+func (w *Model) Done() bool { return w.closed && w.openJobs == 0 }
 
 // delay of one message between two sites.
-func (w *World) delay(a, b int) float64 {
-	t := float64(w.X.Network.Near)
+func (w *Model) delay(a, b int) float64 {
+	t := float64(w.Experiment.Network.SameSite)
 	if a != b {
-		t = float64(w.X.Network.Far)
+		t = float64(w.Experiment.Network.CrossSite)
 	}
-	if j := float64(w.X.Network.Jitter); j > 0 {
+	if j := float64(w.Experiment.Network.Jitter); j > 0 {
 		t += j * w.netRnd.ExpFloat64()
 	}
 	return t
@@ -308,10 +308,10 @@
 )
 
 // cut tells whether nothing gets through now between dispatchers of one site and those of the other side there.
-func (w *World) cut(s side, d *dispatcher, site int) bool {
+func (w *Model) cut(s side, d *dispatcher, site int) bool {
 	for _, f := range w.cuts {
 		of := map[string]side{"workers": withWorkers, "clients": withClients, "siblings": withSiblings,
-			"discovery": withDiscovery}[f.Of]
+			"discovery": withDiscovery}[f.Path]
 		if of == s && (f.Site == "" || SiteName(site) == f.Site) && (f.Count == 0 || d.n < f.Count) {
 			return true
 		}
--- a/internal/world/worker.go
+++ b/internal/fleetmodel/workers.go
@@ -1,7 +1,7 @@
 // This file owns workers: what they run, how fast, how they warm up, fall over and drain, and the way of a hand-off to
 // one and of its callbacks back.
 
-package world
+package fleetmodel
 
 import (
 	"fmt"
@@ -51,58 +51,58 @@
 
 // HandOff is one on its way or out.
 type HandOff struct {
-	ID      string
-	D       int
-	N       int // number among those of its request
-	Worker  string
-	Tag     any // the driver's
-	t       *Try
-	w       *worker
-	life    int // of the dispatcher
-	wlife   int // of the worker, as it arrived
-	arrives float64
-	off     bool // given up by the dispatcher
-	closed  bool // the dispatcher has seen its connection's end
+	ID         string
+	Dispatcher int
+	Number     int // number among those of its request
+	Worker     string
+	Tag        any // the driver's
+	t          *Request
+	w          *worker
+	life       int // of the dispatcher
+	wlife      int // of the worker, as it arrived
+	arrives    float64
+	off        bool // given up by the dispatcher
+	closed     bool // the dispatcher has seen its connection's end
 }
 
-func (w *World) addWorker(kind, site int, since float64) *worker {
-	x := &worker{n: len(w.workers), id: fmt.Sprintf("w%d", len(w.workers)), kind: kind, k: &w.X.Kinds[kind], site: site,
+func (w *Model) addWorker(kind, site int, since float64) *worker {
+	x := &worker{n: len(w.workers), id: fmt.Sprintf("w%d", len(w.workers)), kind: kind, k: &w.Experiment.Kinds[kind], site: site,
 		listed: true, up: true, since: since, slow: 1, at: w.now}
 	w.workers = append(w.workers, x)
 	w.byID[x.id] = x
 	for _, d := range w.dispatchers {
 		d.talked = append(d.talked, math.Inf(-1))
 	}
-	w.Audit.WorkerUp(w.now, x.id, site, x.k.capacity(), since)
+	w.Checker.WorkerStarted(w.now, x.id, site, x.k.capacity(), since)
 	return x
 }
 
 // Workers names all workers so far, with their kinds and sites, in order of their numbers.
-func (w *World) Workers() (all []Member) {
+func (w *Model) Workers() (all []WorkerEntry) {
 	for _, x := range w.workers {
 		all = append(all, x.member())
 	}
 	return all
 }
 
-func (x *worker) member() Member {
-	m := Member{ID: x.id, Site: x.site, Kind: x.kind, State: x.state, Since: x.since, told: x.since}
+func (x *worker) member() WorkerEntry {
+	m := WorkerEntry{ID: x.id, Site: x.site, Kind: x.kind, State: x.state, StartTime: x.since, told: x.since}
 	if x.denied {
 		m.State = dispatch.Gone
 	}
 	if x.since >= 0 && x.clock != 0 { // by its machine's clock: nobody can know when it started
-		m.Since, m.told = max(x.since+x.clock, 0), math.Inf(-1)
+		m.StartTime, m.told = max(x.since+x.clock, 0), math.Inf(-1)
 	}
 	return m
 }
 
 // warmth is the part of its capacity that the worker has.
-func (w *World) warmth(x *worker, at float64) float64 {
+func (w *Model) warmth(x *worker, at float64) float64 {
 	if x.since < 0 {
 		return 1
 	}
-	s := w.X.Workers.StartShare
-	return s + (1-s)*min(max(at-x.since, 0)/float64(w.X.Workers.Cold), 1)
+	s := w.Experiment.Workers.StartShare
+	return s + (1-s)*min(max(at-x.since, 0)/float64(w.Experiment.Workers.WarmUp), 1)
 }
 
 // pace is the speed of each running job, but for the warmth.
@@ -112,7 +112,7 @@
 }
 
 // work brings a worker's running jobs up to now.
-func (w *World) work(x *worker) {
+func (w *Model) work(x *worker) {
 	if span := w.now - x.at; span > 0 && len(x.running) > 0 {
 		mean := w.warmArea(x, x.at, w.now)
 		for _, r := range x.running {
@@ -124,8 +124,8 @@
 }
 
 // warmArea is the integral of the warmth.
-func (w *World) warmArea(x *worker, from, to float64) float64 {
-	end := x.since + float64(w.X.Workers.Cold)
+func (w *Model) warmArea(x *worker, from, to float64) float64 {
+	end := x.since + float64(w.Experiment.Workers.WarmUp)
 	if x.since < 0 || from >= end {
 		return to - from
 	}
@@ -134,8 +134,8 @@
 }
 
 // takes is how long a worker needs from now for so much of the integral of its warmth.
-func (w *World) takes(x *worker, area float64) float64 {
-	end := x.since + float64(w.X.Workers.Cold)
+func (w *Model) takes(x *worker, area float64) float64 {
+	end := x.since + float64(w.Experiment.Workers.WarmUp)
 	if x.since < 0 || w.now >= end {
 		return area
 	}
@@ -143,12 +143,12 @@
 		return end - w.now + area - cold
 	}
 	now := w.warmth(x, w.now)
-	grow := (1 - w.X.Workers.StartShare) / float64(w.X.Workers.Cold)
+	grow := (1 - w.Experiment.Workers.StartShare) / float64(w.Experiment.Workers.WarmUp)
 	return 2 * area / (now + math.Sqrt(now*now+2*grow*area))
 }
 
 // plan has the next end of a running job come at its time.
-func (w *World) plan(x *worker) {
+func (w *Model) plan(x *worker) {
 	x.turn++
 	if len(x.running) == 0 || !x.up {
 		return
@@ -174,34 +174,34 @@
 }
 
 // change is called round whatever changes a worker's pace.
-func (w *World) change(x *worker, do func()) {
+func (w *Model) change(x *worker, do func()) {
 	w.work(x)
 	do()
 	w.plan(x)
 }
 
 // Send is a dispatcher's hand-off; its first byte leaves now. What comes of it goes through Port.Ended.
-func (w *World) Send(n int, id, workerID string, tag any) *HandOff {
+func (w *Model) HandOff(n int, id, workerID string, tag any) *HandOff {
 	d, x, t := w.dispatchers[n], w.byID[workerID], w.tries[id]
-	h := &HandOff{ID: id, D: n, Worker: workerID, Tag: tag, t: t, w: x, life: d.life, arrives: w.now}
+	h := &HandOff{ID: id, Dispatcher: n, Worker: workerID, Tag: tag, t: t, w: x, life: d.life, arrives: w.now}
 	hint := 0.
 	if t != nil {
 		hint = t.Job.Hint
-		h.N = t.sends
+		h.Number = t.sends
 		t.sends++
 	}
-	w.Audit.Sent(w.now, n, id, h.N, workerID, hint)
+	w.Checker.HandOffSent(w.now, n, id, h.Number, workerID, hint)
 	switch {
 	case x == nil || t == nil:
-		w.After(0, func() { w.shown(h, NoConnect) })
+		w.After(0, func() { w.shown(h, ConnectFailed) })
 	case x.silent || w.cut(withWorkers, d, x.site):
-		if w.now-d.talked[x.n] > float64(w.X.Network.ConnIdle) {
-			w.After(float64(w.X.Network.Connect), func() { w.shown(h, NoConnect) })
+		if w.now-d.talked[x.n] > float64(w.Experiment.Network.IdleTimeout) {
+			w.After(float64(w.Experiment.Network.ConnectTimeout), func() { w.shown(h, ConnectFailed) })
 			return h
 		}
 		x.limbo = append(x.limbo, h) // written to a connection that is still open, to nobody
 	case !x.up:
-		w.After(2*w.delay(d.site, x.site), func() { w.shown(h, NoConnect) })
+		w.After(2*w.delay(d.site, x.site), func() { w.shown(h, ConnectFailed) })
 	default:
 		d.talked[x.n] = w.now
 		h.arrives = w.now + w.delay(d.site, x.site)
@@ -211,27 +211,27 @@
 }
 
 // GiveUp is a dispatcher's wish that a worker drop a hand-off: the connection is closed, and a DELETE follows.
-func (w *World) GiveUp(h *HandOff) {
+func (w *Model) CancelHandOff(h *HandOff) {
 	if h.off {
 		return
 	}
 	h.off = true
-	w.Audit.GivenUp(w.now, h.ID, h.N)
-	d, x := w.dispatchers[h.D], h.w
+	w.Checker.HandOffCancelled(w.now, h.ID, h.Number)
+	d, x := w.dispatchers[h.Dispatcher], h.w
 	if x == nil || x.silent || !x.up || w.cut(withWorkers, d, x.site) {
-		w.After(0, func() { w.shown(h, Dropped) })
+		w.After(0, func() { w.shown(h, Cancelled) })
 		return
 	}
 	at := max(w.now+w.delay(d.site, x.site), h.arrives)
 	w.At(at, func() { w.drop(h) })
-	if !w.X.Dispatchers.SecondCopies { // its end counts when the worker has said so
+	if !w.Experiment.Dispatchers.SecondCopies { // its end counts when the worker has said so
 		at += w.delay(d.site, x.site)
 	}
-	w.At(at, func() { w.shown(h, Dropped) })
+	w.At(at, func() { w.shown(h, Cancelled) })
 }
 
 // drop takes a job away from a worker.
-func (w *World) drop(h *HandOff) {
+func (w *Model) drop(h *HandOff) {
 	x := h.w
 	for k, r := range x.queue {
 		if r.h == h {
@@ -249,28 +249,28 @@
 }
 
 // shown tells the dispatcher of a hand-off what its connection shows.
-func (w *World) shown(h *HandOff, how End) {
-	d := w.dispatchers[h.D]
-	if !d.up || d.life != h.life || h.closed && how != Dropped {
+func (w *Model) shown(h *HandOff, how HandOffResult) {
+	d := w.dispatchers[h.Dispatcher]
+	if !d.up || d.life != h.life || h.closed && how != Cancelled {
 		return
 	}
-	if h.off && how != Dropped && how != NoConnect { // it no longer listens
+	if h.off && how != Cancelled && how != ConnectFailed { // it no longer listens
 		return
 	}
 	h.closed = how != Accepted
 	switch how {
-	case TurnedAway, NoConnect:
-		w.Audit.Unrun(w.now, h.ID, h.N)
-	case Reset, Failed:
-		w.Audit.Heard(w.now, h.ID, h.N)
+	case Rejected, ConnectFailed:
+		w.Checker.HandOffNotRun(w.now, h.ID, h.Number)
+	case ConnectionReset, Failed:
+		w.Checker.HandOffEnded(w.now, h.ID, h.Number)
 	}
-	w.port.Ended(h.D, h, how)
+	w.port.HandOffEnded(h.Dispatcher, h, how)
 }
 
 // arrive is the last byte of a hand-off at its worker.
-func (w *World) arrive(h *HandOff) {
-	x, d := h.w, w.dispatchers[h.D]
-	back := func(how End) {
+func (w *Model) arrive(h *HandOff) {
+	x, d := h.w, w.dispatchers[h.Dispatcher]
+	back := func(how HandOffResult) {
 		if !x.silent && !w.cut(withWorkers, d, x.site) {
 			w.After(w.delay(x.site, d.site), func() { w.shown(h, how) })
 		}
@@ -281,16 +281,16 @@
 		x.limbo = append(x.limbo, h)
 		return
 	case !x.up:
-		back(Reset)
+		back(ConnectionReset)
 		return
 	case x.fails > 0 && w.faultRnd.Float64() < x.fails:
 		back(Failed)
 		return
 	case w.weigh(x, h): // pushed over
-		back(Reset)
+		back(ConnectionReset)
 		return
-	case x.state != dispatch.Up || len(x.running) >= x.k.Slots && len(x.queue) >= x.k.Queue:
-		back(TurnedAway)
+	case x.state != dispatch.Up || len(x.running) >= x.k.Slots && len(x.queue) >= x.k.QueueLimit:
+		back(Rejected)
 		return
 	}
 	cost := h.t.Job.Cost
@@ -305,19 +305,19 @@
 
 // weigh adds up what a cold worker is sent; pushed beyond what it stands, it falls over. One work item alone never
 // pushes it.
-func (w *World) weigh(x *worker, h *HandOff) bool {
-	if x.since < 0 || w.now >= x.since+float64(w.X.Workers.Cold) {
+func (w *Model) weigh(x *worker, h *HandOff) bool {
+	if x.since < 0 || w.now >= x.since+float64(w.Experiment.Workers.WarmUp) {
 		x.sent = nil
 		return false
 	}
-	window := float64(w.X.Workers.Fall)
+	window := float64(w.Experiment.Workers.OverloadWindow)
 	x.sent = slices.DeleteFunc(x.sent, func(s spent) bool { return s.at <= w.now-window })
 	x.sent = append(x.sent, spent{w.now, h.t.Job.Hint})
 	sum := 0.
 	for _, s := range x.sent {
 		sum += s.cost
 	}
-	if len(x.sent) < 2 || sum <= 1.2*w.X.Workers.FallMultiple*w.warmth(x, w.now)*x.k.capacity()*window {
+	if len(x.sent) < 2 || sum <= 1.2*w.Experiment.Workers.OverloadFactor*w.warmth(x, w.now)*x.k.capacity()*window {
 		return false
 	}
 	w.mark("%s pushed over while cold", x.id)
@@ -326,7 +326,7 @@
 }
 
 // serve starts what has a slot.
-func (w *World) serve(x *worker) {
+func (w *Model) serve(x *worker) {
 	if len(x.queue) == 0 || len(x.running) >= x.k.Slots {
 		return
 	}
@@ -335,11 +335,11 @@
 			r := x.queue[0]
 			x.queue = x.queue[1:]
 			x.running = append(x.running, r)
-			w.Audit.Began(w.now, r.h.ID, r.h.N, r.h.t.Job.N)
-			if w.X.Workers.TellStart {
+			w.Checker.JobStarted(w.now, r.h.ID, r.h.Number, r.h.t.Job.Number)
+			if w.Experiment.Workers.ReportStart {
 				w.call(x, r.h, Callback{ID: r.h.ID, From: x.id, State: "started"})
 			}
-			if p := float64(w.X.Workers.Progress); p > 0 && r.left > p*x.pace()/2 {
+			if p := float64(w.Experiment.Workers.ProgressInterval); p > 0 && r.left > p*x.pace()/2 {
 				w.progress(x, r, x.life)
 			}
 		}
@@ -347,37 +347,37 @@
 }
 
 // progress is told at intervals while a job runs.
-func (w *World) progress(x *worker, r *run, life int) {
-	w.After(float64(w.X.Workers.Progress), func() {
+func (w *Model) progress(x *worker, r *run, life int) {
+	w.After(float64(w.Experiment.Workers.ProgressInterval), func() {
 		if x.life != life || !x.up || !slices.Contains(x.running, r) {
 			return
 		}
 		w.change(x, func() {})
-		w.call(x, r.h, Callback{ID: r.h.ID, From: x.id, State: "running", Share: min(max(1-r.left/r.cost, 0), 1)})
+		w.call(x, r.h, Callback{ID: r.h.ID, From: x.id, State: "running", Progress: min(max(1-r.left/r.cost, 0), 1)})
 		w.progress(x, r, life)
 	})
 }
 
-func (w *World) finish(x *worker, r *run) {
+func (w *Model) finish(x *worker, r *run) {
 	k := slices.Index(x.running, r)
 	w.change(x, func() { x.running = slices.Delete(x.running, k, k+1) })
 	x.done++
 	result := r.h.ID + " by " + x.id
-	w.Audit.Made(r.h.ID, result)
+	w.Checker.JobFinished(r.h.ID, result)
 	w.call(x, r.h, Callback{ID: r.h.ID, From: x.id, State: "done", Result: result})
 	w.serve(x)
 }
 
 // call carries a callback to the dispatcher that handed the job off, with further tries while nobody answers.
-func (w *World) call(x *worker, h *HandOff, c Callback) {
+func (w *Model) call(x *worker, h *HandOff, c Callback) {
 	w.callAgain(x, h, c, x.life, callTries)
 	if w.repeat > 0 && w.netRnd.Float64() < w.repeat {
 		w.After(50*w.netRnd.Float64(), func() { w.callAgain(x, h, c, x.life, 1) })
 	}
 }
 
-func (w *World) callAgain(x *worker, h *HandOff, c Callback, life, tries int) {
-	d := w.dispatchers[h.D]
+func (w *Model) callAgain(x *worker, h *HandOff, c Callback, life, tries int) {
+	d := w.dispatchers[h.Dispatcher]
 	again := func() {
 		if tries > 1 {
 			w.After(callGap, func() { w.callAgain(x, h, c, life, tries-1) })
@@ -398,12 +398,12 @@
 		if d.life == h.life { // it knows as it acts on it
 			switch c.State {
 			case "returned":
-				w.Audit.Unrun(w.now, h.ID, h.N)
+				w.Checker.HandOffNotRun(w.now, h.ID, h.Number)
 			case "done", "failed", "lost":
-				w.Audit.Heard(w.now, h.ID, h.N)
+				w.Checker.HandOffEnded(w.now, h.ID, h.Number)
 			}
 		}
-		if !w.port.Callback(h.D, c) {
+		if !w.port.Callback(h.Dispatcher, c) {
 			again()
 		}
 	})
@@ -411,13 +411,13 @@
 
 // kill ends a worker's process; the agent of its machine tells what was lost with it. It is back, cold, after a time;
 // 0: never.
-func (w *World) kill(x *worker, back float64) {
+func (w *Model) kill(x *worker, back float64) {
 	if !x.up {
 		return
 	}
 	w.work(x)
 	if !x.silent {
-		w.port.Down(x.id)
+		w.port.WorkerStopped(x.id)
 	}
 	lost := append(slices.Clone(x.running), x.queue...)
 	x.up = false
@@ -431,7 +431,7 @@
 		}
 	}
 	life := x.life
-	w.After(float64(w.X.Network.Notice), func() {
+	w.After(float64(w.Experiment.Network.DetectionDelay), func() {
 		if !x.up && x.life == life && x.state != dispatch.Gone {
 			x.state = dispatch.Gone
 			w.changed(x)
@@ -443,23 +443,23 @@
 }
 
 // revive brings a worker back, cold.
-func (w *World) revive(x *worker) {
+func (w *Model) revive(x *worker) {
 	if x.up {
 		return
 	}
 	x.up, x.silent, x.state, x.since, x.at = true, false, dispatch.Up, w.now, w.now
 	x.life++
 	for _, h := range x.limbo { // connections from before are reset
-		w.After(w.delay(x.site, w.dispatchers[h.D].site), func() { w.shown(h, Reset) })
+		w.After(w.delay(x.site, w.dispatchers[h.Dispatcher].site), func() { w.shown(h, ConnectionReset) })
 	}
 	x.limbo = nil
-	w.port.Up(x.id)
-	w.Audit.WorkerUp(w.now, x.id, x.site, x.k.capacity(), w.now)
+	w.port.WorkerStarted(x.id)
+	w.Checker.WorkerStarted(w.now, x.id, x.site, x.k.capacity(), w.now)
 	w.changed(x)
 }
 
 // vanish makes a worker's machine silent; what it had is lost without a word.
-func (w *World) vanish(x *worker, back float64) {
+func (w *Model) vanish(x *worker, back float64) {
 	if x.up {
 		x.silent = true
 		w.kill(x, back)
@@ -468,7 +468,7 @@
 
 // drain has discovery say that the worker wants nothing new. After a time it wants work again, or is replaced once it
 // is empty by another, cold.
-func (w *World) drain(x *worker, span float64, replace bool) {
+func (w *Model) drain(x *worker, span float64, replace bool) {
 	if !x.up || x.state != dispatch.Up {
 		return
 	}
@@ -487,7 +487,7 @@
 	w.emptied(x, life)
 }
 
-func (w *World) emptied(x *worker, life int) {
+func (w *Model) emptied(x *worker, life int) {
 	w.After(100, func() {
 		if x.life != life {
 			return
@@ -498,11 +498,11 @@
 		}
 		x.up, x.state, x.retired = false, dispatch.Gone, true
 		x.life++
-		w.port.Down(x.id)
+		w.port.WorkerStopped(x.id)
 		w.changed(x)
 		w.After(500, func() {
 			y := w.addWorker(x.kind, x.site, w.now)
-			w.port.Up(y.id)
+			w.port.WorkerStarted(y.id)
 			w.changed(y)
 		})
 	})
@@ -510,9 +510,9 @@
 
 // Finish is when a job of that cost would end if it reached the worker now; infinite: never. It is the truth, for the
 // bound that no dispatcher can reach.
-func (w *World) Finish(id string, cost float64) float64 {
+func (w *Model) FinishTime(id string, cost float64) float64 {
 	x := w.byID[id]
-	if x == nil || !x.up || x.silent || x.state != dispatch.Up || len(x.running) >= x.k.Slots && len(x.queue) >= x.k.Queue {
+	if x == nil || !x.up || x.silent || x.state != dispatch.Up || len(x.running) >= x.k.Slots && len(x.queue) >= x.k.QueueLimit {
 		return math.Inf(1)
 	}
 	left := cost
--- a/internal/audit/audit_test.go
+++ b/internal/invariants/cold_budget_test.go
@@ -1,4 +1,4 @@
-package audit
+package invariants
 
 import (
 	"fmt"
@@ -12,17 +12,17 @@
 func TestColdBudget(t *testing.T) {
 	const mean = 10.
 	for n, holds := range map[float64]int{4: 4, 25: 30, 100: 120, 400: 442, 2500: 2602} {
-		a := New(Rules{Categories: []Category{{}}, MaxHandOffs: 1, Cold: 1e12, Fall: 1000, FallMultiple: 1, StartShare: 0.5, MeanCost: mean})
-		a.WorkerUp(0, "w", 0, n*mean/0.5/1000, 0)
+		a := New(Config{Categories: []Category{{}}, MaxHandOffs: 1, WarmUp: 1e12, OverloadWindow: 1000, OverloadFactor: 1, StartShare: 0.5, MeanCost: mean})
+		a.WorkerStarted(0, "w", 0, n*mean/0.5/1000, 0)
 		for d := range 30 {
-			a.Started(0, d)
-			a.Told(0, d, "w", dispatch.Up, 0)
+			a.DispatcherStarted(0, d)
+			a.WorkerListed(0, d, "w", dispatch.Up, 0)
 		}
 		for k := range holds + 1 {
 			id := fmt.Sprint(k)
-			a.Taken(1, k%30, id, 0, k, 1e6)
-			a.Sent(1, k%30, id, 0, "w", mean)
-			if broken := a.Count[Pushed] > 0; broken != (k == holds) {
+			a.RequestReceived(1, k%30, id, 0, k, 1e6)
+			a.HandOffSent(1, k%30, id, 0, "w", mean)
+			if broken := a.Counts[NoColdOverload] > 0; broken != (k == holds) {
 				t.Fatalf("N %v: convicted %v by request %d, %d hold", n, broken, k+1, holds)
 			}
 		}
--- a/internal/audit/fleet.go
+++ b/internal/invariants/fleet_checker.go
@@ -1,7 +1,7 @@
 // This file judges a fleet from outside: by the release that workers saw on each hand-off, by what the council told its
 // operators, and by the audit that it gave at the end.
 
-package audit
+package invariants
 
 import (
 	"fmt"
@@ -14,90 +14,90 @@
 
 // The rules of a fleet, beside those of each dispatcher.
 const (
-	Fenced  Rule = "nobody acts on an older version after a fence"
-	Booked  Rule = "every act stands in the audit or in an unknown span"
-	Ordered Rule = "one history of versions"
-	Healed  Rule = "all are current soon after the last fault"
+	FenceRespected Rule = "nobody acts on an older version after a fence"
+	AuditComplete  Rule = "every act stands in the audit or in an unknown span"
+	SingleHistory  Rule = "one history of versions"
+	FleetRecovered Rule = "all are current soon after the last fault"
 )
 
 // FleetRules in their order.
-var FleetRules = []Rule{Fenced, Booked, Ordered, Healed}
+var FleetRules = []Rule{FenceRespected, AuditComplete, SingleHistory, FleetRecovered}
 
 // Seen is a hand-off as a worker saw it.
-type Seen struct {
-	At         float64
-	Dispatcher int
-	ID         string
-	Worker     string
-	Release    string
-	Thawed     float64 // its sender's process had last gone on then, 0: never stood still
+type ObservedHandOff struct {
+	At            float64
+	Dispatcher    int
+	ID            string
+	Worker        string
+	Release       string
+	SenderResumed float64 // its sender's process had last gone on then, 0: never stood still
 }
 
 // Call is one of an operator's, and what it was told; times are the operator's.
-type Call struct {
-	From, To float64 // To: when the answer came
-	Request  string  // published under it; empty: a reading
-	Known    bool    // an answer came
-	Version  uint64  // that it was told
+type OperatorCall struct {
+	Start, End float64 // To: when the answer came
+	Request    string  // published under it; empty: a reading
+	Answered   bool    // an answer came
+	Version    uint64  // that it was told
 }
 
 // Fleet takes what crossed the wire of one.
-type Fleet struct {
-	Seen  []Seen
-	Calls []Call
+type FleetChecker struct {
+	HandOffs []ObservedHandOff
+	Calls    []OperatorCall
 	// Complete is when an operator was first told that a version's fence is complete.
-	Complete map[uint64]float64
+	FenceCompleted map[uint64]float64
 	// Releases are the versions by what hand-offs bear; the empty one is 0.
-	Releases map[string]uint64
+	VersionByRelease map[string]uint64
 	// Late counts hand-offs that came within a moment of their sender's going on: it stood still between look and write.
-	Late     int
-	Verdicts []Verdict
+	LateAfterResume int
+	Violations      []Violation
 }
 
 // moment is how long after its going on a process's hand-off may still be one that it looked for before; on a machine that
 // is busy with many of them.
 const moment = 150
 
-func (f *Fleet) convict(at float64, rule Rule, s Seen, format string, a ...any) {
-	f.Verdicts = append(f.Verdicts, Verdict{At: at, Rule: rule, ID: s.ID, Dispatcher: s.Dispatcher, Worker: s.Worker, What: fmt.Sprintf(format, a...)})
+func (f *FleetChecker) convict(at float64, rule Rule, s ObservedHandOff, format string, a ...any) {
+	f.Violations = append(f.Violations, Violation{At: at, Rule: rule, ID: s.ID, Dispatcher: s.Dispatcher, Worker: s.Worker, Detail: fmt.Sprintf(format, a...)})
 }
 
 // Unhealed: a member was not current in time.
-func (f *Fleet) Unhealed(at float64, what string) {
-	f.convict(at, Healed, Seen{Dispatcher: -1}, "%s", what)
+func (f *FleetChecker) NotRecovered(at float64, what string) {
+	f.convict(at, FleetRecovered, ObservedHandOff{Dispatcher: -1}, "%s", what)
 }
 
 // Judge gives the verdicts. Final is the audit as the fleet told it once all was over, members its names by dispatcher;
 // unix turns the judge's time into Unix time.
-func (f *Fleet) Judge(final *fleet.Audit, members []string, unix func(float64) float64) {
+func (f *FleetChecker) Check(final *fleet.Audit, members []string, unix func(float64) float64) {
 	f.fences()
 	f.order()
 	if final == nil {
-		f.convict(0, Booked, Seen{Dispatcher: -1}, "no audit was to be had")
+		f.convict(0, AuditComplete, ObservedHandOff{Dispatcher: -1}, "no audit was to be had")
 		return
 	}
 	f.booked(final, members, unix)
 }
 
-func (f *Fleet) fences() {
-	for _, s := range f.Seen {
-		version, known := f.Releases[s.Release]
+func (f *FleetChecker) fences() {
+	for _, s := range f.HandOffs {
+		version, known := f.VersionByRelease[s.Release]
 		if !known {
-			f.convict(s.At, Ordered, s, "handed off under release %q, which nobody published", s.Release)
+			f.convict(s.At, SingleHistory, s, "handed off under release %q, which nobody published", s.Release)
 			continue
 		}
-		for fence, at := range f.Complete {
+		for fence, at := range f.FenceCompleted {
 			if version >= fence || s.At <= at+leniency {
 				continue
 			}
-			if s.Thawed > 0 && s.At < s.Thawed+moment {
-				f.Late++
+			if s.SenderResumed > 0 && s.At < s.SenderResumed+moment {
+				f.LateAfterResume++
 				continue
 			}
-			f.convict(s.At, Fenced, s, "handed off under version %d, %.1f ms after the fence of version %d was told to be complete", version, s.At-at, fence)
+			f.convict(s.At, FenceRespected, s, "handed off under version %d, %.1f ms after the fence of version %d was told to be complete", version, s.At-at, fence)
 		}
 	}
-	slices.SortFunc(f.Verdicts, func(a, b Verdict) int {
+	slices.SortFunc(f.Violations, func(a, b Violation) int {
 		if a.At < b.At {
 			return -1
 		}
@@ -107,7 +107,7 @@
 
 // order holds the operators' calls against one history: there has to be an order of them, each between its beginning and
 // its end, in which each publish is the next version once, and each reading sees the newest.
-func (f *Fleet) order() {
+func (f *FleetChecker) order() {
 	type state struct {
 		newest uint64
 		made   string // requests with their versions
@@ -120,17 +120,17 @@
 	var history []porcupine.Operation
 	end := 0.
 	for _, c := range f.Calls {
-		end = max(end, c.From, c.To)
+		end = max(end, c.Start, c.End)
 	}
 	for k, c := range f.Calls {
-		if !c.Known && c.Request == "" {
+		if !c.Answered && c.Request == "" {
 			continue // a reading without an answer says nothing
 		}
-		to := c.To
-		if !c.Known { // it may be carried out at any time later, or never
+		to := c.End
+		if !c.Answered { // it may be carried out at any time later, or never
 			to = end + 1e6
 		}
-		history = append(history, porcupine.Operation{ClientId: k, Input: input{c.Request}, Call: int64(c.From * 1000), Output: output{c.Known, c.Version}, Return: int64(to * 1000)})
+		history = append(history, porcupine.Operation{ClientId: k, Input: input{c.Request}, Call: int64(c.Start * 1000), Output: output{c.Answered, c.Version}, Return: int64(to * 1000)})
 	}
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{state{}} },
@@ -160,7 +160,7 @@
 		Equal: func(a, b any) bool { return a == b },
 	}
 	if !porcupine.CheckOperations(model.ToModel(), history) {
-		f.convict(end, Ordered, Seen{Dispatcher: -1}, "what %d operators' calls were told fits no one order", len(history))
+		f.convict(end, SingleHistory, ObservedHandOff{Dispatcher: -1}, "what %d operators' calls were told fits no one order", len(history))
 	}
 }
 
@@ -187,7 +187,7 @@
 
 // booked looks for each hand-off that a worker saw in the audit: in a line of its sender under its version whose first and
 // last act enclose it, or in a span of its sender called unknown.
-func (f *Fleet) booked(final *fleet.Audit, members []string, unix func(float64) float64) {
+func (f *FleetChecker) booked(final *fleet.Audit, members []string, unix func(float64) float64) {
 	type key struct {
 		member  string
 		version uint64
@@ -203,8 +203,8 @@
 		gaps[g.Member] = append(gaps[g.Member], g)
 	}
 	seen := map[key]uint64{}
-	for _, s := range f.Seen {
-		k := key{members[s.Dispatcher], f.Releases[s.Release]}
+	for _, s := range f.HandOffs {
+		k := key{members[s.Dispatcher], f.VersionByRelease[s.Release]}
 		at := unix(s.At)
 		unknown := slices.ContainsFunc(gaps[k.member], func(g fleet.ReportGap) bool {
 			return at >= g.Interval.From-leniency && (g.Interval.To == 0 || at <= g.Interval.To+leniency)
@@ -217,7 +217,7 @@
 			t := l.Actions.Counts[fleet.HandedOff]
 			return t.Count > 0 && at >= t.First-leniency && at <= t.Last+connectMost
 		}) {
-			f.convict(s.At, Booked, s, "handed off under version %d, which the audit of %s has not", k.version, k.member)
+			f.convict(s.At, AuditComplete, s, "handed off under version %d, which the audit of %s has not", k.version, k.member)
 		}
 	}
 	for k, n := range seen {
@@ -226,7 +226,7 @@
 			booked += l.Actions.Counts[fleet.HandedOff].Count
 		}
 		if n > booked {
-			f.convict(0, Booked, Seen{Dispatcher: slices.Index(members, k.member)}, "%d hand-offs under version %d were seen, the audit has %d", n, k.version, booked)
+			f.convict(0, AuditComplete, ObservedHandOff{Dispatcher: slices.Index(members, k.member)}, "%d hand-offs under version %d were seen, the audit has %d", n, k.version, booked)
 		}
 	}
 }
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -11,8 +11,8 @@
 
 	"gonum.org/v1/gonum/stat"
 
+	"weldmast/internal/fleetmodel"
 	"weldmast/internal/sockets"
-	"weldmast/internal/world"
 )
 
 const (
@@ -69,7 +69,7 @@
 }
 
 // Compare plays two policies over the same seeds in virtual time, their days interleaved.
-func Compare(ctx context.Context, name string, x *world.Experiment, a, b string, seeds []uint64, progress func(float64)) (as, bs []*Result, err error) {
+func Compare(ctx context.Context, name string, x *fleetmodel.Experiment, a, b string, seeds []uint64, progress func(float64)) (as, bs []*Result, err error) {
 	var days []day
 	for _, s := range seeds {
 		days = append(days, day{name, x, s, a}, day{name, x, s, b})
@@ -85,7 +85,7 @@
 }
 
 // CompareBuilds plays two programs in real time over the same seeds, one day after the other, each first in turn.
-func CompareBuilds(ctx context.Context, name string, x *world.Experiment, a, b sockets.Options, seeds []uint64) (as, bs []*Result, err error) {
+func CompareBuilds(ctx context.Context, name string, x *fleetmodel.Experiment, a, b sockets.Options, seeds []uint64) (as, bs []*Result, err error) {
 	for k, s := range seeds {
 		pair := []sockets.Options{a, b}
 		sides := []*[]*Result{&as, &bs}
@@ -147,7 +147,7 @@
 }
 
 // Table plays every policy on every experiment over the same seeds.
-func Table(ctx context.Context, names []string, xs []*world.Experiment, policies []string, seeds []uint64, progress func(float64)) ([][]Cell, error) {
+func Table(ctx context.Context, names []string, xs []*fleetmodel.Experiment, policies []string, seeds []uint64, progress func(float64)) ([][]Cell, error) {
 	var days []day
 	for k, x := range xs {
 		for _, s := range seeds {
@@ -213,7 +213,7 @@
 }
 
 // Sweep plays an experiment with each of several values over the same seeds. Results come value by value.
-func Sweep(ctx context.Context, name, key string, values []string, xs []*world.Experiment, policy string, seeds []uint64, progress func(float64)) ([]*Result, error) {
+func Sweep(ctx context.Context, name, key string, values []string, xs []*fleetmodel.Experiment, policy string, seeds []uint64, progress func(float64)) ([]*Result, error) {
 	var days []day
 	for k, x := range xs {
 		for _, s := range seeds {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -15,9 +15,9 @@
 	"pgregory.net/rapid"
 
 	"weldmast/internal/baseline"
+	"weldmast/internal/fleetmodel"
 	"weldmast/internal/scale"
 	"weldmast/internal/sockets"
-	"weldmast/internal/world"
 )
 
 // program is bin/weldmast as it stands, for the tests on sockets.
@@ -58,7 +58,7 @@
 	}
 }
 
-func load(t *testing.T, name string, sets ...string) *world.Experiment {
+func load(t *testing.T, name string, sets ...string) *fleetmodel.Experiment {
 	t.Helper()
 	x, err := Load("../../lab/"+name+".toml", sets...)
 	if err != nil {
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -16,16 +16,16 @@
 
 	"weldmast/internal/baseline"
 	"weldmast/internal/dispatch"
+	"weldmast/internal/fleetmodel"
 	"weldmast/internal/sockets"
-	"weldmast/internal/virtual"
-	"weldmast/internal/world"
+	"weldmast/internal/virtualtime"
 )
 
 // Own is the name of the dispatcher itself among policies.
 const Own = "weldmast"
 
 // Load reads an experiment's file. Sets are changes such as "arrivals.load=0.8", each as KEY=VALUE in TOML.
-func Load(path string, sets ...string) (*world.Experiment, error) {
+func Load(path string, sets ...string) (*fleetmodel.Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
@@ -35,7 +35,7 @@
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	return world.Read(path, text)
+	return fleetmodel.ParseExperiment(path, text)
 }
 
 // change sets values in a file; parts of a key that are numbers are positions in lists.
@@ -87,41 +87,41 @@
 func Name(path string) string { return strings.TrimSuffix(filepath.Base(path), ".toml") }
 
 // decide makes the deciders of a policy's day; nil for the program's own. An error names the policies there are.
-func decide(policy string, x *world.Experiment) (virtual.Decide, error) {
+func decide(policy string, x *fleetmodel.Experiment) (virtualtime.NewDecider, error) {
 	if policy == Own {
 		return nil, nil
 	}
-	shared := &baseline.Shared{}
+	shared := &baseline.SharedState{}
 	for _, k := range x.Kinds {
 		shared.Speeds = append(shared.Speeds, k.Speed)
-		shared.Slots = append(shared.Slots, float64(min(k.Slots, k.Cores)))
+		shared.Parallelism = append(shared.Parallelism, float64(min(k.Slots, k.Cores)))
 	}
 	if baseline.New(policy, dispatch.Settings{}, shared) == nil {
 		return nil, fmt.Errorf("policy %q is none of %s, %s", policy, Own, strings.Join(baseline.Names, ", "))
 	}
-	return func(s dispatch.Settings, w *world.World) dispatch.Decider {
-		shared.Truth = w
+	return func(s dispatch.Settings, w *fleetmodel.Model) dispatch.Decider {
+		shared.Oracle = w
 		return baseline.New(policy, s, shared)
 	}, nil
 }
 
 // Virtual plays one day in virtual time.
-func Virtual(ctx context.Context, name string, x *world.Experiment, seed uint64, policy string, progress func(float64)) (*Result, error) {
+func Virtual(ctx context.Context, name string, x *fleetmodel.Experiment, seed uint64, policy string, progress func(float64)) (*Result, error) {
 	d, err := decide(policy, x)
 	if err != nil {
 		return nil, err
 	}
-	w, whole, err := virtual.Play(ctx, x, seed, d, progress)
+	w, whole, err := virtualtime.Run(ctx, x, seed, d, progress)
 	if err != nil {
 		return nil, err
 	}
-	r := Count(w, virtual.Start)
+	r := Count(w, virtualtime.ArrivalStart)
 	r.Experiment, r.Driver, r.Policy, r.Seed, r.Interrupted = name, "virtual", policy, seed, !whole
 	return r, nil
 }
 
 // Sockets plays one day in real time against a program.
-func Sockets(ctx context.Context, name string, x *world.Experiment, seed uint64, o sockets.Options) (*Result, error) {
+func Sockets(ctx context.Context, name string, x *fleetmodel.Experiment, seed uint64, o sockets.Options) (*Result, error) {
 	p, err := sockets.Play(ctx, x, seed, o)
 	if err != nil {
 		return nil, err
@@ -140,7 +140,7 @@
 // day is one of many to play.
 type day struct {
 	name   string
-	x      *world.Experiment
+	x      *fleetmodel.Experiment
 	seed   uint64
 	policy string
 }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -12,37 +12,37 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"weldmast/internal/audit"
-	"weldmast/internal/world"
+	"weldmast/internal/fleetmodel"
+	"weldmast/internal/invariants"
 )
 
 // Result is one day played. Times are milliseconds from the first arrivals on.
 type Result struct {
-	Experiment  string             `json:"experiment"`
-	About       string             `json:"about"`
-	Driver      string             `json:"driver"` // virtual or sockets
-	Policy      string             `json:"policy"` // weldmast, a build's path or a baseline
-	Seed        uint64             `json:"seed"`
-	Interrupted bool               `json:"interrupted"`
-	Void        string             `json:"void,omitempty"` // why the lab itself spoilt the day
-	Jobs        int                `json:"jobs"`           // counted: those wanted after the warm-up
-	Service     float64            `json:"service"`        // credit answered by its due time, as a part of all credit
-	Outcomes    map[string]int     `json:"outcomes"`
-	InTime      int                `json:"in_time"`
-	Latency     Percentiles        `json:"latency"`  // from the intended time to the answer, of those finished
-	Added       Percentiles        `json:"added"`    // the same beyond the work itself on the worker that did it
-	Response    float64            `json:"response"` // mean latency
-	Slowdown    float64            `json:"slowdown"` // mean of latency over cost
-	Tries       float64            `json:"tries"`    // requests a job
-	Categories  []Part             `json:"categories"`
-	Tenants     []Part             `json:"tenants,omitempty"`
-	Kinds       []KindPart         `json:"kinds"`
-	Rules       map[audit.Rule]int `json:"rules"` // convictions
-	Verdicts    []audit.Verdict    `json:"verdicts,omitempty"`
-	Marks       []world.Mark       `json:"marks,omitempty"`
-	Seconds     []Second           `json:"seconds"`
-	Processes   []Process          `json:"processes,omitempty"`
-	Late        *Percentiles       `json:"late,omitempty"` // how late the lab itself was, on sockets
+	Experiment  string                  `json:"experiment"`
+	About       string                  `json:"about"`
+	Driver      string                  `json:"driver"` // virtual or sockets
+	Policy      string                  `json:"policy"` // weldmast, a build's path or a baseline
+	Seed        uint64                  `json:"seed"`
+	Interrupted bool                    `json:"interrupted"`
+	Void        string                  `json:"void,omitempty"` // why the lab itself spoilt the day
+	Jobs        int                     `json:"jobs"`           // counted: those wanted after the warm-up
+	Service     float64                 `json:"service"`        // credit answered by its due time, as a part of all credit
+	Outcomes    map[string]int          `json:"outcomes"`
+	InTime      int                     `json:"in_time"`
+	Latency     Percentiles             `json:"latency"`  // from the intended time to the answer, of those finished
+	Added       Percentiles             `json:"added"`    // the same beyond the work itself on the worker that did it
+	Response    float64                 `json:"response"` // mean latency
+	Slowdown    float64                 `json:"slowdown"` // mean of latency over cost
+	Tries       float64                 `json:"tries"`    // requests a job
+	Categories  []Part                  `json:"categories"`
+	Tenants     []Part                  `json:"tenants,omitempty"`
+	Kinds       []KindPart              `json:"kinds"`
+	Rules       map[invariants.Rule]int `json:"rules"` // convictions
+	Verdicts    []invariants.Violation  `json:"verdicts,omitempty"`
+	Marks       []fleetmodel.Annotation `json:"marks,omitempty"`
+	Seconds     []Second                `json:"seconds"`
+	Processes   []Process               `json:"processes,omitempty"`
+	Late        *Percentiles            `json:"late,omitempty"` // how late the lab itself was, on sockets
 	from        float64
 }
 
@@ -130,15 +130,15 @@
 }
 
 // Count sums up a day whose clients came from start on.
-func Count(w *world.World, start float64) *Result {
-	x := w.X
-	r := &Result{About: x.About, Outcomes: map[string]int{}, Rules: map[audit.Rule]int{}, from: start}
-	for _, rule := range audit.All {
-		r.Rules[rule] = w.Audit.Count[rule]
+func Count(w *fleetmodel.Model, start float64) *Result {
+	x := w.Experiment
+	r := &Result{About: x.About, Outcomes: map[string]int{}, Rules: map[invariants.Rule]int{}, from: start}
+	for _, rule := range invariants.DispatcherRules {
+		r.Rules[rule] = w.Checker.Counts[rule]
 	}
-	r.Verdicts = w.Audit.Verdicts[:min(len(w.Audit.Verdicts), 50)]
-	for _, m := range w.Marks {
-		r.Marks = append(r.Marks, world.Mark{At: m.At - start, What: m.What})
+	r.Verdicts = w.Checker.Violations[:min(len(w.Checker.Violations), 50)]
+	for _, m := range w.Annotations {
+		r.Marks = append(r.Marks, fleetmodel.Annotation{At: m.At - start, Text: m.Text})
 	}
 	all, added := latencies(), latencies()
 	tallies := func(n int) []tally {
@@ -155,32 +155,32 @@
 	credit, good, latency, slowdown, tries, finished := 0., 0., 0., 0., 0, 0
 	for _, j := range w.Jobs {
 		inTime := x.InTime(j)
-		if at := int((j.At - start) / 1000); at >= 0 && at < len(seconds) {
+		if at := int((j.Arrival - start) / 1000); at >= 0 && at < len(seconds) {
 			s := &seconds[at]
 			s.Jobs++
 			switch {
 			case inTime:
 				s.InTime++
-			case j.Outcome == world.Finished:
+			case j.Outcome == fleetmodel.Finished:
 				s.Late++
-			case j.Outcome == world.Deferred:
+			case j.Outcome == fleetmodel.Deferred:
 				s.Deferred++
-			case j.Outcome != world.Left:
+			case j.Outcome != fleetmodel.ClientLeft:
 				s.Failed++
 			}
-			if j.Outcome == world.Finished {
+			if j.Outcome == fleetmodel.Finished {
 				if hists[at] == nil {
 					hists[at] = latencies()
 				}
-				record(hists[at], j.End-j.At)
+				record(hists[at], j.End-j.Arrival)
 			}
 		}
-		if j.At < start+float64(x.Warmup) || j.Outcome == world.Left {
+		if j.Arrival < start+float64(x.Warmup) || j.Outcome == fleetmodel.ClientLeft {
 			continue
 		}
 		r.Jobs++
 		r.Outcomes[j.Outcome.String()]++
-		tries += j.Tries
+		tries += j.Requests
 		c := x.Categories[j.Category].Credit
 		credit += c
 		parts := []*tally{&categories[j.Category]}
@@ -198,8 +198,8 @@
 				p.good += c
 			}
 		}
-		if j.Outcome == world.Finished {
-			took := j.End - j.At
+		if j.Outcome == fleetmodel.Finished {
+			took := j.End - j.Arrival
 			finished++
 			latency += took
 			slowdown += took / j.Cost
@@ -224,8 +224,8 @@
 	}
 	for k, kind := range x.Kinds {
 		busy := 0.
-		for at := range min(len(seconds), len(w.Seconds)) {
-			busy += w.Seconds[at].Busy[k]
+		for at := range min(len(seconds), len(w.LoadSamples)) {
+			busy += w.LoadSamples[at].BusyCores[k]
 		}
 		r.Kinds = append(r.Kinds, KindPart{kind.Name, kinds[k],
 			ratio(busy, float64(kind.Count*min(kind.Cores, kind.Slots)*len(seconds)))})
@@ -236,8 +236,8 @@
 		if h := hists[k]; h != nil {
 			s.P50, s.P99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
 		}
-		if k < len(w.Seconds) {
-			s.Busy = w.Seconds[k].Busy
+		if k < len(w.LoadSamples) {
+			s.Busy = w.LoadSamples[k].BusyCores
 		}
 	}
 	r.Seconds = seconds
@@ -296,7 +296,7 @@
 		fmt.Fprintf(out, "VOID: %s\n", r.Void)
 	}
 	fmt.Fprintf(out, "service %.4f   jobs %d, in time %d", r.Service, r.Jobs, r.InTime)
-	for _, o := range world.Outcomes {
+	for _, o := range fleetmodel.Outcomes {
 		if n := r.Outcomes[o.String()]; n > 0 {
 			fmt.Fprintf(out, ", %s %d", o, n)
 		}
@@ -322,7 +322,7 @@
 	if r.Broken() == 0 {
 		fmt.Fprintln(out, "rules kept")
 	}
-	for _, rule := range audit.All {
+	for _, rule := range invariants.DispatcherRules {
 		if n := r.Rules[rule]; n > 0 {
 			fmt.Fprintf(out, "BROKEN %s: %d times\n", rule, n)
 		}
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -15,45 +15,45 @@
 	"sync"
 	"time"
 
-	"weldmast/internal/audit"
+	"weldmast/internal/fleetmodel"
+	"weldmast/internal/invariants"
 	"weldmast/internal/sockets"
-	"weldmast/internal/world"
 )
 
 // Drawn is the experiment with the faults of a number in place of its storm.
-func Drawn(x *world.Experiment, number uint64) *world.Experiment {
+func Drawn(x *fleetmodel.Experiment, number uint64) *fleetmodel.Experiment {
 	y := *x
 	y.Faults = slices.Clone(x.Faults)
-	s := x.Storm
+	s := x.Chaos
 	if s == nil {
 		return &y
 	}
 	r := rand.New(rand.NewPCG(number, 0x73746f726d))
 	harmed := map[int]bool{} // voters whose promise is gone
-	for range s.Faults/2 + r.IntN(s.Faults-s.Faults/2+1) {
-		f := world.Fault{What: s.What[r.IntN(len(s.What))]}
+	for range s.Count/2 + r.IntN(s.Count-s.Count/2+1) {
+		f := fleetmodel.Fault{Type: s.Types[r.IntN(len(s.Types))]}
 		f.Defaults()
-		f.For = world.Span(50 + r.Float64()*(float64(s.Span)-50))
-		f.At = s.From + world.Span(r.Float64()*float64(max(s.Until-f.For-s.From, 0)))
+		f.Duration = fleetmodel.Millis(50 + r.Float64()*(float64(s.MaxTime)-50))
+		f.At = s.From + fleetmodel.Millis(r.Float64()*float64(max(s.Until-f.Duration-s.From, 0)))
 		all := r.Perm(x.Dispatchers.Count)
-		if len(s.Only) > 0 {
-			all = slices.DeleteFunc(all, func(d int) bool { return !slices.Contains(s.Only, d) })
+		if len(s.Dispatchers) > 0 {
+			all = slices.DeleteFunc(all, func(d int) bool { return !slices.Contains(s.Dispatchers, d) })
 		}
-		f.Hits = all[:1+r.IntN(min(s.Most, len(all)))]
-		switch f.What {
+		f.Dispatchers = all[:1+r.IntN(min(s.MaxHit, len(all)))]
+		switch f.Type {
 		case "publish", "publish_twice":
-			f.For = 0
+			f.Duration = 0
 			f.Amount = float64(r.IntN(2)) // half of them fence
 		case "link_late":
 			f.Amount = 20 + r.Float64()*400
 		case "dispatcher_kill", "dispatcher_stop":
-			f.For = 0
+			f.Duration = 0
 		case "folder_empty", "folder_older", "folder_flipped":
-			f.For, f.Hits = 0, f.Hits[:1]
+			f.Duration, f.Dispatchers = 0, f.Dispatchers[:1]
 			// So many voters may lose what they promised that the rest still has a majority.
-			if d := f.Hits[0]; x.Fleet != nil && d < x.Fleet.Voters && !harmed[d] {
+			if d := f.Dispatchers[0]; x.Fleet != nil && d < x.Fleet.Voters && !harmed[d] {
 				if len(harmed) >= (x.Fleet.Voters-1)/2 {
-					f.What = "dispatcher_kill"
+					f.Type = "dispatcher_kill"
 				} else {
 					harmed[d] = true
 				}
@@ -61,7 +61,7 @@
 		}
 		y.Faults = append(y.Faults, f)
 	}
-	slices.SortStableFunc(y.Faults, func(a, b world.Fault) int {
+	slices.SortStableFunc(y.Faults, func(a, b fleetmodel.Fault) int {
 		switch {
 		case a.At < b.At:
 			return -1
@@ -83,10 +83,10 @@
 	Fences   int // told to be complete
 	Late     int // hand-offs of processes that stood still between look and write
 	Stalled  int // work items that only a standstill kept from their answer
-	Verdicts []audit.Verdict
+	Verdicts []invariants.Violation
 	Void     string
 	Stalls   []sockets.Stall
-	played   *world.Experiment
+	played   *fleetmodel.Experiment
 }
 
 // StallFigures are of stalls of more than two beats: how many, how long until one was found and, from its going on, until
@@ -108,7 +108,7 @@
 }
 
 // Storm plays one number on sockets.
-func Storm(ctx context.Context, x *world.Experiment, seed uint64, o sockets.Options) (Stormed, error) {
+func Storm(ctx context.Context, x *fleetmodel.Experiment, seed uint64, o sockets.Options) (Stormed, error) {
 	y := Drawn(x, seed)
 	if o.Logs != "" { // one folder for each number
 		o.Logs = filepath.Join(o.Logs, strconv.FormatUint(seed, 10))
@@ -120,11 +120,11 @@
 	if err != nil {
 		return Stormed{Seed: seed}, err
 	}
-	s := Stormed{Seed: seed, Faults: len(y.Faults), Jobs: len(p.World.Jobs), Answers: p.World.Audit.Answers, Stalled: p.World.Audit.Stalled, Void: p.Void, Stalls: p.Stalls, played: y}
-	s.Verdicts = append(s.Verdicts, p.World.Audit.Verdicts...)
+	s := Stormed{Seed: seed, Faults: len(y.Faults), Jobs: len(p.World.Jobs), Answers: p.World.Checker.Answers, Stalled: p.World.Checker.UnansweredWhilePaused, Void: p.Void, Stalls: p.Stalls, played: y}
+	s.Verdicts = append(s.Verdicts, p.World.Checker.Violations...)
 	if f := p.Fleet; f != nil {
-		s.Verdicts = append(s.Verdicts, f.Verdicts...)
-		s.Late, s.Fences, s.Versions = f.Late, len(f.Complete), len(f.Releases)-1
+		s.Verdicts = append(s.Verdicts, f.Violations...)
+		s.Late, s.Fences, s.Versions = f.LateAfterResume, len(f.FenceCompleted), len(f.VersionByRelease)-1
 	}
 	if !p.Whole {
 		return s, ctx.Err()
@@ -149,7 +149,7 @@
 
 // Storms plays so many, some side by side, and prints a line for each. One on which the lab itself was late is void and
 // played once more.
-func Storms(ctx context.Context, x *world.Experiment, first uint64, count, side int, o sockets.Options, out io.Writer) (all []Stormed, err error) {
+func Storms(ctx context.Context, x *fleetmodel.Experiment, first uint64, count, side int, o sockets.Options, out io.Writer) (all []Stormed, err error) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	seeds := make(chan uint64)
@@ -185,7 +185,7 @@
 
 // Cut leaves out one fault after another for as long as the day still breaks without it. On sockets a day does not repeat
 // exactly; what is left broke it at least twice.
-func Cut(ctx context.Context, s Stormed, o sockets.Options, out io.Writer) ([]world.Fault, error) {
+func Cut(ctx context.Context, s Stormed, o sockets.Options, out io.Writer) ([]fleetmodel.Fault, error) {
 	y := *s.played
 	for k := len(y.Faults) - 1; k >= 0 && ctx.Err() == nil; k-- {
 		less := y
@@ -194,7 +194,7 @@
 		if err != nil {
 			return y.Faults, err
 		}
-		if !p.World.Audit.Clean() || p.Fleet != nil && len(p.Fleet.Verdicts) > 0 {
+		if !p.World.Checker.Clean() || p.Fleet != nil && len(p.Fleet.Violations) > 0 {
 			y.Faults = less.Faults
 		}
 		fmt.Fprintf(out, "cut: %d faults left\n", len(y.Faults))
--- a/internal/lab/storm_test.go
+++ b/internal/lab/storm_test.go
@@ -9,9 +9,9 @@
 	"strings"
 	"testing"
 
-	"weldmast/internal/audit"
+	"weldmast/internal/fleetmodel"
+	"weldmast/internal/invariants"
 	"weldmast/internal/sockets"
-	"weldmast/internal/world"
 )
 
 // built holds the two programs of one build, with a change of the source or without.
@@ -60,7 +60,7 @@
 }
 
 // short is the day of lab/fleet-audit.toml in small: three voters and two followers, twelve seconds.
-func short(t *testing.T, sets ...string) *world.Experiment {
+func short(t *testing.T, sets ...string) *fleetmodel.Experiment {
 	t.Helper()
 	x, err := Load("../../lab/fleet-audit.toml", append([]string{`length="12s"`, `dispatchers.count=5`, `fleet.voters=3`, `arrivals.rate=80`, `storm.until="6s"`,
 		`storm.span="1500ms"`, `storm.faults=10`, `storm.most=2`}, sets...)...)
@@ -107,19 +107,19 @@
 		from, to     string
 		sets         []string
 		first, count uint64
-		rules        []audit.Rule
+		rules        []invariants.Rule
 	}{
 		{"a lease that outlasts its grant by half", "internal/member/member.go", "m.self.Renewed(sent, a.Renewal)", "sent = m.o.Clock.Now() + m.o.Figures.Lease/2\n\t\tm.self.Renewed(sent, a.Renewal)",
-			[]string{`storm.what=["publish", "publish", "publish", "publish", "link_cut", "link_cut"]`, `storm.span="4s"`, `storm.faults=24`, `storm.most=1`}, 1, 20, []audit.Rule{audit.Fenced}},
+			[]string{`storm.what=["publish", "publish", "publish", "publish", "link_cut", "link_cut"]`, `storm.span="4s"`, `storm.faults=24`, `storm.most=1`}, 1, 20, []invariants.Rule{invariants.FenceRespected}},
 		{"a promise forgotten at a restart", "internal/council/store.go", "\treturn d.write(next, records...)\n}\n\n// Compact", "\treturn nil\n}\n\n// Compact",
-			[]string{`storm.what=["publish", "publish", "dispatcher_kill", "dispatcher_kill"]`, `storm.most=5`}, 1, 20, []audit.Rule{audit.Ordered, audit.Healed}},
+			[]string{`storm.what=["publish", "publish", "dispatcher_kill", "dispatcher_kill"]`, `storm.most=5`}, 1, 20, []invariants.Rule{invariants.SingleHistory, invariants.FleetRecovered}},
 		{"a version skipped", "internal/fleet/self.go", "\tm.pending = newest\n", "\tm.pending = newest\n\tif older, ok := m.state.Version(newest - 1); ok {\n\t\tv.Text = older.Text\n\t}\n",
-			[]string{`storm.what=["publish", "publish", "publish_twice", "link_late"]`}, 1, 20, []audit.Rule{audit.Fenced, audit.Booked}},
+			[]string{`storm.what=["publish", "publish", "publish_twice", "link_late"]`}, 1, 20, []invariants.Rule{invariants.FenceRespected, invariants.AuditComplete}},
 		{"an act booked late", "internal/member/gate.go", "g.run.Book(g.clock.Unix(), a)", "g.run.Book(g.clock.Unix()+1500, a)",
-			[]string{`storm.what=["publish"]`}, 1, 20, []audit.Rule{audit.Booked}},
+			[]string{`storm.what=["publish"]`}, 1, 20, []invariants.Rule{invariants.AuditComplete}},
 		{"a snapshot without its last entry", "internal/fleet/history.go", "return Encode(snapshot{Format, s.c, s.last}) }",
 			"c := s.c; if k := len(c.Versions); k > 0 { c.Versions = c.Versions[:k-1] }; return Encode(snapshot{Format, c, s.last}) }",
-			[]string{`storm.what=["publish", "publish", "folder_empty", "folder_empty"]`}, 1, 20, []audit.Rule{audit.Healed}},
+			[]string{`storm.what=["publish", "publish", "folder_empty", "folder_empty"]`}, 1, 20, []invariants.Rule{invariants.FleetRecovered}},
 	} {
 		t.Run(w.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/theory.go
+++ b/internal/lab/theory.go
@@ -12,7 +12,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"weldmast/internal/world"
+	"weldmast/internal/fleetmodel"
 )
 
 // Law is one known mean.
@@ -121,16 +121,16 @@
 
 // play gives one repetition's mean, without its first tenth.
 func play(l *Law, seed uint64, jobs int) (float64, error) {
-	x, err := world.Read(l.Name, []byte(l.text))
+	x, err := fleetmodel.ParseExperiment(l.Name, []byte(l.text))
 	if err != nil {
 		return 0, fmt.Errorf("theory: %w", err)
 	}
-	x.Length = world.Span(float64(jobs) / x.PerSecond() * 1000)
-	w := world.New(x, seed)
-	(&world.Direct{W: w, Choose: func(*world.Job) string { return "w0" }}).Play()
+	x.Length = fleetmodel.Millis(float64(jobs) / x.ArrivalRate() * 1000)
+	w := fleetmodel.New(x, seed)
+	(&fleetmodel.DirectDriver{Model: w, Pick: func(*fleetmodel.Job) string { return "w0" }}).Run()
 	sum, n := 0., 0
 	for _, j := range w.Jobs[len(w.Jobs)/10:] {
-		sum += j.End - j.At
+		sum += j.End - j.Arrival
 		if l.wait {
 			sum -= j.Cost
 		}
--- a/internal/lab/worlds.go
+++ b/internal/lab/worlds.go
@@ -9,9 +9,9 @@
 	"runtime"
 	"sync"
 
-	"weldmast/internal/audit"
-	"weldmast/internal/virtual"
-	"weldmast/internal/world"
+	"weldmast/internal/fleetmodel"
+	"weldmast/internal/invariants"
+	"weldmast/internal/virtualtime"
 )
 
 // Draw picks one of n things; a property test draws from its own source, a command from a numbered world's.
@@ -25,28 +25,28 @@
 
 // SmallWorld draws a deployment of up to four dispatchers and a dozen workers with up to six troubles. Crowded: workers
 // may take more at once than they have cores for.
-func SmallWorld(draw Draw, crowded bool) *world.Experiment {
-	x, err := world.Read("small", []byte("[[kind]]\nname = \"a\"\n[[category]]\nname = \"a\"\n[arrivals]\nload = 0.5\n"))
+func SmallWorld(draw Draw, crowded bool) *fleetmodel.Experiment {
+	x, err := fleetmodel.ParseExperiment("small", []byte("[[kind]]\nname = \"a\"\n[[category]]\nname = \"a\"\n[arrivals]\nload = 0.5\n"))
 	if err != nil {
 		panic(err) // the text is our own
 	}
 	yes := func() bool { return draw(2) == 1 }
 	of := func(values ...float64) float64 { return values[draw(len(values))] }
-	span := func(values ...float64) world.Span { return world.Span(of(values...)) }
+	span := func(values ...float64) fleetmodel.Millis { return fleetmodel.Millis(of(values...)) }
 	x.Length = span(1000, 3000, 6000)
 	d := &x.Dispatchers
-	d.Count, d.Tell, d.SecondCopies, d.Cancel, d.Pauses = 1+draw(4), yes(), yes(), yes(), yes()
-	d.Ask, d.MaxHandOffs, d.MaxOpen = draw(4) == 0, 1+draw(5), int(of(5, 50, 20000))
-	d.Restart, d.Kill = span(100, 1000), span(500, 3700)
-	x.Network.Far, x.Network.Jitter = span(1, 20), span(0, 0.05, 2)
-	x.Network.List, x.Network.Notice, x.Network.ConnIdle = span(1, 100, 400), span(100, 2000), span(50, 15000)
+	d.Count, d.PeerMessages, d.SecondCopies, d.MayCancel, d.HonorPauses = 1+draw(4), yes(), yes(), yes(), yes()
+	d.DiscoveryOnRequest, d.MaxHandOffs, d.MaxOpen = draw(4) == 0, 1+draw(5), int(of(5, 50, 20000))
+	d.RestartDelay, d.StopTimeout = span(100, 1000), span(500, 3700)
+	x.Network.CrossSite, x.Network.Jitter = span(1, 20), span(0, 0.05, 2)
+	x.Network.DiscoveryDelay, x.Network.DetectionDelay, x.Network.IdleTimeout = span(1, 100, 400), span(100, 2000), span(50, 15000)
 	x.Workers.Sites = 1 + draw(3)
-	x.Workers.Cold, x.Workers.Fall, x.Workers.StartShare = span(500, 3000, 10000), span(500, 2000), of(0.05, 0.1, 0.5)
-	x.Workers.TellStart, x.Workers.Progress = yes(), span(0, 100, 1000)
+	x.Workers.WarmUp, x.Workers.OverloadWindow, x.Workers.StartShare = span(500, 3000, 10000), span(500, 2000), of(0.05, 0.1, 0.5)
+	x.Workers.ReportStart, x.Workers.ProgressInterval = yes(), span(0, 100, 1000)
 	x.Kinds = nil
 	for k := range 1 + draw(3) {
-		kind := world.Kind{Name: string(rune('a' + k)), Count: 1 + draw(4), Speed: of(0.5, 1, 3), Cores: 1 + draw(3),
-			Slots: 1 + draw(4), Queue: draw(6)}
+		kind := fleetmodel.Kind{Name: string(rune('a' + k)), Count: 1 + draw(4), Speed: of(0.5, 1, 3), Cores: 1 + draw(3),
+			Slots: 1 + draw(4), QueueLimit: draw(6)}
 		if !crowded {
 			kind.Slots = min(kind.Slots, kind.Cores)
 		}
@@ -54,35 +54,35 @@
 	}
 	x.Categories = nil
 	for k := range 1 + draw(3) {
-		c := world.Category{Name: string(rune('a' + k))}
+		c := fleetmodel.Category{Name: string(rune('a' + k))}
 		c.Defaults()
 		c.Repeat = []string{"rerunnable", "ticketed", "exclusive"}[draw(3)]
 		c.Group = []string{"all", "zone"}[draw(2)]
-		c.Window, c.Due, c.Expiry = span(0, 200, 2000), span(50, 500), span(100, 1000, 3000)
-		c.Cost, c.Law, c.HintOff = span(2, 20, 100), []string{"fixed", "exponential", "pareto"}[draw(3)], of(0, 0.5)
-		c.NoHint, c.Most = of(0, 0.2, 1), 50
+		c.TicketWindow, c.DueTime, c.Expiry = span(0, 200, 2000), span(50, 500), span(100, 1000, 3000)
+		c.MeanCost, c.Distribution, c.HintSigma = span(2, 20, 100), []string{"fixed", "exponential", "pareto"}[draw(3)], of(0, 0.5)
+		c.NoHintShare, c.MaxCostFactor = of(0, 0.2, 1), 50
 		x.Categories = append(x.Categories, c)
 	}
 	if yes() {
-		x.Tenants = []world.Tenant{{Name: "a", Share: 1}, {Name: "b", Share: 3}}
+		x.Tenants = []fleetmodel.Tenant{{Name: "a", Share: 1}, {Name: "b", Share: 3}}
 	}
 	x.Arrivals.Load = of(0.2, 0.6, 0.9, 1.5)
-	if most := 600.; x.PerSecond() > most { // a world is to be small
+	if most := 600.; x.ArrivalRate() > most { // a world is to be small
 		x.Arrivals.Rate, x.Arrivals.Load = most, 0
 	}
-	x.Clients.Retries, x.Clients.Leave = draw(3), of(0, 0, 0.1)
+	x.Clients.MaxRetries, x.Clients.LeaveShare = draw(3), of(0, 0, 0.1)
 	kinds := []string{"kill", "vanish", "site_loss", "cut", "drain", "deploy", "slow", "neighbour", "fail", "tail", "burst",
 		"discovery_silent", "discovery_late", "messages_lost", "messages_late", "callbacks_repeat", "callbacks_late",
 		"dispatcher_kill", "dispatcher_stop", "dispatcher_reload", "clock_jump"}
 	for range draw(7) {
-		f := world.Fault{At: world.Span(draw(int(x.Length))), For: span(50, 300, 1000, 2000), What: kinds[draw(len(kinds))]}
+		f := fleetmodel.Fault{At: fleetmodel.Millis(draw(int(x.Length))), Duration: span(50, 300, 1000, 2000), Type: kinds[draw(len(kinds))]}
 		f.Defaults()
 		f.Share, f.Count = of(0.2, 0.5, 1), draw(3)
-		f.Of = []string{"workers", "clients", "siblings", "discovery"}[draw(4)]
-		if f.What == "site_loss" || f.What == "cut" && yes() {
-			f.Site = world.SiteName(draw(x.Workers.Sites))
+		f.Path = []string{"workers", "clients", "siblings", "discovery"}[draw(4)]
+		if f.Type == "site_loss" || f.Type == "cut" && yes() {
+			f.Site = fleetmodel.SiteName(draw(x.Workers.Sites))
 		}
-		if f.What == "clock_jump" {
+		if f.Type == "clock_jump" {
 			f.Amount = of(-5000, 100, 5000)
 		}
 		x.Faults = append(x.Faults, f)
@@ -99,17 +99,17 @@
 // BrokenWorld is one with its first conviction.
 type BrokenWorld struct {
 	World   uint64
-	Verdict audit.Verdict
+	Verdict invariants.Violation
 }
 
 // TryWorld plays one and gives its first conviction, if any.
-func TryWorld(ctx context.Context, x *world.Experiment, seed uint64) (jobs int, v *audit.Verdict, err error) {
-	w, _, err := virtual.Play(ctx, x, seed, nil, nil)
+func TryWorld(ctx context.Context, x *fleetmodel.Experiment, seed uint64) (jobs int, v *invariants.Violation, err error) {
+	w, _, err := virtualtime.Run(ctx, x, seed, nil, nil)
 	if err != nil {
 		return 0, nil, err
 	}
-	if len(w.Audit.Verdicts) > 0 {
-		v = &w.Audit.Verdicts[0]
+	if len(w.Checker.Violations) > 0 {
+		v = &w.Checker.Violations[0]
 	}
 	return len(w.Jobs), v, nil
 }
--- a/internal/scale/play.go
+++ b/internal/scale/play.go
@@ -26,8 +26,8 @@
 
 	"weldmast/internal/fleet"
 	"weldmast/internal/fleetagent"
+	"weldmast/internal/fleetmodel"
 	"weldmast/internal/fleetrpc"
-	"weldmast/internal/world"
 )
 
 // Options say what to run with.
@@ -460,13 +460,13 @@
 
 // configure writes a real dispatcher's configuration.
 func (u *run) configure(name, discovery string, siblings, number, teams, sockets int) (*dispatcher, error) {
-	x, err := world.Read("base", []byte(base))
+	x, err := fleetmodel.ParseExperiment("base", []byte(base))
 	if err != nil {
 		panic(err) // the text is our own
 	}
 	x.Dispatchers.Count = siblings
 	for k := range teams {
-		x.Tenants = append(x.Tenants, world.Tenant{Name: fmt.Sprintf("team%03d", k), Share: 1, Allowance: 1e5})
+		x.Tenants = append(x.Tenants, fleetmodel.Tenant{Name: fmt.Sprintf("team%03d", k), Share: 1, Allowance: 1e5})
 	}
 	listen, err := free("127.0.5.1")
 	if err != nil {
--- a/internal/scale/rounds.go
+++ b/internal/scale/rounds.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"weldmast/internal/dispatch"
-	"weldmast/internal/world"
+	"weldmast/internal/fleetmodel"
 )
 
 // rounder is the inbox and the writer of a dispatcher that is timed.
@@ -72,11 +72,11 @@
 
 // playRounds is one play.
 func playRounds(workers int) (t Rounds, err error) {
-	x, err := world.Read("base", []byte(base))
+	x, err := fleetmodel.ParseExperiment("base", []byte(base))
 	if err != nil {
 		panic(err) // the text is our own
 	}
-	s, err := x.Dispatch(0, 1)
+	s, err := x.DispatchSettings(0, 1)
 	if err != nil {
 		return t, fmt.Errorf("scale: %w", err)
 	}
--- a/internal/sockets/fleet.go
+++ b/internal/sockets/fleet.go
@@ -17,10 +17,10 @@
 
 	"golang.org/x/sys/unix"
 
-	"weldmast/internal/audit"
 	"weldmast/internal/fleet"
+	"weldmast/internal/fleetmodel"
 	"weldmast/internal/fleetrpc"
-	"weldmast/internal/world"
+	"weldmast/internal/invariants"
 )
 
 const (
@@ -35,26 +35,26 @@
 // fleetRig is the fleet of a day. What the world's goroutine does not own is behind the mutex.
 type fleetRig struct {
 	r       *rig
-	x       *world.Fleet
+	x       *fleetmodel.Fleet
 	rnd     *rand.Rand // the world's goroutine's
 	addrs   []string
 	relays  map[[2]int]*relay // from one to another
 	client  *fleetrpc.Client
 	alter   map[int]string // what is done to a folder before the next start
-	manners map[*world.Fault]func()
+	manners map[*fleetmodel.Fault]func()
 	asked   int
 
 	mu     sync.Mutex
 	stalls []Stall
 	done   chan struct{} // closed once all is healed, or was not in time
-	j      audit.Fleet
+	j      invariants.FleetChecker
 	open   map[string]bool // requests that were published and have no answer
 }
 
 func (r *rig) newFleet(seed uint64) error {
 	f := &fleetRig{r: r, x: r.x.Fleet, rnd: rand.New(rand.NewPCG(seed, 0x666c)), relays: map[[2]int]*relay{}, client: fleetrpc.NewClient(fleetName, nil),
-		alter: map[int]string{}, manners: map[*world.Fault]func(){}, open: map[string]bool{}, done: make(chan struct{}),
-		j: audit.Fleet{Complete: map[uint64]float64{}, Releases: map[string]uint64{"": 0}}}
+		alter: map[int]string{}, manners: map[*fleetmodel.Fault]func(){}, open: map[string]bool{}, done: make(chan struct{}),
+		j: invariants.FleetChecker{FenceCompleted: map[uint64]float64{}, VersionByRelease: map[string]uint64{"": 0}}}
 	r.fleet = f
 	for range r.hosts {
 		addr, err := freeAddrAt(membersAt)
@@ -81,16 +81,16 @@
 			voters = append(voters, fmt.Sprintf("%q", f.name(v)+" "+f.addrs[v]))
 		}
 		text := fmt.Sprintf("[fleet]\nname = %q\nlisten = %q\nvoters = [%s]\nvia = [%s]\nfolder = %q\nalone = %q\nbeat = %g\nlease = %g\ndrift = %g\n", fleetName,
-			f.addrs[from], strings.Join(voters, ", "), strings.Join(via, ", "), r.dir, f.x.Alone, float64(f.x.Beat), float64(f.x.Lease), f.x.Drift)
+			f.addrs[from], strings.Join(voters, ", "), strings.Join(via, ", "), r.dir, f.x.WhenIsolated, float64(f.x.HeartbeatInterval), float64(f.x.LeaseDuration), f.x.MaxClockDrift)
 		if err := os.WriteFile(f.file(from), []byte(text), 0o600); err != nil {
 			return fmt.Errorf("fleet: %w", err)
 		}
 	}
 	last := 0.
 	for _, x := range r.x.Faults {
-		end := float64(x.At + x.For)
-		if strings.HasPrefix(x.What, "folder_") || strings.HasPrefix(x.What, "dispatcher_") {
-			end += float64(r.x.Dispatchers.Restart + r.x.Dispatchers.Kill)
+		end := float64(x.At + x.Duration)
+		if strings.HasPrefix(x.Type, "folder_") || strings.HasPrefix(x.Type, "dispatcher_") {
+			end += float64(r.x.Dispatchers.RestartDelay + r.x.Dispatchers.StopTimeout)
 		}
 		last = max(last, end)
 	}
@@ -125,7 +125,7 @@
 }
 
 // stands holds what an operator was told of members against the stalls that are open. The lock is held.
-func (f *fleetRig) stands(call audit.Call, members []fleet.MemberStatus) {
+func (f *fleetRig) stands(call invariants.OperatorCall, members []fleet.MemberStatus) {
 	for k := range f.stalls {
 		s := &f.stalls[k]
 		if s.Up > 0 || s.Ended {
@@ -134,10 +134,10 @@
 		for _, m := range members {
 			switch {
 			case m.Member != f.name(s.Dispatcher):
-			case s.Found == 0 && s.To == 0 && call.From > s.From && m.State != fleet.MemberCurrent && m.State != fleet.MemberBehind:
-				s.Found = call.To
-			case s.To > 0 && call.From > s.To && m.State == fleet.MemberCurrent && m.SinceContact < call.To-s.To:
-				s.Up = call.To
+			case s.Found == 0 && s.To == 0 && call.Start > s.From && m.State != fleet.MemberCurrent && m.State != fleet.MemberBehind:
+				s.Found = call.End
+			case s.To > 0 && call.Start > s.To && m.State == fleet.MemberCurrent && m.SinceContact < call.End-s.To:
+				s.Up = call.End
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 }
 
 // Trouble is one of links, folders or operators.
-func (r *rig) Trouble(x *world.Fault, hit []int, on bool) {
+func (r *rig) SetFleetFault(x *fleetmodel.Fault, hit []int, on bool) {
 	f := r.fleet
 	if f == nil {
 		return
@@ -224,12 +224,12 @@
 		}
 		return
 	}
-	switch x.What {
+	switch x.Type {
 	case "publish", "publish_twice":
 		f.publish(x, hit)
 	case "folder_empty", "folder_older", "folder_flipped":
 		for _, d := range hit {
-			f.alter[d] = x.What
+			f.alter[d] = x.Type
 		}
 	case "folder_gone":
 		for _, d := range hit {
@@ -254,7 +254,7 @@
 		limit(1)
 		f.manners[x] = func() { limit(unix.RLIM_INFINITY) }
 	default:
-		m := manner{what: strings.TrimPrefix(x.What, "link_"), late: time.Duration(x.Amount * 1e6)}
+		m := manner{what: strings.TrimPrefix(x.Type, "link_"), late: time.Duration(x.Amount * 1e6)}
 		if m.what == "late" && m.late == 0 {
 			m.late = 200 * time.Millisecond
 		}
@@ -280,9 +280,9 @@
 
 // publish has the operator publish a version by a member that was hit; without an answer again, by others, under the same
 // request. Twice: two operators at once, by two members.
-func (f *fleetRig) publish(x *world.Fault, hit []int) {
+func (f *fleetRig) publish(x *fleetmodel.Fault, hit []int) {
 	n := 1
-	if x.What == "publish_twice" {
+	if x.Type == "publish_twice" {
 		n = 2
 	}
 	for k := range n {
@@ -304,38 +304,38 @@
 
 // tell publishes once; true: it was answered.
 func (f *fleetRig) tell(request string, at int, fence bool) bool {
-	call := audit.Call{From: f.r.now(), Request: request}
+	call := invariants.OperatorCall{Start: f.r.now(), Request: request}
 	a, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.PublishVersion, RequestID: request, RequestedBy: "lab", IssuedAt: float64(time.Now().UnixMilli()),
 		Text: []byte(`{"mark":"` + request + `"}`), Fence: fence}}, askWithin)
-	call.To = f.r.now()
-	call.Known = err == nil && !a.NoLeader && a.Error == ""
+	call.End = f.r.now()
+	call.Answered = err == nil && !a.NoLeader && a.Error == ""
 	call.Version = a.Result.Version
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.j.Calls = append(f.j.Calls, call)
-	if call.Known {
-		f.j.Releases[request] = call.Version
+	if call.Answered {
+		f.j.VersionByRelease[request] = call.Version
 		delete(f.open, request)
 	}
-	return call.Known
+	return call.Answered
 }
 
 // status asks one member how the fleet stands.
 func (f *fleetRig) status(at int, audited bool) (fleetrpc.AdminReply, bool) {
-	call := audit.Call{From: f.r.now()}
+	call := invariants.OperatorCall{Start: f.r.now()}
 	a, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Audit: audited}, lookWithin)
-	call.To = f.r.now()
+	call.End = f.r.now()
 	if err != nil || a.Status == nil {
 		return a, false
 	}
-	call.Known, call.Version = true, a.Status.NewestVersion
+	call.Answered, call.Version = true, a.Status.NewestVersion
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.j.Calls = append(f.j.Calls, call)
 	f.stands(call, a.Status.Members)
 	if st := a.Status; st.FenceCompleteAt > 0 {
-		if _, told := f.j.Complete[st.FencedVersion]; !told {
-			f.j.Complete[st.FencedVersion] = call.To
+		if _, told := f.j.FenceCompleted[st.FencedVersion]; !told {
+			f.j.FenceCompleted[st.FencedVersion] = call.End
 		}
 	}
 	return a, true
@@ -364,7 +364,7 @@
 func (f *fleetRig) heal() {
 	defer close(f.done)
 	began := f.r.now()
-	by := began + float64(f.x.Heal)
+	by := began + float64(f.x.RecoveryTime)
 	what := "no leader"
 	for f.r.now() < by && f.wait(50*time.Millisecond) {
 		f.mu.Lock()
@@ -402,7 +402,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.j.Unhealed(f.r.now(), fmt.Sprintf("%.0f ms after the last fault:%s", f.r.now()-began, what))
+	f.j.NotRecovered(f.r.now(), fmt.Sprintf("%.0f ms after the last fault:%s", f.r.now()-began, what))
 }
 
 // seat gives a voter that lost its folder a new seat.
@@ -412,17 +412,17 @@
 
 // saw notes a hand-off that came to a worker, on the world's goroutine.
 func (f *fleetRig) saw(d *door, id, release string, came float64) {
-	_, thawed := f.r.w.Frozen(d.h.n)
+	_, thawed := f.r.w.DispatcherPaused(d.h.n)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.j.Seen = append(f.j.Seen, audit.Seen{At: came, Dispatcher: d.h.n, ID: id, Worker: d.worker, Release: release, Thawed: thawed})
+	f.j.HandOffs = append(f.j.HandOffs, invariants.ObservedHandOff{At: came, Dispatcher: d.h.n, ID: id, Worker: d.worker, Release: release, SenderResumed: thawed})
 }
 
 // judge asks for the last audit and judges the day. The members go on meanwhile.
-func (f *fleetRig) judge() *audit.Fleet {
+func (f *fleetRig) judge() *invariants.FleetChecker {
 	var final *fleet.Audit
 	<-f.done
-	time.Sleep(2 * time.Duration(f.x.Beat*1e6)) // the last acts come with the next beats
+	time.Sleep(2 * time.Duration(f.x.HeartbeatInterval*1e6)) // the last acts come with the next beats
 	for k := range 3 * len(f.addrs) {
 		if a, ok := f.status(k%len(f.addrs), true); ok && a.Audit != nil {
 			final = a.Audit
@@ -435,7 +435,7 @@
 	for d := range f.addrs {
 		names = append(names, f.name(d))
 	}
-	f.j.Judge(final, names, f.r.unix)
+	f.j.Check(final, names, f.r.unix)
 	return &f.j
 }
 
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -28,8 +28,8 @@
 	"github.com/prometheus/procfs"
 	"github.com/valyala/fasthttp"
 
-	"weldmast/internal/audit"
-	"weldmast/internal/world"
+	"weldmast/internal/fleetmodel"
+	"weldmast/internal/invariants"
 )
 
 // Options say what is played.
@@ -45,9 +45,9 @@
 	LateMost    float64
 	Progress    func(part float64)
 	// Watch, if not nil, is called about ten times a second on the world's goroutine.
-	Watch func(w *world.World)
+	Watch func(w *fleetmodel.Model)
 	// Inject brings in what to do on the world's goroutine, from anywhere; nil: nothing comes.
-	Inject <-chan func(w *world.World)
+	Inject <-chan func(w *fleetmodel.Model)
 	// Endless: the day goes on until the context ends.
 	Endless bool
 	// Gentle: at the end the dispatchers are told to stop and given some seconds, as for what they write then.
@@ -65,14 +65,14 @@
 
 // Played is a day.
 type Played struct {
-	World  *world.World
+	World  *fleetmodel.Model
 	Start  float64 // when clients came, on the world's clock
 	Whole  bool    // it was not ended before its time
 	Usage  []Usage
 	Stalls []Stall
-	Fleet  *audit.Fleet            // judged; nil: the dispatchers are of none
-	Late   *hdrhistogram.Histogram // microseconds
-	Void   string                  // why the lab spoilt the day; empty: it did not
+	Fleet  *invariants.FleetChecker // judged; nil: the dispatchers are of none
+	Late   *hdrhistogram.Histogram  // microseconds
+	Void   string                   // why the lab spoilt the day; empty: it did not
 }
 
 const (
@@ -83,8 +83,8 @@
 // rig is one day under way.
 type rig struct {
 	o       Options
-	x       *world.Experiment
-	w       *world.World
+	x       *fleetmodel.Experiment
+	w       *fleetmodel.Model
 	dir     string
 	t0      time.Time
 	in      chan func()
@@ -124,11 +124,11 @@
 	open      map[string]context.CancelFunc
 	config    string
 	starts    int
-	callQueue map[string]chan world.Callback // by worker
+	callQueue map[string]chan fleetmodel.Callback // by worker
 }
 
 // Play plays an experiment.
-func Play(ctx context.Context, x *world.Experiment, seed uint64, o Options) (p *Played, err error) {
+func Play(ctx context.Context, x *fleetmodel.Experiment, seed uint64, o Options) (p *Played, err error) {
 	if o.MemoryMB == 0 {
 		o.MemoryMB = 192
 	}
@@ -146,13 +146,13 @@
 		return nil, fmt.Errorf("lab: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	r := &rig{o: o, x: x, w: world.New(x, seed), dir: dir, t0: time.Now(), in: make(chan func(), 65536),
+	r := &rig{o: o, x: x, w: fleetmodel.New(x, seed), dir: dir, t0: time.Now(), in: make(chan func(), 65536),
 		late: hdrhistogram.New(1, 60e6, 3), workers: map[string]*standIn{}}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	r.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, DisableCompression: true}}
 	r.calls = &fasthttp.Client{MaxConnsPerHost: 1024, MaxIdemponentCallAttempts: 1, ReadTimeout: 5 * time.Second,
 		NoDefaultUserAgentHeader: true}
-	r.server = &fasthttp.Server{Handler: r.handOff, NoDefaultServerHeader: true, IdleTimeout: time.Duration(x.Network.ConnIdle) * time.Millisecond,
+	r.server = &fasthttp.Server{Handler: r.handOff, NoDefaultServerHeader: true, IdleTimeout: time.Duration(x.Network.IdleTimeout) * time.Millisecond,
 		Logger: quiet{}}
 	defer func() {
 		r.close()
@@ -186,7 +186,7 @@
 	}
 	if p.Whole && !o.Endless {
 		r.advance(r.now() + 300)
-		r.w.Audit.Finish(r.w.Now())
+		r.w.Checker.Finish(r.w.Now())
 		if r.fleet != nil {
 			p.Fleet = r.fleet.judge()
 			p.Stalls = r.fleet.stalls
@@ -222,7 +222,7 @@
 	defer timer.Stop()
 	end := start + float64(r.x.Length)
 	shown, checked := 0., false
-	for !r.w.Over() || r.o.Endless {
+	for !r.w.Done() || r.o.Endless {
 		if r.spent.Load() && r.failed == nil {
 			r.failed = errors.New("the lab's own descriptors ran out: fewer workers, dispatchers or waiting clients, or a higher limit (ulimit -n)")
 		}
@@ -230,7 +230,7 @@
 			return false
 		}
 		if !checked && r.w.Now() >= start {
-			if checked = true; !r.w.AllReady() {
+			if checked = true; !r.w.AllDispatchersReady() {
 				r.failed = fmt.Errorf("the dispatchers are not ready after %.0f ms; --logs DIR keeps what they say", r.now())
 				return false
 			}
@@ -284,7 +284,7 @@
 		r.w.Step()
 	}
 	r.w.Advance(to)
-	r.hushed.Store(r.w.Silent())
+	r.hushed.Store(r.w.DiscoverySilent())
 }
 
 // look notes what the processes use.
@@ -339,7 +339,7 @@
 
 func (r *rig) newHost(d int) (*host, error) {
 	h := &host{n: d, watches: map[int]chan []byte{}, doors: map[string]*door{}, open: map[string]context.CancelFunc{},
-		callQueue: map[string]chan world.Callback{}}
+		callQueue: map[string]chan fleetmodel.Callback{}}
 	var err error
 	if h.listen, err = freeAddr(); err != nil {
 		return nil, err
@@ -351,7 +351,7 @@
 	h.discAt = l.Addr().String()
 	h.disc = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { r.discovery(h, w, q) })}
 	r.running.Go(func() { _ = h.disc.Serve(l) }) // ends when it is closed
-	if r.x.Dispatchers.Tell && r.x.Dispatchers.Count > 1 {
+	if r.x.Dispatchers.PeerMessages && r.x.Dispatchers.Count > 1 {
 		if err := r.newRelays(h); err != nil {
 			return nil, err
 		}
@@ -384,7 +384,7 @@
 					return
 				}
 				data := append([]byte(nil), buf[:n]...)
-				r.do(func() { r.w.Tell(h.n, to, data) })
+				r.do(func() { r.w.SendToPeers(h.n, to, data) })
 			}
 		})
 	}
@@ -392,12 +392,12 @@
 }
 
 // configure writes a dispatcher's configuration.
-func (r *rig) configure(h *host, seed uint64, known []world.Member) error {
+func (r *rig) configure(h *host, seed uint64, known []fleetmodel.WorkerEntry) error {
 	c := map[string]any{"name": "n" + strconv.Itoa(h.n), "listen": h.listen, "discovery": h.discAt,
 		"seed": fmt.Sprintf("%016x", seed), "settings": r.x.Settings(h.n),
 		"limits": map[string]any{"cores": r.o.Cores, "memory_mb": r.o.MemoryMB, "sockets": r.o.Descriptors}}
 	if len(known) > 0 {
-		c["known"] = r.list(h, world.Listing{Complete: true, Members: known})
+		c["known"] = r.list(h, fleetmodel.DiscoveryUpdate{Complete: true, Workers: known})
 	}
 	if len(h.relays) > 0 {
 		var peers []string
@@ -418,7 +418,7 @@
 }
 
 // Start runs a dispatcher's process.
-func (r *rig) Start(d int, known []world.Member) {
+func (r *rig) StartDispatcher(d int, known []fleetmodel.WorkerEntry) {
 	h := r.hosts[d]
 	if h.starts++; r.fleet != nil {
 		r.fleet.starts(d)
@@ -435,7 +435,7 @@
 	r.running.Go(func() {
 		r.whenReady("http://"+h.listen+"/ready", func() {
 			if h.cmd == cmd && h.up {
-				r.w.Ready(d)
+				r.w.DispatcherReady(d)
 				if p, err := procfs.NewProc(cmd.Process.Pid); err == nil {
 					if s, err := p.Stat(); err == nil {
 						h.usage.IdleMB = float64(s.ResidentMemory()) / (1 << 20)
@@ -455,7 +455,7 @@
 	}
 	cmd = exec.Command(program, "serve")
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+h.config, "ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_OPS=", "ROUTER_DISCOVERY=", "WELDMAST_FILE="+file)
-	if slices.ContainsFunc(r.x.Faults, func(f world.Fault) bool { return f.What == "dispatcher_upgrade" }) {
+	if slices.ContainsFunc(r.x.Faults, func(f fleetmodel.Fault) bool { return f.Type == "dispatcher_upgrade" }) {
 		temp := filepath.Join(r.dir, strconv.Itoa(h.n))
 		var err error
 		if ops, err = freeAddr(); err == nil {
@@ -506,7 +506,7 @@
 
 // Upgrade starts a process beside the one that serves. Once it is ready the older one is told to stop, and is killed
 // when the time that it has is over.
-func (r *rig) Upgrade(d int) {
+func (r *rig) UpgradeDispatcher(d int) {
 	h := r.hosts[d]
 	if !h.up {
 		return
@@ -531,7 +531,7 @@
 const killAfter = 3700 * time.Millisecond // after SIGTERM: the longest deadline, 3 s at most, and a grace
 
 // Flood opens connections that never say a whole request: half of them say nothing, half the beginning of one.
-func (r *rig) Flood(d int, rate, span float64) {
+func (r *rig) FloodConnections(d int, rate, span float64) {
 	h := r.hosts[d]
 	for k := range int(rate * span / 1000) {
 		time.AfterFunc(time.Duration(float64(k)/rate*1e9), func() {
@@ -558,14 +558,14 @@
 	if h.cmd == cmd {
 		if h.up {
 			h.up = false
-			r.w.Exited(h.n)
+			r.w.DispatcherExited(h.n)
 		}
 		h.usage.Alive += time.Since(h.began).Seconds()
 	}
 }
 
 // Kill ends a process at once.
-func (r *rig) Kill(d int) {
+func (r *rig) KillDispatcher(d int) {
 	if h := r.hosts[d]; h.up {
 		h.kill()
 	}
@@ -580,13 +580,13 @@
 }
 
 // Stop and Reload send their signals.
-func (r *rig) Stop(d int) { r.signal(d, syscall.SIGTERM) }
+func (r *rig) StopDispatcher(d int) { r.signal(d, syscall.SIGTERM) }
 
 // Reload as Stop.
-func (r *rig) Reload(d int) { r.signal(d, syscall.SIGHUP) }
+func (r *rig) ReloadDispatcher(d int) { r.signal(d, syscall.SIGHUP) }
 
 // Freeze stops a process or has it go on.
-func (r *rig) Freeze(d int, on bool) {
+func (r *rig) SetPaused(d int, on bool) {
 	if r.fleet != nil {
 		r.fleet.froze(d, on)
 	}
--- a/internal/sockets/standins.go
+++ b/internal/sockets/standins.go
@@ -21,7 +21,7 @@
 	"github.com/valyala/fasthttp"
 
 	"weldmast/internal/dispatch"
-	"weldmast/internal/world"
+	"weldmast/internal/fleetmodel"
 )
 
 // standIn is one worker: an address for each dispatcher, so that it is known who sends.
@@ -40,7 +40,7 @@
 	l      net.Listener
 	kept   int // the descriptor that keeps the port while nothing listens there; 0: none
 	conns  map[net.Conn]bool
-	out    map[string]*world.HandOff // the last of each id; the world's goroutine's
+	out    map[string]*fleetmodel.HandOff // the last of each id; the world's goroutine's
 }
 
 // Accept keeps account of connections, so that a worker's death can reset them.
@@ -75,10 +75,10 @@
 	return x, nil
 }
 
-func (r *rig) newWorker(m world.Member) error {
+func (r *rig) newWorker(m fleetmodel.WorkerEntry) error {
 	s := &standIn{id: m.ID}
 	for _, h := range r.hosts {
-		d := &door{h: h, worker: m.ID, conns: map[net.Conn]bool{}, out: map[string]*world.HandOff{}}
+		d := &door{h: h, worker: m.ID, conns: map[net.Conn]bool{}, out: map[string]*fleetmodel.HandOff{}}
 		if err := r.listen(d, workersAt); err != nil {
 			return err
 		}
@@ -150,10 +150,10 @@
 }
 
 // Up and Down are a worker's process: with it its connections end, and new ones are refused.
-func (r *rig) Up(id string) {
+func (r *rig) WorkerStarted(id string) {
 	s := r.workers[id]
 	if s == nil { // a replacement that was not there at the start
-		if err := r.newWorker(world.Member{ID: id}); err != nil && r.failed == nil {
+		if err := r.newWorker(fleetmodel.WorkerEntry{ID: id}); err != nil && r.failed == nil {
 			r.failed = err
 		}
 		return
@@ -171,7 +171,7 @@
 }
 
 // Down as Up.
-func (r *rig) Down(id string) {
+func (r *rig) WorkerStopped(id string) {
 	if s := r.workers[id]; s != nil {
 		s.close()
 	}
@@ -189,36 +189,36 @@
 		id := strings.TrimPrefix(string(ctx.Path()), "/jobs/")
 		r.do(func() {
 			if h := d.out[id]; h != nil {
-				r.w.GiveUp(h)
+				r.w.CancelHandOff(h)
 			}
 		})
 		return
 	}
 	id := string(ctx.Request.Header.Peek("X-Request-Id"))
-	end := make(chan world.End, 2)
+	end := make(chan fleetmodel.HandOffResult, 2)
 	release, came := string(ctx.Request.Header.Peek("X-Release")), r.now()
 	r.do(func() {
 		if old := d.out[id]; old != nil {
-			r.w.GiveUp(old) // its connection was closed, or it would not be sent again
+			r.w.CancelHandOff(old) // its connection was closed, or it would not be sent again
 		}
 		if r.fleet != nil {
 			r.fleet.saw(d, id, release, came)
 		}
-		d.out[id] = r.w.Send(d.h.n, id, d.worker, end)
+		d.out[id] = r.w.HandOff(d.h.n, id, d.worker, end)
 	})
-	var how world.End
+	var how fleetmodel.HandOffResult
 	select {
 	case how = <-end:
 	case <-r.ctx.Done():
-		how = world.Reset
+		how = fleetmodel.ConnectionReset
 	}
 	switch how {
-	case world.Accepted:
+	case fleetmodel.Accepted:
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
-	case world.TurnedAway:
+	case fleetmodel.Rejected:
 		ctx.Response.Header.Set("X-Not-Run", "1")
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
-	case world.Failed:
+	case fleetmodel.Failed:
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 	default:
 		if c, ok := ctx.Conn().(*counted); ok {
@@ -229,19 +229,19 @@
 }
 
 // Ended answers a hand-off's request.
-func (r *rig) Ended(_ int, h *world.HandOff, how world.End) {
+func (r *rig) HandOffEnded(_ int, h *fleetmodel.HandOff, how fleetmodel.HandOffResult) {
 	select {
-	case h.Tag.(chan world.End) <- how:
+	case h.Tag.(chan fleetmodel.HandOffResult) <- how:
 	default: // it was answered
 	}
 }
 
 // Callback is told in order by one goroutine for each worker and dispatcher, with further tries until it is taken.
-func (r *rig) Callback(n int, c world.Callback) bool {
+func (r *rig) Callback(n int, c fleetmodel.Callback) bool {
 	h := r.hosts[n]
 	q := h.callQueue[c.From]
 	if q == nil {
-		q = make(chan world.Callback, 4096)
+		q = make(chan fleetmodel.Callback, 4096)
 		h.callQueue[c.From] = q
 		r.running.Go(func() { r.call(h, q) })
 	}
@@ -252,13 +252,13 @@
 	return true
 }
 
-func (r *rig) call(h *host, q chan world.Callback) {
+func (r *rig) call(h *host, q chan fleetmodel.Callback) {
 	for {
 		select {
 		case <-r.ctx.Done():
 			return
 		case c := <-q:
-			body, err := json.Marshal(map[string]any{"id": c.ID, "from": c.From, "state": c.State, "share": c.Share, "result": c.Result})
+			body, err := json.Marshal(map[string]any{"id": c.ID, "from": c.From, "state": c.State, "share": c.Progress, "result": c.Result})
 			if err != nil {
 				panic(err) // of texts and a number
 			}
@@ -291,18 +291,18 @@
 var phases = map[dispatch.WorkerState]string{dispatch.Up: "in_service", dispatch.Draining: "terminating", dispatch.Gone: "terminated"}
 
 // list is a listing as discovery's agent writes it for one dispatcher.
-func (r *rig) list(h *host, l world.Listing) map[string]any {
+func (r *rig) list(h *host, l fleetmodel.DiscoveryUpdate) map[string]any {
 	members := []any{}
-	for _, m := range l.Members {
+	for _, m := range l.Workers {
 		d := h.doors[m.ID]
 		if d == nil {
 			continue
 		}
 		since := int64(0)
-		if m.Since >= 0 {
-			since = int64(r.unix(m.Since))
+		if m.StartTime >= 0 {
+			since = int64(r.unix(m.StartTime))
 		}
-		members = append(members, map[string]any{"id": m.ID, "host_port": d.addr, "locality": world.SiteName(m.Site),
+		members = append(members, map[string]any{"id": m.ID, "host_port": d.addr, "locality": fleetmodel.SiteName(m.Site),
 			"flavor": r.x.Kinds[m.Kind].Name, "cell": 0, "phase": phases[m.State], "size": 1.0, "up_since_ms": since})
 	}
 	return map[string]any{"revision": l.Revision, "complete": l.Complete, "members": members}
@@ -357,7 +357,7 @@
 }
 
 // List hands a line to the watch that it belongs to.
-func (r *rig) List(d int, l world.Listing) {
+func (r *rig) DiscoveryUpdated(d int, l fleetmodel.DiscoveryUpdate) {
 	h := r.hosts[d]
 	text, err := json.Marshal(r.list(h, l))
 	if err != nil {
@@ -367,13 +367,13 @@
 		select {
 		case lines <- text:
 		default: // nobody reads; it will ask again
-			r.Broken(d, l.Watch)
+			r.WatchEnded(d, l.Watch)
 		}
 	}
 }
 
 // Broken ends a watch.
-func (r *rig) Broken(d, watch int) {
+func (r *rig) WatchEnded(d, watch int) {
 	h := r.hosts[d]
 	if lines := h.watches[watch]; lines != nil {
 		delete(h.watches, watch)
@@ -382,13 +382,13 @@
 }
 
 // Message brings a sibling's datagram from the address at which the dispatcher knows the sibling.
-func (r *rig) Message(d, from int, data []byte) {
+func (r *rig) PeerMessage(d, from int, data []byte) {
 	h := r.hosts[d]
 	_, _ = h.relays[from].WriteToUDP(data, h.peerAt) // lost, as datagrams may be
 }
 
 // Request is a client's; its answer comes back to the world.
-func (r *rig) Request(d int, t *world.Try) {
+func (r *rig) RequestArrived(d int, t *fleetmodel.Request) {
 	h := r.hosts[d]
 	ctx, cancel := context.WithCancel(r.ctx)
 	h.open[t.ID] = cancel
@@ -400,7 +400,7 @@
 	}
 	r.running.Go(func() {
 		defer cancel()
-		q, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s/%d", h.listen, r.x.Categories[j.Category].Name, j.N), http.NoBody)
+		q, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s/%d", h.listen, r.x.Categories[j.Category].Name, j.Number), http.NoBody)
 		if err != nil {
 			panic(err) // our own address and names
 		}
@@ -411,7 +411,7 @@
 		if tenant != "" {
 			q.Header["X-Tenant"] = []string{tenant}
 		}
-		if t.Again {
+		if t.Retry {
 			q.Header["X-Retry"] = []string{"1"}
 		}
 		a, err := r.client.Do(q)
@@ -427,21 +427,21 @@
 			switch {
 			case left && err != nil:
 			case err != nil:
-				r.w.Broke(t, errors.Is(err, syscall.ECONNREFUSED))
+				r.w.ConnectionBroken(t, errors.Is(err, syscall.ECONNREFUSED))
 			case a.StatusCode == http.StatusOK:
-				r.w.Answer(d, t.ID, world.Served, string(body), 0)
+				r.w.Answer(d, t.ID, fleetmodel.Served, string(body), 0)
 			case slices.Contains([]int{http.StatusTooManyRequests, http.StatusServiceUnavailable}, a.StatusCode):
 				pause, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64) // none: no advice
-				r.w.Answer(d, t.ID, world.ComeAgain, "", pause*1000)
+				r.w.Answer(d, t.ID, fleetmodel.RetryLater, "", pause*1000)
 			default:
-				r.w.Answer(d, t.ID, world.Erred, "", 0)
+				r.w.Answer(d, t.ID, fleetmodel.OtherStatus, "", 0)
 			}
 		})
 	})
 }
 
 // Leave closes a client's connection.
-func (r *rig) Leave(d int, t *world.Try) {
+func (r *rig) ClientLeft(d int, t *fleetmodel.Request) {
 	if cancel := r.hosts[d].open[t.ID]; cancel != nil {
 		cancel()
 	}
--- a/internal/virtual/fleet.go
+++ b/internal/virtualtime/fleet.go
@@ -1,7 +1,7 @@
 // This file plays a fleet in virtual time: its council with all its voters, and members by hundreds, over links that lose
 // and delay and are cut. What members do is internal/fleet's; only when they beat and ask is modelled, as internal/member does it.
 
-package virtual
+package virtualtime
 
 import (
 	"container/heap"
@@ -17,25 +17,25 @@
 )
 
 // FleetDay is what is played.
-type FleetDay struct {
-	Members int // followers among them
-	Voters  int
-	Seed    uint64
-	Loss    float64 // of each message, one way
-	Cut     float64 // share of members cut off for three seconds in the midst of a publish
-	Faults  int     // kills, cuts and standstills of single members, drawn
-	Length  float64
+type FleetScenario struct {
+	Members     int // followers among them
+	Voters      int
+	Seed        uint64
+	MessageLoss float64 // of each message, one way
+	CutShare    float64 // share of members cut off for three seconds in the midst of a publish
+	Faults      int     // kills, cuts and standstills of single members, drawn
+	Length      float64
 }
 
 // FleetResult is what came of it. Times are milliseconds, bytes those of the messages' content.
 type FleetResult struct {
-	Published int
-	To99      []float64 // from a publish's answer until 99% of the members that are not cut off have it in force
-	ToAll     []float64 // the same for all, cut off or not
-	Leader    float64   // messages a second at the leader, in and out
-	Bytes     float64   // a member a second
-	Fences    int       // told to be complete
-	Broken    string
+	Published         int
+	TimeTo99          []float64 // from a publish's answer until 99% of the members that are not cut off have it in force
+	TimeToAll         []float64 // the same for all, cut off or not
+	LeaderMessageRate float64   // messages a second at the leader, in and out
+	MemberByteRate    float64   // a member a second
+	FencesCompleted   int       // told to be complete
+	Violation         string
 }
 
 const (
@@ -108,7 +108,7 @@
 }
 
 type fleetPlay struct {
-	d       FleetDay
+	d       FleetScenario
 	f       fleet.Timing
 	now     float64
 	rnd     *rand.Rand
@@ -129,10 +129,10 @@
 }
 
 // PlayFleet plays a day.
-func PlayFleet(d FleetDay) FleetResult { return playFleet(d, true) }
+func RunFleet(d FleetScenario) FleetResult { return playFleet(d, true) }
 
 // playFleet is the same; not shared: each member works out by itself what entries lead to.
-func playFleet(d FleetDay, shared bool) FleetResult {
+func playFleet(d FleetScenario, shared bool) FleetResult {
 	p := &fleetPlay{d: d, shared: shared, f: fleet.Timing{Beat: 250, Lease: 1000, Drift: 0.01}, rnd: rand.New(rand.NewPCG(d.Seed, 0x666c6474)), seats: map[uint64]int{},
 		told: map[uint64]float64{}, pending: map[uint64]*spread{}, led: map[fleet.Digest]*fleet.State{}}
 	var voters []fleet.Voter
@@ -156,7 +156,7 @@
 	for n := 0; 4000+3000*float64(n) < d.Length-6000; n++ {
 		at := 4000 + 3000*float64(n)
 		p.at(at, func() { p.publish(n, 0) })
-		if d.Cut > 0 && n%2 == 1 {
+		if d.CutShare > 0 && n%2 == 1 {
 			p.at(at-5, func() { p.cut(true) })
 			p.at(at+3000, func() { p.cut(false) })
 		}
@@ -178,12 +178,12 @@
 			p.at(at+span, func() { p.voter(v) })
 		}
 	}
-	for len(p.queue) > 0 && p.now < d.Length && p.r.Broken == "" {
+	for len(p.queue) > 0 && p.now < d.Length && p.r.Violation == "" {
 		e := heap.Pop(&p.queue).(fleetEvent)
 		p.now = e.at
 		e.do()
 	}
-	if p.r.Broken == "" {
+	if p.r.Violation == "" {
 		p.end()
 	}
 	return p.r
@@ -204,8 +204,8 @@
 }
 
 func (p *fleetPlay) broken(format string, a ...any) {
-	if p.r.Broken == "" {
-		p.r.Broken = fmt.Sprintf("at %.0f ms: ", p.now) + fmt.Sprintf(format, a...)
+	if p.r.Violation == "" {
+		p.r.Violation = fmt.Sprintf("at %.0f ms: ", p.now) + fmt.Sprintf(format, a...)
 	}
 }
 
@@ -230,7 +230,7 @@
 func (p *fleetPlay) kill(k int) { p.members[k].up = false }
 
 func (p *fleetPlay) cut(on bool) {
-	for k := range int(p.d.Cut * float64(p.d.Members)) {
+	for k := range int(p.d.CutShare * float64(p.d.Members)) {
 		p.members[p.d.Members-1-k].cut = on
 	}
 }
@@ -239,7 +239,7 @@
 func (p *fleetPlay) carry(k int, size int, do func()) {
 	m := p.members[k]
 	m.bytes += float64(size)
-	if m.cut || p.rnd.Float64() < p.d.Loss {
+	if m.cut || p.rnd.Float64() < p.d.MessageLoss {
 		return
 	}
 	p.at(p.now+fleetLink*(1+p.rnd.Float64()), func() {
@@ -467,7 +467,7 @@
 			if c.Leases() != nil {
 				p.load++
 			}
-			if p.rnd.Float64() < p.d.Loss {
+			if p.rnd.Float64() < p.d.MessageLoss {
 				continue
 			}
 			p.at(p.now+fleetLink*(1+p.rnd.Float64()), func() {
@@ -484,7 +484,7 @@
 			if f := c.State().FencedVersion(); f > 0 && p.told[f] == 0 {
 				if at, _ := b.FenceStatus(p.now, p.now, f, c.State()); at > 0 {
 					p.told[f] = p.now
-					p.r.Fences++
+					p.r.FencesCompleted++
 				}
 			}
 		}
@@ -521,10 +521,10 @@
 		}
 		if have*100 >= reach*99 && !x.most {
 			x.most = true
-			p.r.To99 = append(p.r.To99, p.now-x.at)
+			p.r.TimeTo99 = append(p.r.TimeTo99, p.now-x.at)
 		}
 		if all == len(p.members) {
-			p.r.ToAll = append(p.r.ToAll, p.now-x.at)
+			p.r.TimeToAll = append(p.r.TimeToAll, p.now-x.at)
 			delete(p.pending, v)
 		}
 	}
@@ -535,8 +535,8 @@
 	for _, m := range p.members {
 		bytes += m.bytes
 	}
-	p.r.Leader = p.load / p.d.Length * 1000
-	p.r.Bytes = bytes / float64(len(p.members)) / p.d.Length * 1000
+	p.r.LeaderMessageRate = p.load / p.d.Length * 1000
+	p.r.MemberByteRate = bytes / float64(len(p.members)) / p.d.Length * 1000
 	if len(p.pending) > 0 {
 		lacks := ""
 		for k, m := range p.members {
--- a/internal/virtual/fleet_test.go
+++ b/internal/virtualtime/fleet_test.go
@@ -1,4 +1,4 @@
-package virtual
+package virtualtime
 
 import (
 	"testing"
@@ -10,12 +10,12 @@
 func TestFleet(t *testing.T) {
 	published, fences := 0, 0
 	for seed := range uint64(40) {
-		r := PlayFleet(FleetDay{Members: 7, Voters: []int{1, 3, 5}[seed%3], Seed: seed, Loss: 0.1, Cut: 0.3, Faults: 8, Length: 30000})
-		if r.Broken != "" {
-			t.Errorf("seed %d: %s", seed, r.Broken)
+		r := RunFleet(FleetScenario{Members: 7, Voters: []int{1, 3, 5}[seed%3], Seed: seed, MessageLoss: 0.1, CutShare: 0.3, Faults: 8, Length: 30000})
+		if r.Violation != "" {
+			t.Errorf("seed %d: %s", seed, r.Violation)
 		}
 		published += r.Published
-		fences += r.Fences
+		fences += r.FencesCompleted
 	}
 	if published < 200 || fences < 80 {
 		t.Errorf("%d versions and %d fences in 40 days: they show little", published, fences)
@@ -24,9 +24,9 @@
 
 // TestFleetRepeats: the same seed is the same day, elections included.
 func TestFleetRepeats(t *testing.T) {
-	d := FleetDay{Members: 20, Voters: 5, Seed: 3, Loss: 0.1, Cut: 0.2, Faults: 10, Length: 20000}
-	a, b := PlayFleet(d), PlayFleet(d)
-	if a.Leader != b.Leader || a.Bytes != b.Bytes || len(a.ToAll) != len(b.ToAll) {
+	d := FleetScenario{Members: 20, Voters: 5, Seed: 3, MessageLoss: 0.1, CutShare: 0.2, Faults: 10, Length: 20000}
+	a, b := RunFleet(d), RunFleet(d)
+	if a.LeaderMessageRate != b.LeaderMessageRate || a.MemberByteRate != b.MemberByteRate || len(a.TimeToAll) != len(b.TimeToAll) {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 }
@@ -34,7 +34,7 @@
 // TestShared: that members take over from one another what an entry leads to changes nothing of what comes of a day.
 func TestShared(t *testing.T) {
 	for seed := range uint64(6) {
-		d := FleetDay{Members: 12, Voters: 3, Seed: seed, Loss: 0.1, Cut: 0.2, Faults: 6, Length: 16000}
+		d := FleetScenario{Members: 12, Voters: 3, Seed: seed, MessageLoss: 0.1, CutShare: 0.2, Faults: 6, Length: 16000}
 		if diff := cmp.Diff(playFleet(d, false), playFleet(d, true)); diff != "" {
 			t.Errorf("seed %d (-each by itself +shared):\n%s", seed, diff)
 		}
--- a/internal/virtual/virtual.go
+++ b/internal/virtualtime/virtualtime.go
@@ -1,7 +1,7 @@
 // Package virtual plays a world in virtual time with whole nodes, reducer, rounds and decisions, hundreds of them in one
 // goroutine. The same experiment and seed give the same history, on any machine. It must never draw by chance, read a
 // clock, or decide anything itself.
-package virtual
+package virtualtime
 
 import (
 	"context"
@@ -11,35 +11,35 @@
 	"math"
 
 	"weldmast/internal/dispatch"
+	"weldmast/internal/fleetmodel"
 	"weldmast/internal/node"
-	"weldmast/internal/world"
 )
 
 // epoch is the nodes' time at the model's time 0: far from 0, which stands for long ago.
 const epoch = 1e9
 
 // Start is when clients come: dispatchers are up before them.
-const Start = 1000
+const ArrivalStart = 1000
 
 // Decide makes the decider of one dispatcher; nil in its place: the program's own.
-type Decide func(s dispatch.Settings, w *world.World) dispatch.Decider
+type NewDecider func(s dispatch.Settings, w *fleetmodel.Model) dispatch.Decider
 
 // Play plays an experiment to its end, or until the context ends it: then whole is false, and what is open stays so.
 // Progress, if not nil, is called now and then with the part done.
-func Play(ctx context.Context, x *world.Experiment, seed uint64, decide Decide, progress func(float64)) (
-	w *world.World, whole bool, err error) {
-	w = world.New(x, seed)
+func Run(ctx context.Context, x *fleetmodel.Experiment, seed uint64, decide NewDecider, progress func(float64)) (
+	w *fleetmodel.Model, whole bool, err error) {
+	w = fleetmodel.New(x, seed)
 	p := &port{w: w, decide: decide, seed: seed}
 	for d := range x.Dispatchers.Count {
-		s, err := x.Dispatch(d, seed)
+		s, err := x.DispatchSettings(d, seed)
 		if err != nil {
 			return nil, false, err
 		}
 		p.settings = append(p.settings, s)
 	}
 	p.hosts = make([]*host, x.Dispatchers.Count)
-	w.Begin(p, Start)
-	for end, k := Start+float64(x.Length), 0; !w.Over(); k++ {
+	w.Begin(p, ArrivalStart)
+	for end, k := ArrivalStart+float64(x.Length), 0; !w.Done(); k++ {
 		if w.Next() > end+1e7 || math.IsInf(w.Next(), 1) {
 			return w, false, fmt.Errorf("the day does not end: %.0f ms", w.Now())
 		}
@@ -53,7 +53,7 @@
 		}
 	}
 	w.Advance(w.Now() + 1000) // what is still under way is judged too
-	w.Audit.Finish(w.Now())
+	w.Checker.Finish(w.Now())
 	return w, true, nil
 }
 
@@ -70,10 +70,10 @@
 }
 
 type port struct {
-	w        *world.World
+	w        *fleetmodel.Model
 	hosts    []*host
 	settings []dispatch.Settings
-	decide   Decide
+	decide   NewDecider
 	seed     uint64
 	starts   uint64
 }
@@ -81,12 +81,12 @@
 var silent = slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError + 1}))
 
 // Start brings a node up. Its seed is new with each start, and follows from the experiment's.
-func (p *port) Start(d int, known []world.Member) {
+func (p *port) StartDispatcher(d int, known []fleetmodel.WorkerEntry) {
 	s := p.settings[d]
 	p.starts++
 	s.Seed = (p.seed+p.starts)*0x9e3779b97f4a7c15 | 1<<40
 	h := &host{p: p, n: d, open: map[string]*node.Request{}}
-	o := node.Options{Settings: s, MaxOpen: p.w.X.Dispatchers.MaxOpen, Discovery: "discovery", Log: silent,
+	o := node.Options{Settings: s, MaxOpen: p.w.Experiment.Dispatchers.MaxOpen, Discovery: "discovery", Log: silent,
 		CachedList: node.DiscoveryUpdate{Members: members(known)}, Clock: func() float64 { return epoch + p.w.Now() }}
 	if p.decide != nil {
 		o.Decider = p.decide(s, p.w)
@@ -100,10 +100,10 @@
 func (h *host) planned(next float64) {
 	switch h.node.Phase() {
 	case node.Serving:
-		h.p.w.Ready(h.n)
+		h.p.w.DispatcherReady(h.n)
 	case node.Stopped:
 		h.gone = true
-		h.p.w.Exited(h.n)
+		h.p.w.DispatcherExited(h.n)
 		return
 	}
 	h.turn++
@@ -124,7 +124,7 @@
 }
 
 // Freeze has a node stand still, or go on with what came meanwhile.
-func (p *port) Freeze(d int, on bool) {
+func (p *port) SetPaused(d int, on bool) {
 	h := p.hosts[d]
 	if h == nil || h.gone || h.still == on {
 		return
@@ -137,7 +137,7 @@
 }
 
 // Trouble is of a fleet's links and folders, which there are none of here yet.
-func (p *port) Trouble(*world.Fault, []int, bool) {}
+func (p *port) SetFleetFault(*fleetmodel.Fault, []int, bool) {}
 
 // to gives a value to a dispatcher's node, if it lives.
 func (p *port) to(d int, v any) bool {
@@ -149,41 +149,41 @@
 	return true
 }
 
-func (p *port) Request(d int, t *world.Try) {
+func (p *port) RequestArrived(d int, t *fleetmodel.Request) {
 	h := p.hosts[d]
 	if h == nil || h.gone {
 		return
 	}
 	j := t.Job
 	c := &node.Request{ID: t.ID, Category: j.Category, Tenant: j.Tenant, Hint: j.Hint,
-		Expiry: epoch + p.w.Now() + min(t.Deadline-p.w.Now(), float64(p.w.X.Categories[j.Category].Expiry))}
+		Expiry: epoch + p.w.Now() + min(t.Deadline-p.w.Now(), float64(p.w.Experiment.Categories[j.Category].Expiry))}
 	h.open[t.ID] = c
 	c.Respond = func(r node.Reply) {
 		delete(h.open, t.ID)
 		switch r.Result {
 		case node.Served:
-			p.w.Answer(d, t.ID, world.Served, r.Body, 0)
+			p.w.Answer(d, t.ID, fleetmodel.Served, r.Body, 0)
 		case node.Deferred:
-			p.w.Answer(d, t.ID, world.ComeAgain, "", r.RetryAfter)
+			p.w.Answer(d, t.ID, fleetmodel.RetryLater, "", r.RetryAfter)
 		case node.ClientGone:
 		default:
-			p.w.Answer(d, t.ID, world.Erred, "", 0)
+			p.w.Answer(d, t.ID, fleetmodel.OtherStatus, "", 0)
 		}
 	}
 	h.step(node.RequestArrived{Request: c})
 }
 
-func (p *port) Leave(d int, t *world.Try) {
+func (p *port) ClientLeft(d int, t *fleetmodel.Request) {
 	if c := p.hosts[d].open[t.ID]; c != nil {
 		p.to(d, node.ClientDisconnected{Request: c})
 	}
 }
 
-var ends = map[world.End]dispatch.Outcome{world.TurnedAway: dispatch.Full, world.NoConnect: dispatch.ConnectFailed,
-	world.Reset: dispatch.ConnReset, world.Failed: dispatch.Failed, world.Dropped: dispatch.Cancelled}
+var ends = map[fleetmodel.HandOffResult]dispatch.Outcome{fleetmodel.Rejected: dispatch.Full, fleetmodel.ConnectFailed: dispatch.ConnectFailed,
+	fleetmodel.ConnectionReset: dispatch.ConnReset, fleetmodel.Failed: dispatch.Failed, fleetmodel.Cancelled: dispatch.Cancelled}
 
-func (p *port) Ended(d int, h *world.HandOff, how world.End) {
-	if how != world.Accepted {
+func (p *port) HandOffEnded(d int, h *fleetmodel.HandOff, how fleetmodel.HandOffResult) {
+	if how != fleetmodel.Accepted {
 		s := h.Tag.(node.HandOffRequest)
 		p.to(d, node.HandOffEnded{WI: s.WI, HO: s.HO, Outcome: ends[how]})
 	}
@@ -192,16 +192,16 @@
 var states = map[string]node.CallbackState{"started": node.Started, "running": node.Running, "done": node.Done,
 	"failed": node.Failed, "returned": node.Returned, "lost": node.Lost}
 
-func (p *port) Callback(d int, c world.Callback) bool {
-	return p.to(d, node.Callback{ID: c.ID, From: c.From, State: states[c.State], Share: c.Share, Result: c.Result})
+func (p *port) Callback(d int, c fleetmodel.Callback) bool {
+	return p.to(d, node.Callback{ID: c.ID, From: c.From, State: states[c.State], Share: c.Progress, Result: c.Result})
 }
 
-func members(all []world.Member) []node.Member {
+func members(all []fleetmodel.WorkerEntry) []node.Member {
 	list := make([]node.Member, len(all))
 	for k, m := range all {
 		since := 0.
-		if m.Since >= 0 {
-			since = epoch + m.Since
+		if m.StartTime >= 0 {
+			since = epoch + m.StartTime
 		}
 		list[k] = node.Member{Entry: dispatch.Entry{Worker: m.ID, Zone: m.Site, Kind: m.Kind, State: m.State, Since: since},
 			Addr: m.ID}
@@ -209,41 +209,41 @@
 	return list
 }
 
-func (p *port) List(d int, l world.Listing) {
-	p.to(d, node.DiscoveryUpdate{Watch: l.Watch, Revision: l.Revision, Complete: l.Complete, Members: members(l.Members)})
+func (p *port) DiscoveryUpdated(d int, l fleetmodel.DiscoveryUpdate) {
+	p.to(d, node.DiscoveryUpdate{Watch: l.Watch, Revision: l.Revision, Complete: l.Complete, Members: members(l.Workers)})
 }
-func (p *port) Broken(d int, watch int) { p.to(d, node.WatchEnded{Watch: watch}) }
-func (p *port) Message(d, from int, data []byte) {
+func (p *port) WatchEnded(d int, watch int) { p.to(d, node.WatchEnded{Watch: watch}) }
+func (p *port) PeerMessage(d, from int, data []byte) {
 	p.to(d, node.PeerMessage{From: from, Data: data})
 }
-func (p *port) Kill(d int) {
+func (p *port) KillDispatcher(d int) {
 	if h := p.hosts[d]; h != nil {
 		h.gone = true
 	}
 }
 
 // Up and Down: the world knows.
-func (p *port) Up(string) {}
+func (p *port) WorkerStarted(string) {}
 
 // Down as Up.
-func (p *port) Down(string) {}
+func (p *port) WorkerStopped(string) {}
 
-func (p *port) Stop(d int) { p.to(d, node.Stop{}) }
+func (p *port) StopDispatcher(d int) { p.to(d, node.Stop{}) }
 
 // Upgrade and Flood are of processes and connections, which there are none of here.
-func (p *port) Upgrade(int)                 {}
-func (p *port) Flood(int, float64, float64) {}
+func (p *port) UpgradeDispatcher(int)                  {}
+func (p *port) FloodConnections(int, float64, float64) {}
 
-func (p *port) Reload(d int) { p.to(d, node.DiscoveryMoved{Discovery: "discovery"}) }
+func (p *port) ReloadDispatcher(d int) { p.to(d, node.DiscoveryMoved{Discovery: "discovery"}) }
 
 // attempt is a hand-off that the node has out.
 type attempt struct {
-	w *world.World
-	h *world.HandOff
+	w *fleetmodel.Model
+	h *fleetmodel.HandOff
 }
 
 // GiveUp has the worker drop it.
-func (a attempt) Cancel() { a.w.GiveUp(a.h) }
+func (a attempt) Cancel() { a.w.CancelHandOff(a.h) }
 
 // Taken: each is at once.
 func (a attempt) Accepted() bool { return true }
@@ -256,7 +256,7 @@
 
 // Send starts a hand-off.
 func (h *host) Send(s node.HandOffRequest) node.Attempt {
-	return attempt{h.p.w, h.p.w.Send(h.n, s.ID, s.Addr, s)}
+	return attempt{h.p.w, h.p.w.HandOff(h.n, s.ID, s.Addr, s)}
 }
 
 // Watch asks discovery.
@@ -266,7 +266,7 @@
 func (h *host) Unwatch(int) {}
 
 // Tell sends a message to siblings.
-func (h *host) SendToPeer(to int, data []byte) { h.p.w.Tell(h.n, to, data) }
+func (h *host) SendToPeer(to int, data []byte) { h.p.w.SendToPeers(h.n, to, data) }
 
 // Drain and Dismiss close connections of clients; here each request has its own.
 func (h *host) Drain(func() node.TakeoverState) bool { return false }
