--- a/cmd/weldmast-voter/main.go
+++ b/cmd/weldmast-voter/main.go
@@ -10,8 +10,8 @@
 )
 
 func main() {
-	os.Exit(program.Run(os.Args[1:], os.Stdout, os.Stderr, func(o program.VotingOptions) (fleetrpc.VoterService, error) {
+	os.Exit(program.Run(os.Args[1:], os.Stdout, os.Stderr, func(o program.VoterOptions) (fleetrpc.VoterService, error) {
 		return consensus.Start(consensus.Options{Fleet: o.Fleet, Name: o.Name, Address: o.Address, Voters: o.Voters, Dir: o.Folder,
-			Timing: o.Figures, AddressMap: o.Via, RunID: o.Run, Seed: o.Seed, Clock: o.Clock.Now, UnixTime: o.Clock.UnixTime})
+			Timing: o.Timing, AddressMap: o.AddressMap, RunID: o.Run, Seed: o.Seed, Clock: o.Clock.Now, UnixTime: o.Clock.UnixTime})
 	}))
 }
--- a/internal/operate/operate.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
 // Package operate owns the address at which operators call: it reads one call a connection and answers from values that
 // are there already. It must never decide anything, wait for the reducer, or share a bound with the clients' front.
-package operate
+package admin
 
 import (
 	"bytes"
@@ -13,28 +13,28 @@
 
 	"github.com/valyala/fasthttp"
 
-	"weldmast/internal/figures"
+	"weldmast/internal/metrics"
 	"weldmast/internal/transport"
 )
 
 const (
 	// Descriptors are those that the front may use, to be set aside out of the limit: the listener, the calls, as
 	// many that were closed and have yet to end.
-	Descriptors = 1 + 2*callsMost
-	callsMost   = 8
-	callWithin  = 2 * time.Second // a call is there whole, and its answer read, within this time
-	headMost    = 4 << 10
+	MaxDescriptors = 1 + 2*callsMost
+	callsMost      = 8
+	callWithin     = 2 * time.Second // a call is there whole, and its answer read, within this time
+	headMost       = 4 << 10
 )
 
 // Options say what calls are answered from.
 type Options struct {
 	Listen  netip.AddrPort
 	Ready   func() (cause string, ready bool) // the cause is one word; must not block
-	Figures *figures.Figures
+	Metrics *metrics.Metrics
 }
 
 // Front serves operators' calls.
-type Front struct {
+type Server struct {
 	o        Options
 	listener net.Listener
 	server   *fasthttp.Server
@@ -45,16 +45,16 @@
 // call is the connection of one.
 type call struct {
 	net.Conn
-	f *Front
+	f *Server
 }
 
 // Start listens and serves until Close.
-func Start(o Options) (*Front, error) {
+func Start(o Options) (*Server, error) {
 	l, err := net.Listen("tcp", o.Listen.String())
 	if err != nil {
 		return nil, err
 	}
-	f := &Front{o: o, listener: l}
+	f := &Server{o: o, listener: l}
 	f.server = &fasthttp.Server{Handler: f.handle, DisableKeepalive: true, Concurrency: 2 * callsMost,
 		ReadTimeout: callWithin, WriteTimeout: callWithin, ReadBufferSize: headMost, MaxRequestBodySize: headMost,
 		NoDefaultServerHeader: true, SecureErrorLogMessage: true, Logger: quiet{},
@@ -82,7 +82,7 @@
 
 // Accept makes the front the listener that fasthttp serves. This guards against callers that connect and say nothing: a
 // call that is finished takes no time, so the oldest of too many is one of those, and gives way.
-func (f *Front) Accept() (net.Conn, error) {
+func (f *Server) Accept() (net.Conn, error) {
 	conn, err := f.listener.Accept()
 	if err != nil {
 		return nil, err
@@ -118,10 +118,10 @@
 }
 
 // Addr is where it listens.
-func (f *Front) Addr() net.Addr { return f.listener.Addr() }
+func (f *Server) Addr() net.Addr { return f.listener.Addr() }
 
 // Close ends the listener and all calls.
-func (f *Front) Close() error {
+func (f *Server) Close() error {
 	if f == nil {
 		return nil
 	}
@@ -135,7 +135,7 @@
 	return err
 }
 
-func (f *Front) handle(ctx *fasthttp.RequestCtx) {
+func (f *Server) handle(ctx *fasthttp.RequestCtx) {
 	path, _, _ := bytes.Cut(ctx.Request.Header.RequestURI(), []byte("?"))
 	var answer func()
 	switch string(path) {
@@ -148,7 +148,7 @@
 			ctx.SetBodyString(cause + "\n")
 		}
 	case "/control/counters":
-		answer = func() { ctx.SetBody(f.o.Figures.Append(nil)) }
+		answer = func() { ctx.SetBody(f.o.Metrics.Append(nil)) }
 	default:
 		ctx.Error("there are /control/ready and /control/counters\n", fasthttp.StatusNotFound)
 		return
--- a/internal/capacity/sheet.go
+++ b/internal/capacity/sheet.go
@@ -65,10 +65,10 @@
 	seen := map[string]bool{}
 	once := func(key, name, unit string) {
 		if name == "" || seen[name] {
-			d.Fault(key+".name", "%q is there twice, or is no name", name)
+			d.AddFault(key+".name", "%q is there twice, or is no name", name)
 		}
 		if seen[name] = true; unit == "" {
-			d.Fault(key+".unit", "%s has no unit", name)
+			d.AddFault(key+".unit", "%s has no unit", name)
 		}
 	}
 	for k, q := range s.Size {
@@ -77,7 +77,7 @@
 	for k, q := range s.Assumptions {
 		once(fmt.Sprintf("assumption.%d", k), q.Name, q.Unit)
 		if q.Why == "" {
-			d.Fault(fmt.Sprintf("assumption.%d", k), "%s: why it is assumed is missing", q.Name)
+			d.AddFault(fmt.Sprintf("assumption.%d", k), "%s: why it is assumed is missing", q.Name)
 		}
 	}
 	runs := map[string]*scale.Result{}
@@ -92,7 +92,7 @@
 				err = json.Unmarshal(text, r)
 			}
 			if err != nil {
-				d.Fault(key+".run", "the slope %s misses its run: %v", x.Name, err)
+				d.AddFault(key+".run", "the slope %s misses its run: %v", x.Name, err)
 				continue
 			}
 			runs[x.Run] = r
@@ -100,13 +100,13 @@
 		of, ok := r.Slope(x.Name)
 		switch {
 		case !ok:
-			d.Fault(key+".name", "the run %s has no slope %s", x.Run, x.Name)
+			d.AddFault(key+".name", "the run %s has no slope %s", x.Run, x.Name)
 		case r.Void != "":
-			d.Fault(key+".run", "the run %s is void: %s", x.Run, r.Void)
+			d.AddFault(key+".run", "the run %s is void: %s", x.Run, r.Void)
 		case of.Unit != x.Unit:
-			d.Fault(key+".unit", "%s is in %s, the run has it in %s", x.Name, x.Unit, of.Unit)
+			d.AddFault(key+".unit", "%s is in %s, the run has it in %s", x.Name, x.Unit, of.Unit)
 		case !near(x.At, of.Fit.At) || !near(x.Each, of.Fit.Slope) || !near(x.Low, of.Fit.Low) || !near(x.High, of.Fit.High) || math.Abs(x.Off-of.Fit.Off) > 0.006 || x.To != of.Fit.X:
-			d.Fault(key, "%s is not what its run %s gives: at %s, each %s, low %s, high %s, off %.2f, to %g", x.Name, x.Run, scale.Number(of.Fit.At),
+			d.AddFault(key, "%s is not what its run %s gives: at %s, each %s, low %s, high %s, off %.2f, to %g", x.Name, x.Run, scale.Number(of.Fit.At),
 				scale.Number(of.Fit.Slope), scale.Number(of.Fit.Low), scale.Number(of.Fit.High), of.Fit.Off, of.Fit.X)
 		}
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -19,33 +19,33 @@
 
 // Fleet is the operator's table. The same text may serve all members.
 type Fleet struct {
-	Name   string        `toml:"name" need:"true"`
-	Member string        `toml:"member"` // empty: the dispatcher's name
-	Listen string        `toml:"listen"` // empty: the voter's address of this name, or any free port of 127.0.0.1
-	Beyond bool          `toml:"beyond_loopback"`
-	Voters []string      `toml:"voters" need:"true"` // "name address:port" each
-	Folder string        `toml:"folder" need:"true"` // one below it for each member
-	Alone  string        `toml:"alone" oneof:"serve stop"`
-	Beat   tomlfile.Span `toml:"beat" min:"20" max:"60000"`
-	Lease  tomlfile.Span `toml:"lease" min:"100" max:"600000"`
-	Drift  float64       `toml:"drift" min:"0" max:"0.2"`
-	Via    []string      `toml:"via"` // "address:port address:port": where a member's address is found from here
+	Name           string          `toml:"name" need:"true"`
+	Member         string          `toml:"member"` // empty: the dispatcher's name
+	Listen         string          `toml:"listen"` // empty: the voter's address of this name, or any free port of 127.0.0.1
+	BeyondLoopback bool            `toml:"beyond_loopback"`
+	Voters         []string        `toml:"voters" need:"true"` // "name address:port" each
+	Folder         string          `toml:"folder" need:"true"` // one below it for each member
+	WhenIsolated   string          `toml:"alone" oneof:"serve stop"`
+	Heartbeat      tomlfile.Millis `toml:"beat" min:"20" max:"60000"`
+	Lease          tomlfile.Millis `toml:"lease" min:"100" max:"600000"`
+	Drift          float64         `toml:"drift" min:"0" max:"0.2"`
+	AddressMap     []string        `toml:"via"` // "address:port address:port": where a member's address is found from here
 }
 
 // Defaults of a fleet.
-func (f *Fleet) Defaults() { f.Alone, f.Beat, f.Lease, f.Drift = "serve", 250, 1000, 0.01 }
+func (f *Fleet) Defaults() { f.WhenIsolated, f.Heartbeat, f.Lease, f.Drift = "serve", 250, 1000, 0.01 }
 
 // Membership is the table, complete, for the dispatcher of a name.
 type Membership struct {
-	Fleet   string
-	Name    string
-	Listen  string
-	Voter   bool // it has a seat by the file
-	Voters  []fleet.Voter
-	Folder  string
-	Alone   fleet.IsolationPolicy
-	Figures fleet.Timing
-	Via     map[string]string // published address to where it is found from here; others are found where they are
+	Fleet        string
+	Name         string
+	Listen       string
+	IsVoter      bool // it has a seat by the file
+	Voters       []fleet.Voter
+	Folder       string
+	WhenIsolated fleet.IsolationPolicy
+	Timing       fleet.Timing
+	AddressMap   map[string]string // published address to where it is found from here; others are found where they are
 }
 
 // check finds what single values do not show.
@@ -74,7 +74,7 @@
 			f.near("fleet.listen", at, fault)
 		}
 	}
-	for k, v := range f.Via {
+	for k, v := range f.AddressMap {
 		from, to, _ := strings.Cut(v, " ")
 		_, err := netip.ParseAddrPort(from)
 		at, err2 := netip.ParseAddrPort(strings.TrimSpace(to))
@@ -84,41 +84,41 @@
 			f.near(key, at, fault)
 		}
 	}
-	if f.Lease < 3*f.Beat {
-		fault("fleet.lease", "%g ms are less than three beats of %g", f.Lease, f.Beat)
+	if f.Lease < 3*f.Heartbeat {
+		fault("fleet.lease", "%g ms are less than three beats of %g", f.Lease, f.Heartbeat)
 	}
 }
 
 // near refuses what is not on loopback unless the file says so: whoever reaches the link can publish and shut out.
 func (f *Fleet) near(key string, at netip.AddrPort, fault func(key, format string, a ...any)) {
-	if !at.Addr().IsLoopback() && !f.Beyond {
+	if !at.Addr().IsLoopback() && !f.BeyondLoopback {
 		fault(key, "%s is not on loopback; the link has no sign-in: on a private network say beyond_loopback = true", at)
 	}
 }
 
 // Of is the table for the dispatcher of the name.
-func (f *Fleet) Of(name string) (m Membership, err error) {
-	m = Membership{Fleet: f.Name, Name: f.Member, Listen: f.Listen, Alone: fleet.IsolationPolicy(f.Alone),
-		Figures: fleet.Timing{Beat: float64(f.Beat), Lease: float64(f.Lease), Drift: f.Drift}}
+func (f *Fleet) MembershipFor(name string) (m Membership, err error) {
+	m = Membership{Fleet: f.Name, Name: f.Member, Listen: f.Listen, WhenIsolated: fleet.IsolationPolicy(f.WhenIsolated),
+		Timing: fleet.Timing{Beat: float64(f.Heartbeat), Lease: float64(f.Lease), Drift: f.Drift}}
 	if m.Name == "" {
 		m.Name = name
 	}
 	if m.Name == "" || strings.ContainsAny(m.Name, "/ \x00") || m.Name == "." || m.Name == ".." {
 		return m, fmt.Errorf("fleet.member: %q can be no member's name: the configuration's name is used where none is said", m.Name)
 	}
-	for _, v := range f.Via {
-		if m.Via == nil {
-			m.Via = map[string]string{}
+	for _, v := range f.AddressMap {
+		if m.AddressMap == nil {
+			m.AddressMap = map[string]string{}
 		}
 		from, to, _ := strings.Cut(v, " ")
-		m.Via[from] = strings.TrimSpace(to)
+		m.AddressMap[from] = strings.TrimSpace(to)
 	}
 	for _, v := range f.Voters {
 		who, addr, _ := strings.Cut(v, " ")
 		addr = strings.TrimSpace(addr)
 		m.Voters = append(m.Voters, fleet.Voter{Name: who, Address: addr})
 		if who == m.Name {
-			if m.Voter = true; m.Listen == "" {
+			if m.IsVoter = true; m.Listen == "" {
 				m.Listen = addr
 			}
 			if m.Listen != addr {
@@ -135,7 +135,7 @@
 }
 
 // Prepare makes the member's folder.
-func (m Membership) Prepare() error {
+func (m Membership) CreateFolder() error {
 	if err := os.MkdirAll(m.Folder, 0o700); err != nil {
 		return fmt.Errorf("fleet.folder: %w", err)
 	}
@@ -234,7 +234,7 @@
 
 // Version reads the text of a version that is to be published. That it is an object is all that can be said of it here:
 // each member checks it against its own configuration.
-func Version(path string) ([]byte, error) {
+func ReadVersion(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("version: %w", err)
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-func operator(t *testing.T, text string) (Operator, error) {
+func operator(t *testing.T, text string) (OperatorFile, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "op.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return LoadOperator(path, os.Getenv)
+	return LoadOperatorFile(path, os.Getenv)
 }
 
 func TestFleetTable(t *testing.T) {
@@ -43,15 +43,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := o.Fleet.Of("a")
-	if err != nil || !a.Voter || a.Listen != "127.0.0.1:7100" || a.Folder != "/x/a" {
+	a, err := o.Fleet.MembershipFor("a")
+	if err != nil || !a.IsVoter || a.Listen != "127.0.0.1:7100" || a.Folder != "/x/a" {
 		t.Errorf("%+v %v", a, err)
 	}
-	if b, err := o.Fleet.Of("b"); err != nil || b.Voter || b.Listen != "127.0.0.1:0" {
+	if b, err := o.Fleet.MembershipFor("b"); err != nil || b.IsVoter || b.Listen != "127.0.0.1:0" {
 		t.Errorf("%+v %v", b, err)
 	}
 	for _, name := range []string{"", "..", "a/b"} {
-		if _, err := o.Fleet.Of(name); err == nil {
+		if _, err := o.Fleet.MembershipFor(name); err == nil {
 			t.Errorf("%q is taken for a name", name)
 		}
 	}
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -13,7 +13,7 @@
 )
 
 // Migrated is the plan for the file at the path, and what the program's own check says of its result.
-func Migrated(path string, fill migrate.Fill) (r migrate.Result, fault error, err error) {
+func PlanMigration(path string, fill migrate.OperatorValues) (r migrate.Result, fault error, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return r, nil, fmt.Errorf("old configuration: %w", err)
@@ -26,7 +26,7 @@
 }
 
 // WriteNew writes a file whole or not at all, and never over one that exists.
-func WriteNew(path, old string, text []byte) error {
+func WriteNewFile(path, old string, text []byte) error {
 	was, err := os.Stat(old)
 	if err != nil {
 		return fmt.Errorf("old configuration: %w", err)
--- a/internal/fleetmodel/experiment.go
+++ b/internal/fleetmodel/experiment.go
@@ -14,7 +14,7 @@
 )
 
 // Span is a time in milliseconds.
-type Millis = tomlfile.Span
+type Millis = tomlfile.Millis
 
 // Experiment is one day to play: a deployment, its traffic and its troubles.
 type Experiment struct {
@@ -198,7 +198,7 @@
 	d := tomlfile.Parse(file, text)
 	d.Decode(x)
 	if d.Err() == nil {
-		x.check(d.Fault)
+		x.check(d.AddFault)
 	}
 	return x, d.Err()
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -13,13 +13,13 @@
 )
 
 // Bounds say how much is written. Use them with Default's where nothing else is asked for.
-type Bounds struct {
-	Lines int // of a kind in a second
-	Bytes int // of a line; the rest is cut off
+type Limits struct {
+	Lines     int // of a kind in a second
+	LineBytes int // of a line; the rest is cut off
 }
 
 // Default holds where the operator's file says nothing.
-var Default = Bounds{Lines: 20, Bytes: 400}
+var DefaultLimits = Limits{Lines: 20, LineBytes: 400}
 
 const kinds = 64 // that are told apart; there are fewer in the program
 
@@ -33,18 +33,18 @@
 type Writer struct {
 	mu    sync.Mutex
 	out   io.Writer
-	most  Bounds
+	most  Limits
 	now   func() time.Time
 	kinds map[string]kind
 }
 
 // New writes to out.
 func New(out io.Writer, now func() time.Time) *Writer {
-	return &Writer{out: out, now: now, most: Default, kinds: map[string]kind{}}
+	return &Writer{out: out, now: now, most: DefaultLimits, kinds: map[string]kind{}}
 }
 
 // Bound sets how much is written from now on.
-func (w *Writer) Bound(most Bounds) {
+func (w *Writer) SetLimits(most Limits) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.most = most
@@ -84,8 +84,8 @@
 	if k.lines > w.most.Lines {
 		return all, nil
 	}
-	if all > w.most.Bytes {
-		line = append(bytes.Clone(line[:w.most.Bytes]), '\n')
+	if all > w.most.LineBytes {
+		line = append(bytes.Clone(line[:w.most.LineBytes]), '\n')
 	}
 	if _, err := w.out.Write(append([]byte(stamp), line...)); err != nil {
 		return 0, err
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -22,14 +22,14 @@
 	l.Debug("unheard")
 	now = now.Add(time.Second)
 	l.Warn("bad", "why", strings.Repeat("y", 5000))
-	w.Bound(Bounds{Lines: 1, Bytes: 40})
+	w.SetLimits(Limits{Lines: 1, LineBytes: 40})
 	l.Warn("bad", "why", "no more")
 	l.Info("phase", "phase", strings.Repeat("z", 100))
 	at, next := "time=1970-01-01T00:16:40.000000Z ", "time=1970-01-01T00:16:41.000000Z "
 	bad := "level=WARN msg=bad why="
-	want := strings.Repeat(at+bad+"\"x y\"\n", Default.Lines) + at + "level=INFO msg=phase phase=draining\n" +
+	want := strings.Repeat(at+bad+"\"x y\"\n", DefaultLimits.Lines) + at + "level=INFO msg=phase phase=draining\n" +
 		next + "level=WARN msg=dropped dropped=4980 of=bad\n" +
-		next + bad + strings.Repeat("y", Default.Bytes-len(bad)) + "\n" +
+		next + bad + strings.Repeat("y", DefaultLimits.LineBytes-len(bad)) + "\n" +
 		next + "level=INFO msg=phase phase=" + strings.Repeat("z", 40-len("level=INFO msg=phase phase=")) + "\n"
 	if diff := cmp.Diff(want, out.String()); diff != "" {
 		t.Errorf("log differs (-want +got):\n%s", diff)
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -21,7 +21,7 @@
 const Shape = 2
 
 // Fill is what only the operator knows of the new deployment; what is empty stays open.
-type Fill struct {
+type OperatorValues struct {
 	Weights string // what the list's weights are
 	Load    string // how workers report their load
 	Origin  string // price of a fetch, a number
@@ -29,11 +29,11 @@
 
 // Result is what became of a configuration. Each line begins with the key that it is about.
 type Result struct {
-	Text []byte
-	Left []string // not carried over, and why
-	Kept []string // carried over as it stands, though this program reads nothing of it
-	Look []string // carried over from the old deployment: to be looked at
-	Open []string // still to be filled in; the program does not start before
+	Text          []byte
+	Dropped       []string // not carried over, and why
+	CarriedUnread []string // carried over as it stands, though this program reads nothing of it
+	ToReview      []string // carried over from the old deployment: to be looked at
+	ToFillIn      []string // still to be filled in; the program does not start before
 }
 
 // Top-level keys by what becomes of them.
@@ -50,7 +50,7 @@
 )
 
 // Plan makes the counterpart of a configuration. The same input gives the same bytes.
-func Plan(old []byte, fill Fill) (r Result, err error) {
+func Plan(old []byte, fill OperatorValues) (r Result, err error) {
 	tree, err := read(old)
 	if err != nil {
 		return r, err
@@ -77,7 +77,7 @@
 			why = "not known to this program"
 		}
 		if tree[key] != nil || !known {
-			r.Left = append(r.Left, key+": "+why)
+			r.Dropped = append(r.Dropped, key+": "+why)
 		}
 		delete(tree, key)
 	}
@@ -88,7 +88,7 @@
 		}
 		for _, key := range slices.Sorted(maps.Keys(l)) {
 			if !slices.Contains(limits, key) {
-				r.Left = append(r.Left, "limits."+key+": not known to this program")
+				r.Dropped = append(r.Dropped, "limits."+key+": not known to this program")
 				delete(l, key)
 			}
 		}
@@ -101,7 +101,7 @@
 		}
 	}
 	if part["allowed"]["peers"] == true {
-		r.Left = append(r.Left, "settings.allowed.peers: was true, is false: dispatchers of a pool do not speak to each other")
+		r.Dropped = append(r.Dropped, "settings.allowed.peers: was true, is false: dispatchers of a pool do not speak to each other")
 		part["allowed"]["peers"] = false
 	}
 	for _, x := range []struct{ path, key, given, want string }{
@@ -119,20 +119,20 @@
 		}
 		switch {
 		case x.given != "" && was != nil && fmt.Sprint(was) != x.given:
-			r.Left = append(r.Left, fmt.Sprintf("%s: was %v, is %v as told", at, was, x.given))
+			r.Dropped = append(r.Dropped, fmt.Sprintf("%s: was %v, is %v as told", at, was, x.given))
 			part[x.path][x.key] = is
 		case x.given != "":
 			part[x.path][x.key] = is
 		case was != nil:
-			r.Look = append(r.Look, at)
+			r.ToReview = append(r.ToReview, at)
 		default: // the program refuses to start until it is filled in: a guess could pass for knowledge
 			part[x.path][x.key] = nil
-			r.Open = append(r.Open, at+": "+x.want)
+			r.ToFillIn = append(r.ToFillIn, at+": "+x.want)
 		}
 	}
 	for _, key := range look {
 		if values[key] != nil {
-			r.Look = append(r.Look, "settings."+key)
+			r.ToReview = append(r.ToReview, "settings."+key)
 		}
 	}
 	r.Text, err = write(tree)
@@ -148,7 +148,7 @@
 		return r, fmt.Errorf("settings: %w", err)
 	}
 	for _, key := range settings.UnknownKeys(flat) {
-		r.Kept = append(r.Kept, "settings."+key)
+		r.CarriedUnread = append(r.CarriedUnread, "settings."+key)
 	}
 	return r, nil
 }
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -17,23 +17,23 @@
 		"categories":[{"name":"plan","semantics":"repeatable","due_time":300000,"expiry":5000000,"colour":"blue"}]}}`
 
 func (r Result) String() string {
-	return fmt.Sprintf("left\n  %s\nkept\n  %s\nlook\n  %s\nopen\n  %s\n%s", strings.Join(r.Left, "\n  "), strings.Join(r.Kept, "\n  "),
-		strings.Join(r.Look, "\n  "), strings.Join(r.Open, "\n  "), r.Text)
+	return fmt.Sprintf("left\n  %s\nkept\n  %s\nlook\n  %s\nopen\n  %s\n%s", strings.Join(r.Dropped, "\n  "), strings.Join(r.CarriedUnread, "\n  "),
+		strings.Join(r.ToReview, "\n  "), strings.Join(r.ToFillIn, "\n  "), r.Text)
 }
 
 // TestPlan: what is carried over, and a line for each thing that is not; the same bytes each time.
 func TestPlan(t *testing.T) {
-	first, err := Plan([]byte(old), Fill{})
+	first, err := Plan([]byte(old), OperatorValues{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, err := Plan([]byte(old), Fill{Weights: "live", Load: "probe", Origin: "0.05"})
+	told, err := Plan([]byte(old), OperatorValues{Weights: "live", Load: "probe", Origin: "0.05"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	kept.Check(t, "plan", "== nothing told\n"+first.String()+"== all told\n"+told.String())
 	for range 20 {
-		if again, err := Plan([]byte(old), Fill{}); err != nil || again.String() != first.String() {
+		if again, err := Plan([]byte(old), OperatorValues{}); err != nil || again.String() != first.String() {
 			t.Fatalf("another result: %v\n%s", err, again)
 		}
 	}
@@ -57,7 +57,7 @@
 		`{"shape":2,"settings":{"a":1}}`:              "shape: is 2, the new one, already",
 		`{"shape":"x","settings":{"a":1}}`:            "shape: x is none that this program knows",
 	} {
-		if r, err := Plan([]byte(text), Fill{}); err == nil || !strings.Contains(err.Error(), want) || r.Text != nil {
+		if r, err := Plan([]byte(text), OperatorValues{}); err == nil || !strings.Contains(err.Error(), want) || r.Text != nil {
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"weldmast/internal/dispatch"
-	"weldmast/internal/figures"
 	"weldmast/internal/fleet"
+	"weldmast/internal/metrics"
 )
 
 // Phase is where the program stands between its start and its exit.
@@ -357,7 +357,7 @@
 	asked      bool    // the dispatcher asked for it and has no answer yet
 	watchAt    float64 // discovery is asked again then; infinite: not now
 	discovery  string  // its address
-	figures    *figures.Figures
+	figures    *metrics.Metrics
 	poolAt     float64 // the pool's are told again then
 	revision   int64   // the last that it told; Whole: it has told no whole list
 	listed     bool    // discovery itself has spoken
@@ -391,7 +391,7 @@
 	Clock func() float64
 	Log   *slog.Logger // nil: the default one
 	// Figures are told of the workers; nil: none.
-	Metrics *figures.Figures
+	Metrics *metrics.Metrics
 	Mark    string
 	// Gate is asked before each hand-off; nil: the process is of no fleet.
 	Guard LeaseGuard
--- a/internal/node/rounds.go
+++ b/internal/node/rounds.go
@@ -35,7 +35,7 @@
 	n.d.Round(n.now, n, n)
 	if d, ok := n.d.(interface{ Pool() (listed, avoided int) }); ok && n.figures != nil && n.now >= n.poolAt {
 		n.poolAt = n.now + poolEvery
-		n.figures.Pool(d.Pool())
+		n.figures.SetPool(d.Pool())
 	}
 }
 
--- a/internal/program/ask.go
+++ b/internal/program/fleet_commands.go
@@ -85,7 +85,7 @@
 	x := &asker{asking: a, addrs: []string{a.At}}
 	name := a.Fleet
 	if a.At == "" || name == "" {
-		o, err := config.LoadOperator(a.File, os.Getenv)
+		o, err := config.LoadOperatorFile(a.File, os.Getenv)
 		if err != nil {
 			return nil, err
 		}
@@ -154,7 +154,7 @@
 		_ = p.WriteHelpForSubcommand(errs, p.SubcommandNames()...) // of our own arguments
 		return exitUsage
 	case err != nil:
-		for _, line := range config.Lines(err) {
+		for _, line := range config.ErrorLines(err) {
 			fmt.Fprintln(errs, "weldmast: "+line)
 		}
 		return exitFault
@@ -355,7 +355,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := config.Version(s.Text)
+	text, err := config.ReadVersion(s.Text)
 	if err != nil {
 		return err
 	}
--- a/internal/program/fleet.go
+++ b/internal/program/fleet_member.go
@@ -115,7 +115,7 @@
 	gate    *fleetagent.LeaseGuard
 	run     string
 	seed    uint64
-	voting  Voting
+	voting  StartVoter
 	stop    chan struct{}
 	running sync.WaitGroup
 
@@ -127,15 +127,15 @@
 }
 
 // join prepares the part.
-func join(f *config.Fleet, own config.Config, force *inForce, voting Voting) (*part, error) {
-	m, err := f.Of(own.Name)
+func join(f *config.Fleet, own config.Config, force *inForce, voting StartVoter) (*part, error) {
+	m, err := f.MembershipFor(own.Name)
 	if err != nil {
 		return nil, err
 	}
-	if m.Voter && voting == nil {
+	if m.IsVoter && voting == nil {
 		return nil, fmt.Errorf("fleet.voters: %s is to vote, and this build cannot: start weldmast-voter in its place", m.Name)
 	}
-	if err := m.Prepare(); err != nil {
+	if err := m.CreateFolder(); err != nil {
 		return nil, err
 	}
 	signal.Ignore(syscall.SIGXFSZ) // a full disk is an error of one write, no reason to end
@@ -151,7 +151,7 @@
 
 // descriptors are those that the part may use, out of the limit.
 func (p *part) descriptors() int {
-	if p.m.Voter {
+	if p.m.IsVoter {
 		return max(fleetrpc.ReservedDescriptors, p.own.Sockets/2)
 	}
 	return fleetrpc.ReservedDescriptors
@@ -195,9 +195,9 @@
 	p.bound.Store(true)
 	addr := l.Addr().String()
 	var council fleetrpc.VoterService
-	if p.m.Voter {
+	if p.m.IsVoter {
 		var err error
-		if council, err = p.voting(VotingOptions{Membership: p.m, Address: addr, Run: p.run, Seed: p.seed, Clock: p.clock}); err != nil {
+		if council, err = p.voting(VoterOptions{Membership: p.m, Address: addr, Run: p.run, Seed: p.seed, Clock: p.clock}); err != nil {
 			slog.Error("fleet", "fleet", "no council", "err", err)
 		}
 	}
@@ -222,8 +222,8 @@
 		p.member.SetVoter(council)
 		return
 	}
-	p.member = fleetagent.Start(fleetagent.Options{Fleet: p.m.Fleet, Name: p.m.Name, Address: addr, IsolationPolicy: p.m.Alone, Voters: p.m.Voters, AddressMap: p.m.Via, Dir: p.m.Folder,
-		Timing: p.m.Figures, ProgramVersion: release, RunID: p.run, Seed: p.seed, Clock: p.clock, Voter: council, OwnsAddress: p.bound.Load, ApplyVersion: p.force.bring, CheckVersion: p.force.check}, p.gate)
+	p.member = fleetagent.Start(fleetagent.Options{Fleet: p.m.Fleet, Name: p.m.Name, Address: addr, IsolationPolicy: p.m.WhenIsolated, Voters: p.m.Voters, AddressMap: p.m.AddressMap, Dir: p.m.Folder,
+		Timing: p.m.Timing, ProgramVersion: release, RunID: p.run, Seed: p.seed, Clock: p.clock, Voter: council, OwnsAddress: p.bound.Load, ApplyVersion: p.force.bring, CheckVersion: p.force.check}, p.gate)
 }
 
 // close ends the part, after the dispatcher has ended.
--- a/internal/program/migrate.go
+++ b/internal/program/migrate.go
@@ -39,9 +39,9 @@
 	} else if c.Origin != "" {
 		c.Origin = strconv.FormatFloat(x, 'f', -1, 64)
 	}
-	r, fault, err := config.Migrated(c.Old, migrate.Fill{Weights: c.Weights, Load: c.Load, Origin: c.Origin})
+	r, fault, err := config.PlanMigration(c.Old, migrate.OperatorValues{Weights: c.Weights, Load: c.Load, Origin: c.Origin})
 	if err == nil && !c.DryRun {
-		err = config.WriteNew(c.To, c.Old, r.Text)
+		err = config.WriteNewFile(c.To, c.Old, r.Text)
 	}
 	if err != nil {
 		fmt.Fprintf(errs, "weldmast: %v\n", err)
@@ -50,8 +50,8 @@
 	for _, l := range []struct {
 		title string
 		lines []string
-	}{{"not carried over", r.Left}, {"carried over as it stands, not read by this program", r.Kept},
-		{"carried over, to be looked at: it is the old deployment's", r.Look}, {"to be filled in", r.Open}} {
+	}{{"not carried over", r.Dropped}, {"carried over as it stands, not read by this program", r.CarriedUnread},
+		{"carried over, to be looked at: it is the old deployment's", r.ToReview}, {"to be filled in", r.ToFillIn}} {
 		fmt.Fprintf(out, "%s: %d\n", l.title, len(l.lines))
 		for _, line := range l.lines {
 			fmt.Fprintln(out, "  "+line)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -56,10 +56,10 @@
 Ends with 0 when all is well, 1 for a fault, 2 for arguments that it does not know.`
 
 // Voting starts the part of a process that votes; nil in its place: this build has none.
-type Voting func(o VotingOptions) (fleetrpc.VoterService, error)
+type StartVoter func(o VoterOptions) (fleetrpc.VoterService, error)
 
 // VotingOptions say which voter it is.
-type VotingOptions struct {
+type VoterOptions struct {
 	config.Membership
 	Address string
 	Run     string
@@ -68,7 +68,7 @@
 }
 
 // Run carries out a command line and tells what to end with.
-func Run(args []string, out, errs io.Writer, voting Voting) int {
+func Run(args []string, out, errs io.Writer, voting StartVoter) int {
 	if len(args) == 0 { // the platform's way: as little as can be stands between it and its sockets
 		return ended((&serveCommand{}).run(errs, voting), errs)
 	}
@@ -107,7 +107,7 @@
 		return 0
 	}
 	l := slog.New(logs.Handler(logs.New(errs, time.Now), slog.LevelInfo))
-	for _, line := range config.Lines(err) {
+	for _, line := range config.ErrorLines(err) {
 		l.Error("fatal", "fatal", line)
 	}
 	return exitFault
@@ -115,7 +115,7 @@
 
 // run of check prints each fault on a line of its own.
 func (c *checkCommand) run(out, errs io.Writer) int {
-	_, first := config.LoadOperator(c.File, os.Getenv)
+	_, first := config.LoadOperatorFile(c.File, os.Getenv)
 	var second error
 	var unserved []string
 	looked := os.Getenv("ROUTER_CONFIG") != ""
@@ -129,7 +129,7 @@
 	faults := 0
 	for _, err := range []error{first, second} {
 		if err != nil {
-			for _, line := range config.Lines(err) {
+			for _, line := range config.ErrorLines(err) {
 				fmt.Fprintln(errs, line)
 				faults++
 			}
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -17,11 +17,11 @@
 
 	"golang.org/x/sys/unix"
 
+	"weldmast/internal/admin"
 	"weldmast/internal/config"
-	"weldmast/internal/figures"
 	"weldmast/internal/logs"
+	"weldmast/internal/metrics"
 	"weldmast/internal/node"
-	"weldmast/internal/operate"
 	"weldmast/internal/takeover"
 	"weldmast/internal/transport"
 )
@@ -80,7 +80,7 @@
 }
 
 // run serves until SIGTERM, then until all that was taken is answered.
-func (s *serveCommand) run(errs io.Writer, voting Voting) error {
+func (s *serveCommand) run(errs io.Writer, voting StartVoter) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	reload := make(chan os.Signal, 1) // its own: many of these must not crowd out the order to stop
@@ -88,13 +88,13 @@
 	out, level := logs.New(errs, time.Now), new(slog.LevelVar)
 	slog.SetDefault(slog.New(logs.Handler(out, level)))
 	log.SetFlags(0) // what libraries log goes the same way
-	operator, err := config.LoadOperator(s.File, os.Getenv)
+	operator, err := config.LoadOperatorFile(s.File, os.Getenv)
 	if err != nil {
 		return err
 	}
-	heed := func(o config.Operator) {
-		out.Bound(o.Log.Bounds())
-		level.Set(o.Log.Slog())
+	heed := func(o config.OperatorFile) {
+		out.SetLimits(o.Log.Limits())
+		level.Set(o.Log.SlogLevel())
 	}
 	heed(operator)
 	c, err := load()
@@ -115,8 +115,8 @@
 		o.Expiries = append(o.Expiries, category.Expiry)
 	}
 	if c.Ops.IsValid() {
-		o.Figures = figures.New(c.Names.Categories)
-		o.Sockets -= operate.Descriptors
+		o.Figures = metrics.New(c.Names.Categories)
+		o.Sockets -= admin.MaxDescriptors
 	}
 	var exchange *takeover.Exchange
 	if c.Temp != "" {
@@ -149,7 +149,7 @@
 		return err
 	}
 	if c.Ops.IsValid() {
-		front, err := operate.Start(operate.Options{Listen: c.Ops, Figures: o.Figures,
+		front, err := admin.Start(admin.Options{Listen: c.Ops, Metrics: o.Figures,
 			Ready: func() (string, bool) { return n.Phase().String(), n.Phase() == node.Serving }})
 		if err != nil {
 			return fmt.Errorf("ops: %w", err)
@@ -166,7 +166,7 @@
 				n.Enqueue(node.Stop{})
 			case <-reload:
 				// A fault in either file leaves both as they were: half of a change may be worse than none.
-				operator, err := config.LoadOperator(s.File, os.Getenv)
+				operator, err := config.LoadOperatorFile(s.File, os.Getenv)
 				if err != nil {
 					slog.Error("reload", "reload", "refused", "err", err)
 					continue
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -16,28 +16,28 @@
 
 // Plan is what a file says of a run. Times are milliseconds.
 type Plan struct {
-	About       string        `toml:"about"`
-	Voters      int           `toml:"voters" min:"1" max:"5"`
-	Dispatchers int           `toml:"dispatchers" min:"1" max:"100"` // real ones, under traffic; two followers more have none
-	Rate        float64       `toml:"rate" min:"0"`                  // jobs a second over all of them
-	Fleet       int           `toml:"fleet_workers" min:"1"`         // hollow workers that they share
-	Beat        tomlfile.Span `toml:"beat" min:"20"`
-	Lease       tomlfile.Span `toml:"lease" min:"100"`
-	Members     []int         `toml:"members" min:"1"`             // series: members of the fleet, growing
-	Versions    []float64     `toml:"versions" min:"0"`            // a second, at each size of it
-	UpTo        []int         `toml:"versions_up_to" min:"1"`      // the largest size at which each rate is played; none: all
-	Text        int           `toml:"text" min:"64" max:"65536"`   // bytes of a version
-	Workers     []int         `toml:"workers" min:"1" max:"60000"` // series: workers known to one dispatcher, growing
-	Known       float64       `toml:"known_rate" min:"0"`          // jobs a second there
-	Watchers    int           `toml:"watchers" min:"0"`            // hollow dispatchers that have discovery tell them as well
-	Teams       []int         `toml:"teams" min:"1"`               // series: tenants in the settings
-	Grow        float64       `toml:"grow" min:"1"`                // hollow members that begin in a second
-	Each        int           `toml:"each" min:"1"`                // hollow members in one process
-	Settle      tomlfile.Span `toml:"settle" min:"0"`
-	Measure     tomlfile.Span `toml:"measure" min:"100"`
-	Late        tomlfile.Span `toml:"late" min:"1"`             // a hollow process later than that at p99 voids the run
-	Memory      float64       `toml:"memory" min:"0" max:"0.5"` // part of the machine's, at most
-	Processes   int           `toml:"processes" min:"1" max:"300"`
+	About       string          `toml:"about"`
+	Voters      int             `toml:"voters" min:"1" max:"5"`
+	Dispatchers int             `toml:"dispatchers" min:"1" max:"100"` // real ones, under traffic; two followers more have none
+	Rate        float64         `toml:"rate" min:"0"`                  // jobs a second over all of them
+	Fleet       int             `toml:"fleet_workers" min:"1"`         // hollow workers that they share
+	Beat        tomlfile.Millis `toml:"beat" min:"20"`
+	Lease       tomlfile.Millis `toml:"lease" min:"100"`
+	Members     []int           `toml:"members" min:"1"`             // series: members of the fleet, growing
+	Versions    []float64       `toml:"versions" min:"0"`            // a second, at each size of it
+	UpTo        []int           `toml:"versions_up_to" min:"1"`      // the largest size at which each rate is played; none: all
+	Text        int             `toml:"text" min:"64" max:"65536"`   // bytes of a version
+	Workers     []int           `toml:"workers" min:"1" max:"60000"` // series: workers known to one dispatcher, growing
+	Known       float64         `toml:"known_rate" min:"0"`          // jobs a second there
+	Watchers    int             `toml:"watchers" min:"0"`            // hollow dispatchers that have discovery tell them as well
+	Teams       []int           `toml:"teams" min:"1"`               // series: tenants in the settings
+	Grow        float64         `toml:"grow" min:"1"`                // hollow members that begin in a second
+	Each        int             `toml:"each" min:"1"`                // hollow members in one process
+	Settle      tomlfile.Millis `toml:"settle" min:"0"`
+	Measure     tomlfile.Millis `toml:"measure" min:"100"`
+	Late        tomlfile.Millis `toml:"late" min:"1"`             // a hollow process later than that at p99 voids the run
+	Memory      float64         `toml:"memory" min:"0" max:"0.5"` // part of the machine's, at most
+	Processes   int             `toml:"processes" min:"1" max:"300"`
 	// What the plan takes each to be, to be refused beforehand; what they are is measured.
 	RealMB   float64 `toml:"real_mb" min:"0"`
 	MemberKB float64 `toml:"member_kb" min:"0"`
@@ -54,7 +54,7 @@
 		return nil, d.Err()
 	}
 	if p.Voters == 2 || p.Voters == 4 {
-		d.Fault("voters", "there have to be 1, 3 or 5")
+		d.AddFault("voters", "there have to be 1, 3 or 5")
 	}
 	for _, s := range []struct {
 		key  string
@@ -62,21 +62,21 @@
 	}{{"members", p.Members}, {"workers", p.Workers}, {"teams", p.Teams}} {
 		for k := range s.list {
 			if k > 0 && s.list[k] <= s.list[k-1] {
-				d.Fault(fmt.Sprintf("%s.%d", s.key, k), "%d does not grow", s.list[k])
+				d.AddFault(fmt.Sprintf("%s.%d", s.key, k), "%d does not grow", s.list[k])
 			}
 		}
 	}
 	if len(p.Members) > 0 && p.Members[0] < p.Voters+p.Dispatchers+idleFollowers {
-		d.Fault("members.0", "%d are fewer than the %d real ones", p.Members[0], p.Voters+p.Dispatchers+idleFollowers)
+		d.AddFault("members.0", "%d are fewer than the %d real ones", p.Members[0], p.Voters+p.Dispatchers+idleFollowers)
 	}
 	if len(p.Members) > 0 && len(p.Versions) == 0 {
-		d.Fault("versions", "is missing: how many a second")
+		d.AddFault("versions", "is missing: how many a second")
 	}
 	if len(p.UpTo) > 0 && len(p.UpTo) != len(p.Versions) {
-		d.Fault("versions_up_to", "%d sizes for %d rates", len(p.UpTo), len(p.Versions))
+		d.AddFault("versions_up_to", "%d sizes for %d rates", len(p.UpTo), len(p.Versions))
 	}
 	if n := p.processes(); n > p.Processes {
-		d.Fault("processes", "the plan needs %d, %d are allowed", n, p.Processes)
+		d.AddFault("processes", "the plan needs %d, %d are allowed", n, p.Processes)
 	}
 	return p, d.Err()
 }
--- a/internal/takeover/exchange.go
+++ b/internal/takeover/exchange.go
@@ -26,25 +26,25 @@
 // Host is the program of which one process takes the place of another. Its methods may be called from any goroutine.
 type Host interface {
 	// Sockets are those to be handed over, always in the same order.
-	Sockets() []syscall.Conn
+	ListeningSockets() []syscall.Conn
 	// Pause has them left alone; what comes waits for the other process.
 	Pause()
 	// Resume has them served.
 	Resume()
 	// GiveIdle gives away each connection that waits for a request; false: it stays.
-	GiveIdle(give func(syscall.Conn) bool)
+	TransferIdle(give func(syscall.Conn) bool)
 	// Adopt serves a connection that was given away there.
-	Adopt(net.Conn)
+	AdoptConn(net.Conn)
 	// AdoptJob answers a job that was given away there, on its client's connection. The node knows it when this returns.
 	AdoptJob(c net.Conn, text []byte)
 	// Share keeps to half of the bounds, or to all of them.
-	Share(half bool)
+	SetHalfLimits(half bool)
 	// Inherit takes what the older process knew.
-	Inherit(text []byte) error
+	ImportState(text []byte) error
 	// Succeeded tells that a newer process calls: if this one was told to stop, Stop is called once more.
-	Succeeded()
+	SuccessorConnected()
 	// Callback takes one that the other process did not know.
-	Callback(text []byte, newer bool, answer func(Answer))
+	ForwardedCallback(text []byte, newer bool, answer func(CallbackResult))
 }
 
 // Options say who this is.
@@ -81,7 +81,7 @@
 	return &Exchange{o: o, path: filepath.Join(o.Dir, "weldmast-"+name)}
 }
 
-func (x *Exchange) greeting() greeting { return greeting{Version, x.o.Name, x.o.Listen} }
+func (x *Exchange) greeting() greeting { return greeting{ProtocolVersion, x.o.Name, x.o.Listen} }
 
 // Find asks an older process for its sockets. None are given where there is no such process, or none that answers and
 // understands: then the start is an ordinary one. An error means that this process must not start.
@@ -99,7 +99,7 @@
 	return files, nil
 }
 
-var errTaken = errors.New("takeover: " + string(Taken))
+var errTaken = errors.New("takeover: " + string(RefusedBusy))
 
 func (x *Exchange) find() ([]*os.File, error) {
 	conn, err := (&net.Dialer{Timeout: findWithin}).Dial("unixpacket", x.path)
@@ -122,7 +122,7 @@
 	}
 	if err == nil && what != sayWelcome {
 		closeAll(files)
-		if err = fmt.Errorf("refused: %s", rest[:min(len(rest), 100)]); what == sayRefused && Refusal(rest) == Taken {
+		if err = fmt.Errorf("refused: %s", rest[:min(len(rest), 100)]); what == sayRefused && Refusal(rest) == RefusedBusy {
 			err = errTaken
 		}
 	}
@@ -172,7 +172,7 @@
 
 // Stop has this process hand over if there is one to hand over to, and tells whether it does. What is known is asked for
 // only then, at once.
-func (x *Exchange) Stop(known func() []byte) bool {
+func (x *Exchange) HandOver(known func() []byte) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	actions := x.m.Stop()
@@ -184,21 +184,21 @@
 func (x *Exchange) do(actions []Action, known func() []byte) {
 	for _, a := range actions {
 		switch a {
-		case Take:
+		case StartAccepting:
 			x.bind()
 			x.host.Resume()
-		case Resume:
+		case ResumeAccepting:
 			slog.Warn("takeover", "takeover", "the newer process died")
 			x.host.Resume()
-		case Report:
+		case ReportSuccessor:
 			if x.older.say(sayFollowed, []byte(fmt.Sprint(x.newer != nil))) != nil {
 				x.older.conn.Close() // its reader ends it
 			}
-		case Halve:
-			x.host.Share(true)
-		case Whole:
-			x.host.Share(false)
-		case Yield:
+		case HalveLimits:
+			x.host.SetHalfLimits(true)
+		case RestoreLimits:
+			x.host.SetHalfLimits(false)
+		case HandOverState:
 			x.host.Pause()
 			text, l := known(), x.newer
 			slog.Info("takeover", "takeover", "handed over", "bytes", len(text))
@@ -207,7 +207,7 @@
 					l.conn.Close() // its reader ends it
 					return
 				}
-				x.host.GiveIdle(func(c syscall.Conn) bool { return l.give(sayConn, nil, c) == nil })
+				x.host.TransferIdle(func(c syscall.Conn) bool { return l.give(sayConn, nil, c) == nil })
 			})
 		}
 	}
@@ -290,7 +290,7 @@
 	conn.SetReadDeadline(time.Time{})
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	refusal, actions := x.m.Hello(g.Version, g.Name == x.o.Name && g.Listen == x.o.Listen)
+	refusal, actions := x.m.SuccessorHello(g.Version, g.Name == x.o.Name && g.Listen == x.o.Listen)
 	if refusal != "" {
 		slog.Warn("takeover", "takeover", "refused", "why", refusal)
 		l.say(sayRefused, []byte(refusal))
@@ -299,13 +299,13 @@
 	}
 	x.newer = l
 	x.do(actions, nil)
-	if err := l.give(sayWelcome, nil, x.host.Sockets()...); err != nil {
+	if err := l.give(sayWelcome, nil, x.host.ListeningSockets()...); err != nil {
 		slog.Warn("takeover", "takeover", "the newer process left", "err", err)
 		conn.Close() // its reader ends it
 	}
 	slog.Info("takeover", "takeover", "a newer process is there")
 	x.running.Go(func() { x.follow(l, true) })
-	x.host.Succeeded()
+	x.host.SuccessorConnected()
 }
 
 // follow takes in what the other process says until the link ends.
@@ -322,21 +322,21 @@
 				l.conn.Close()
 			}
 		case sayYours:
-			if err := x.host.Inherit(parts); err != nil {
+			if err := x.host.ImportState(parts); err != nil {
 				slog.Warn("takeover", "takeover", "what was handed over cannot be read", "err", err)
 			}
 			parts = nil
 			x.mu.Lock()
-			x.do(x.m.Yours(), nil)
+			x.do(x.m.PredecessorHandedOver(), nil)
 			x.mu.Unlock()
 		case sayFollowed:
 			x.mu.Lock()
-			x.m.Followed(string(rest) == fmt.Sprint(true))
+			x.m.SuccessorReport(string(rest) == fmt.Sprint(true))
 			x.mu.Unlock()
 		case sayConn:
 			for _, f := range files {
 				if conn, err := net.FileConn(f); err == nil {
-					x.host.Adopt(conn)
+					x.host.AdoptConn(conn)
 				}
 			}
 		case sayJob:
@@ -350,12 +350,12 @@
 				break
 			}
 			number := append([]byte(nil), rest[:8]...)
-			x.host.Callback(append([]byte(nil), rest[8:]...), newer, func(a Answer) {
+			x.host.ForwardedCallback(append([]byte(nil), rest[8:]...), newer, func(a CallbackResult) {
 				go l.say(sayKnown, append(number, byte(a)))
 			})
 		case sayKnown:
 			if len(rest) == 9 {
-				l.answered(binary.BigEndian.Uint64(rest), Answer(rest[8]))
+				l.answered(binary.BigEndian.Uint64(rest), CallbackResult(rest[8]))
 			}
 		}
 		closeAll(files)
@@ -369,15 +369,15 @@
 	slog.Info("takeover", "takeover", "the other process has ended", "newer", newer)
 	if newer {
 		x.newer = nil
-		x.do(x.m.NewerGone(), nil)
+		x.do(x.m.SuccessorGone(), nil)
 	} else {
 		x.older, x.alone = nil, time.Now()
-		x.do(x.m.OlderGone(), nil)
+		x.do(x.m.PredecessorGone(), nil)
 	}
 }
 
 // Hand gives a job away with its client's connection.
-func (x *Exchange) Hand(c syscall.Conn, text []byte) error {
+func (x *Exchange) TransferJob(c syscall.Conn, text []byte) error {
 	x.mu.Lock()
 	l := x.newer
 	x.mu.Unlock()
@@ -391,7 +391,7 @@
 }
 
 // Beside tells whether an older process is there, or was until a moment ago.
-func (x *Exchange) Beside() bool {
+func (x *Exchange) HasPredecessor() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.older != nil || time.Since(x.alone) < askWithin
@@ -399,19 +399,19 @@
 
 // Pass asks the other processes about a callback that this one does not know: down the line if it came from a newer one,
 // up if from an older, both if from a worker. It does not wait; answer is called once.
-func (x *Exchange) Pass(text []byte, fromNewer, fromOlder bool, answer func(Answer)) {
+func (x *Exchange) ForwardCallback(text []byte, fromNewer, fromOlder bool, answer func(CallbackResult)) {
 	x.mu.Lock()
 	older, newer := x.older, x.newer
 	x.mu.Unlock()
-	up := func(a Answer) {
-		if a != NotKnown || newer == nil || fromNewer {
+	up := func(a CallbackResult) {
+		if a != JobNotFound || newer == nil || fromNewer {
 			answer(a)
 			return
 		}
 		go newer.ask(text, answer)
 	}
 	if older == nil || fromOlder {
-		up(NotKnown)
+		up(JobNotFound)
 		return
 	}
 	go older.ask(text, up)
--- a/internal/takeover/link.go
+++ b/internal/takeover/link.go
@@ -47,13 +47,13 @@
 }
 
 // Answer tells what became of a callback that was passed on.
-type Answer byte
+type CallbackResult byte
 
 // The answers.
 const (
-	Applied  Answer = iota
-	NotKnown        // nobody waits for it there, or there is nobody
-	Unsure          // no answer in time
+	Applied       CallbackResult = iota
+	JobNotFound                  // nobody waits for it there, or there is nobody
+	ResultUnknown                // no answer in time
 )
 
 type link struct {
@@ -61,10 +61,10 @@
 	writing sync.Mutex
 	mu      sync.Mutex
 	next    uint64
-	asked   map[uint64]func(Answer) // nil once the link has ended
+	asked   map[uint64]func(CallbackResult) // nil once the link has ended
 }
 
-func newLink(c *net.UnixConn) *link { return &link{conn: c, asked: map[uint64]func(Answer){}} }
+func newLink(c *net.UnixConn) *link { return &link{conn: c, asked: map[uint64]func(CallbackResult){}} }
 
 // sameUser guards against other users of the folder: they would be given the sockets, or be believed.
 func sameUser(c *net.UnixConn) error {
@@ -169,24 +169,24 @@
 }
 
 // ask passes a callback on; answer is called once.
-func (l *link) ask(text []byte, answer func(Answer)) {
+func (l *link) ask(text []byte, answer func(CallbackResult)) {
 	l.mu.Lock()
 	if l.asked == nil {
 		l.mu.Unlock()
-		answer(NotKnown)
+		answer(JobNotFound)
 		return
 	}
 	l.next++
 	number := l.next
 	l.asked[number] = answer
 	l.mu.Unlock()
-	time.AfterFunc(askWithin, func() { l.answered(number, Unsure) })
+	time.AfterFunc(askWithin, func() { l.answered(number, ResultUnknown) })
 	if l.say(sayAsk, append(binary.BigEndian.AppendUint64(nil, number), text...)) != nil {
 		l.conn.Close() // its reader ends it
 	}
 }
 
-func (l *link) answered(number uint64, a Answer) {
+func (l *link) answered(number uint64, a CallbackResult) {
 	l.mu.Lock()
 	answer := l.asked[number]
 	delete(l.asked, number)
@@ -204,7 +204,7 @@
 	l.asked = nil
 	l.mu.Unlock()
 	for _, answer := range asked {
-		answer(NotKnown)
+		answer(JobNotFound)
 	}
 }
 
--- a/internal/takeover/machine.go
+++ b/internal/takeover/machine.go
@@ -6,20 +6,20 @@
 package takeover
 
 // Version is that of the exchange. Another one is not understood, and leads to an ordinary start.
-const Version = 1
+const ProtocolVersion = 1
 
 // Action is what a Machine wants done.
 type Action int
 
 // The actions.
 const (
-	Take    Action = iota // accept, hear siblings, listen for the next process
-	Welcome               // give the newer process the sockets, once what stands before is done
-	Yield                 // stop accepting and hand over what is known, then the idle connections
-	Resume                // accept again: the newer process died
-	Report                // tell the older process whether there is a newer one now
-	Halve                 // keep to half of the bounds
-	Whole                 // all of them are its own again
+	StartAccepting  Action = iota // accept, hear siblings, listen for the next process
+	SendSockets                   // give the newer process the sockets, once what stands before is done
+	HandOverState                 // stop accepting and hand over what is known, then the idle connections
+	ResumeAccepting               // accept again: the newer process died
+	ReportSuccessor               // tell the older process whether there is a newer one now
+	HalveLimits                   // keep to half of the bounds
+	RestoreLimits                 // all of them are its own again
 )
 
 // Refusal is why a process that calls is not welcome; empty: it is.
@@ -27,9 +27,9 @@
 
 // The refusals.
 const (
-	Taken   Refusal = "another process is taking over"
-	Foreign Refusal = "not the same dispatcher"
-	Unknown Refusal = "another version of the exchange"
+	RefusedBusy            Refusal = "another process is taking over"
+	RefusedOtherDispatcher Refusal = "not the same dispatcher"
+	RefusedVersion         Refusal = "another version of the exchange"
 )
 
 // Machine is one process between its start and its end. Of all processes of a dispatcher one is to accept at any time.
@@ -44,36 +44,36 @@
 // Start begins: welcomed by an older process, or alone.
 func (m *Machine) Start(welcomed bool) []Action {
 	if m.older = welcomed; welcomed {
-		return []Action{Halve}
+		return []Action{HalveLimits}
 	}
 	m.ours = true
-	return []Action{Take}
+	return []Action{StartAccepting}
 }
 
 // Hello is a newer process that calls.
-func (m *Machine) Hello(version int, same bool) (Refusal, []Action) {
+func (m *Machine) SuccessorHello(version int, same bool) (Refusal, []Action) {
 	switch {
-	case version != Version:
-		return Unknown, nil
+	case version != ProtocolVersion:
+		return RefusedVersion, nil
 	case !same:
-		return Foreign, nil
+		return RefusedOtherDispatcher, nil
 	case !m.ours || m.newer: // one that waits, or has handed over, has nothing to give
-		return Taken, nil
+		return RefusedBusy, nil
 	}
 	m.newer = true
-	return "", append(m.report(), Welcome, Halve)
+	return "", append(m.report(), SendSockets, HalveLimits)
 }
 
 // report is told first: if this process dies, the one before must not accept beside the one after.
 func (m *Machine) report() (do []Action) {
 	if m.older {
-		do = append(do, Report)
+		do = append(do, ReportSuccessor)
 	}
 	return do
 }
 
 // Followed is the newer process's word that there is one after it, or none any more.
-func (m *Machine) Followed(on bool) { m.followed = on }
+func (m *Machine) SuccessorReport(on bool) { m.followed = on }
 
 // Stop is the order to end, told again when a newer process is there only since.
 func (m *Machine) Stop() []Action {
@@ -81,36 +81,36 @@
 		return nil
 	}
 	m.ours, m.yielded = false, true
-	return []Action{Yield}
+	return []Action{HandOverState}
 }
 
 // Yours is the older process's word that it has handed over.
-func (m *Machine) Yours() []Action {
+func (m *Machine) PredecessorHandedOver() []Action {
 	if m.ours || m.yielded {
 		return nil
 	}
 	m.ours = true
-	return []Action{Take}
+	return []Action{StartAccepting}
 }
 
 // OlderGone is the end of the link to the older process. If it had not handed over, it died: nobody accepts.
-func (m *Machine) OlderGone() (do []Action) {
+func (m *Machine) PredecessorGone() (do []Action) {
 	m.older = false
 	if !m.newer {
-		do = append(do, Whole)
+		do = append(do, RestoreLimits)
 	}
-	return append(do, m.Yours()...)
+	return append(do, m.PredecessorHandedOver()...)
 }
 
 // NewerGone is the end of the link to the newer process: it died.
-func (m *Machine) NewerGone() (do []Action) {
+func (m *Machine) SuccessorGone() (do []Action) {
 	m.newer = false
 	if do = m.report(); !m.older {
-		do = append(do, Whole)
+		do = append(do, RestoreLimits)
 	}
 	if m.yielded && !m.followed { // else that one accepts
 		m.ours, m.yielded = true, false
-		do = append(do, Resume)
+		do = append(do, ResumeAccepting)
 	}
 	return do
 }
--- a/internal/takeover/machine_test.go
+++ b/internal/takeover/machine_test.go
@@ -23,15 +23,15 @@
 func (p *process) do(actions []Action) {
 	for _, a := range actions {
 		switch a {
-		case Take, Resume:
+		case StartAccepting, ResumeAccepting:
 			p.accepts = true
-		case Yield:
+		case HandOverState:
 			p.accepts, p.sent = false, true
-		case Report:
+		case ReportSuccessor:
 			p.said = append(p.said, p.newer != nil)
-		case Halve:
+		case HalveLimits:
 			p.half = true
-		case Whole:
+		case RestoreLimits:
 			p.half = false
 		}
 	}
@@ -52,7 +52,7 @@
 			return some
 		}
 		take := func(p *process, actions []Action) {
-			if p.do(actions); slices.Contains(actions, Take) {
+			if p.do(actions); slices.Contains(actions, StartAccepting) {
 				found = p
 			}
 		}
@@ -60,20 +60,20 @@
 			if o := p.older; o != nil {
 				if o.sent {
 					o.sent = false
-					take(p, p.m.Yours())
+					take(p, p.m.PredecessorHandedOver())
 				}
 				if o.dead {
 					p.older = nil
-					take(p, p.m.OlderGone())
+					take(p, p.m.PredecessorGone())
 				}
 			}
 			if n := p.newer; n != nil {
 				for _, on := range n.said {
-					p.m.Followed(on)
+					p.m.SuccessorReport(on)
 				}
 				if n.said = nil; n.dead {
 					p.newer, p.sent = nil, false
-					take(p, p.m.NewerGone())
+					take(p, p.m.SuccessorGone())
 				}
 			}
 		}
@@ -89,13 +89,13 @@
 					take(p, p.m.Start(false))
 					return
 				}
-				why, actions := found.m.Hello(Version, true)
+				why, actions := found.m.SuccessorHello(ProtocolVersion, true)
 				if why == "" {
 					p.older, found.newer = found, p
 					found.do(actions)
 					all = append(all, p)
 					take(p, p.m.Start(true))
-				} else if why != Taken || found.newer == nil && found.accepts {
+				} else if why != RefusedBusy || found.newer == nil && found.accepts {
 					t.Fatalf("refused: %s", why)
 				}
 			},
@@ -103,10 +103,10 @@
 				if found == nil || found.dead {
 					t.Skip("nobody is found")
 				}
-				if why, actions := found.m.Hello(Version+1, true); why != Unknown || actions != nil {
+				if why, actions := found.m.SuccessorHello(ProtocolVersion+1, true); why != RefusedVersion || actions != nil {
 					t.Fatal("another version is welcome")
 				}
-				if why, actions := found.m.Hello(Version, false); why != Foreign || actions != nil {
+				if why, actions := found.m.SuccessorHello(ProtocolVersion, false); why != RefusedOtherDispatcher || actions != nil {
 					t.Fatal("another dispatcher is welcome")
 				}
 			},
@@ -168,21 +168,21 @@
 	for _, followed := range []bool{true, false} {
 		var oldest, middle, newest Machine
 		oldest.Start(false)
-		oldest.Hello(Version, true)
+		oldest.SuccessorHello(ProtocolVersion, true)
 		middle.Start(true)
 		oldest.Stop()
-		middle.Yours()
+		middle.PredecessorHandedOver()
 		if followed {
-			if _, do := middle.Hello(Version, true); len(do) == 0 || do[0] != Report {
+			if _, do := middle.SuccessorHello(ProtocolVersion, true); len(do) == 0 || do[0] != ReportSuccessor {
 				t.Fatalf("told of a newer one: %v, wanted the report first", do)
 			}
-			oldest.Followed(true)
+			oldest.SuccessorReport(true)
 			newest.Start(true)
 		}
-		if got := slices.Contains(oldest.NewerGone(), Resume); got == followed {
+		if got := slices.Contains(oldest.SuccessorGone(), ResumeAccepting); got == followed {
 			t.Errorf("one follows: %v; the oldest accepts: %v", followed, got)
 		}
-		if followed && !slices.Contains(newest.OlderGone(), Take) {
+		if followed && !slices.Contains(newest.PredecessorGone(), StartAccepting) {
 			t.Error("nobody accepts")
 		}
 	}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -23,13 +23,13 @@
 )
 
 // Span is a time in milliseconds. In a file it is a number of milliseconds or a text such as "1.5s" or "2m".
-type Span float64
+type Millis float64
 
 // Fault is one thing wrong in a file.
 type Fault struct {
-	Line int    // from 1
-	Key  string // with dots, positions in lists from 0; empty where the text is no TOML
-	What string
+	Line    int    // from 1
+	Key     string // with dots, positions in lists from 0; empty where the text is no TOML
+	Message string
 }
 
 // Faults are all the faults of one file, by line.
@@ -49,7 +49,7 @@
 		if x.Key != "" {
 			b.WriteString(x.Key + ": ")
 		}
-		b.WriteString(x.What)
+		b.WriteString(x.Message)
 	}
 	return b.String()
 }
@@ -74,7 +74,7 @@
 		if errors.As(err, &at) {
 			line, _ = at.Position()
 		}
-		d.faults = append(d.faults, Fault{Line: line, What: strings.TrimPrefix(err.Error(), "toml: ")})
+		d.faults = append(d.faults, Fault{Line: line, Message: strings.TrimPrefix(err.Error(), "toml: ")})
 		return d
 	}
 	d.findLines(text)
@@ -132,7 +132,7 @@
 }
 
 // Fault adds one that only the caller can see; key as in Fault.Key. Its line is the key's, or that of what holds it.
-func (d *Doc) Fault(key, format string, a ...any) {
+func (d *Doc) AddFault(key, format string, a ...any) {
 	line, at := 1, key
 	for at != "" {
 		if l, ok := d.lines[at]; ok {
@@ -176,7 +176,7 @@
 		case there:
 			d.value(join(path, key), x, to.Field(k), f.Tag)
 		case f.Tag.Get("need") == "true":
-			d.Fault(join(path, key), "is missing")
+			d.AddFault(join(path, key), "is missing")
 		}
 	}
 	var unknown []string
@@ -192,20 +192,20 @@
 			names = append(names, name)
 		}
 		slices.Sort(names)
-		d.Fault(join(path, key), "is not known here; known are %s", strings.Join(names, ", "))
+		d.AddFault(join(path, key), "is not known here; known are %s", strings.Join(names, ", "))
 	}
 }
 
-var spanType = reflect.TypeFor[Span]()
+var spanType = reflect.TypeFor[Millis]()
 
 func (d *Doc) value(path string, x any, to reflect.Value, tag reflect.StructTag) {
-	wrong := func(want string) { d.Fault(path, "is %s, wanted %s", typeName(x), want) }
+	wrong := func(want string) { d.AddFault(path, "is %s, wanted %s", typeName(x), want) }
 	if to.Type() == spanType {
 		switch x := x.(type) {
 		case string:
 			t, err := time.ParseDuration(x)
 			if err != nil {
-				d.Fault(path, `%q is no time such as "1.5s" or "200ms"`, x)
+				d.AddFault(path, `%q is no time such as "1.5s" or "200ms"`, x)
 				return
 			}
 			to.SetFloat(float64(t) / 1e6)
@@ -257,7 +257,7 @@
 			return
 		}
 		if one := strings.Fields(tag.Get("oneof")); len(one) > 0 && !slices.Contains(one, text) {
-			d.Fault(path, "%q is none of %s", text, strings.Join(one, ", "))
+			d.AddFault(path, "%q is none of %s", text, strings.Join(one, ", "))
 			return
 		}
 		to.SetString(text)
@@ -292,7 +292,7 @@
 
 func (d *Doc) bounds(path string, x float64, tag reflect.StructTag) {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
-		d.Fault(path, "%v is no number to work with", x)
+		d.AddFault(path, "%v is no number to work with", x)
 		return
 	}
 	for _, b := range []struct{ name, than string }{{"min", "below"}, {"max", "above"}} {
@@ -305,7 +305,7 @@
 			panic("tomlfile: " + path + ": " + err.Error())
 		}
 		if b.name == "min" && x < bound || b.name == "max" && x > bound {
-			d.Fault(path, "%v is %s %s", x, b.than, text)
+			d.AddFault(path, "%v is %s %s", x, b.than, text)
 		}
 	}
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -16,7 +16,7 @@
 type sheet struct {
 	Level string `toml:"level" oneof:"info warn"`
 	Count int    `toml:"count" min:"1"`
-	Wait  Span   `toml:"wait" min:"0"`
+	Wait  Millis `toml:"wait" min:"0"`
 	On    bool   `toml:"on"`
 	Parts []part `toml:"part"`
 	Tail  struct {
@@ -46,7 +46,7 @@
 name = "b"
 `))
 	d.Decode(&s)
-	d.Fault("part.0.name", "is taken")
+	d.AddFault("part.0.name", "is taken")
 	want := `x.toml:1: level: "loud" is none of info, warn
 x.toml:2: count: 0 is below 1
 x.toml:3: wait: "soon" is no time such as "1.5s" or "200ms"
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -23,7 +23,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"weldmast/internal/figures"
+	"weldmast/internal/metrics"
 	"weldmast/internal/node"
 	"weldmast/internal/settings"
 )
@@ -49,7 +49,7 @@
 	names    settings.Names
 	expiries []float64
 	sayMost  time.Duration // a request is there whole within this time
-	figures  *figures.Figures
+	figures  *metrics.Metrics
 	listener *net.TCPListener
 	most     atomic.Int64                                         // connections
 	hand     func(conn *clientConn, j *node.Job, m *message) bool // gives a job to another process
@@ -260,7 +260,7 @@
 	}
 	conn := ctx.Conn().(*clientConn)
 	reply := conn.owe(client)
-	c.figures.Taken()
+	c.figures.JobAccepted()
 	r := node.Reply{Result: node.Deferred}
 	switch _, left := conn.peek(); {
 	case left: // the request lay unread meanwhile
@@ -278,7 +278,7 @@
 		conn.unwatch()
 	}
 	if r.Result == node.HandedOver && c.hand(conn, r.Job, client.Message.(*message)) {
-		c.figures.Left()
+		c.figures.ClientLeft()
 		ctx.HijackSetNoResponse(true) // the connection is not ended by closing it here
 		ctx.Hijack(func(net.Conn) {})
 		return
@@ -294,13 +294,13 @@
 func (c *clients) count(category int, r node.Result) {
 	switch r {
 	case node.Served:
-		c.figures.Ended(category, figures.OK)
+		c.figures.JobAnswered(category, metrics.OK)
 	case node.Deferred:
-		c.figures.Ended(category, figures.Shed)
+		c.figures.JobAnswered(category, metrics.Shed)
 	case node.WrittenOff, node.TimedOut, node.HandedOver: // which failed
-		c.figures.Ended(category, figures.Error)
+		c.figures.JobAnswered(category, metrics.Error)
 	case node.DuplicateID, node.ClientGone: // no job of its own; nobody to answer
-		c.figures.Left()
+		c.figures.ClientLeft()
 	}
 }
 
--- a/internal/transport/endings_test.go
+++ b/internal/transport/endings_test.go
@@ -675,7 +675,7 @@
 func TestShares(t *testing.T) {
 	for sockets := 1; sockets <= 2048; sockets += 7 {
 		p := &Platform{o: Options{Sockets: sockets}, clients: &clients{}, workers: &workers{}, node: node.New(node.Options{})}
-		p.Share(false)
+		p.SetHalfLimits(false)
 		if left := sockets - int(p.clients.most.Load()) - p.workers.most; left < ownSockets && sockets >= 64 {
 			t.Fatalf("of %d descriptors %d are left", sockets, left)
 		}
--- a/internal/transport/platform.go
+++ b/internal/transport/platform.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"weldmast/internal/figures"
+	"weldmast/internal/metrics"
 	"weldmast/internal/node"
 	"weldmast/internal/settings"
 	"weldmast/internal/takeover"
@@ -36,7 +36,7 @@
 	Copies     bool      // second copies are allowed
 	Asked      bool      // discovery tells only what it is asked for
 	Sockets    int
-	Figures    *figures.Figures // nil: none are asked for
+	Figures    *metrics.Metrics // nil: none are asked for
 	Gate       node.LeaseGuard  // nil: of no fleet
 	// Exchange is with other processes of this dispatcher; nil: there are none, and the addresses are its alone.
 	Exchange *takeover.Exchange
@@ -92,7 +92,7 @@
 	for _, f := range o.Found { // the parts have copies
 		f.Close()
 	}
-	p.Share(len(o.Found) > 0)
+	p.SetHalfLimits(len(o.Found) > 0)
 	if len(o.Found) > 0 {
 		p.Pause() // until the older process has handed over
 	}
@@ -141,7 +141,7 @@
 // with their next answer.
 func (p *Platform) Drain(known func() node.TakeoverState) (succeeded bool) {
 	p.clients.leaving.Store(true)
-	if p.o.Exchange != nil && p.o.Exchange.Stop(func() []byte { return encodeKnown(known()) }) {
+	if p.o.Exchange != nil && p.o.Exchange.HandOver(func() []byte { return encodeKnown(known()) }) {
 		p.clients.draining.Store(true)
 		return true
 	}
--- a/internal/transport/takeover.go
+++ b/internal/transport/takeover.go
@@ -116,7 +116,7 @@
 }
 
 // Sockets are those that a newer process is given.
-func (p *Platform) Sockets() []syscall.Conn {
+func (p *Platform) ListeningSockets() []syscall.Conn {
 	all := []syscall.Conn{p.clients.listener}
 	if p.siblings.conn != nil {
 		all = append(all, p.siblings.conn)
@@ -146,13 +146,13 @@
 }
 
 // GiveIdle gives away connections that wait for a request.
-func (p *Platform) GiveIdle(give func(syscall.Conn) bool) { p.clients.giveIdle(give) }
+func (p *Platform) TransferIdle(give func(syscall.Conn) bool) { p.clients.giveIdle(give) }
 
 // Adopt serves a connection that was given away.
-func (p *Platform) Adopt(c net.Conn) { go p.clients.adopt(c) }
+func (p *Platform) AdoptConn(c net.Conn) { go p.clients.adopt(c) }
 
 // Share keeps to half of the bounds while another process has the other half.
-func (p *Platform) Share(half bool) {
+func (p *Platform) SetHalfLimits(half bool) {
 	p.sharing.Lock()
 	p.half = half
 	p.share()
@@ -177,7 +177,7 @@
 }
 
 // Succeeded tells the node that a newer process is there.
-func (p *Platform) Succeeded() { p.node.Enqueue(node.SuccessorReady{}) }
+func (p *Platform) SuccessorConnected() { p.node.Enqueue(node.SuccessorReady{}) }
 
 const lookAgain = 100 * time.Millisecond // a job that is handed over has arrived by then
 
@@ -193,7 +193,7 @@
 func (p *Platform) hand(conn *clientConn, j *node.Job, m *message) bool {
 	text, err := json.Marshal(goods{*j, m.head, m.body, conn.ahead, conn.spilt})
 	if err == nil {
-		err = p.o.Exchange.Hand(conn.Conn.(syscall.Conn), text)
+		err = p.o.Exchange.TransferJob(conn.Conn.(syscall.Conn), text)
 	}
 	if err != nil {
 		slog.Warn("takeover", "takeover", "a job could not go over", "id", j.ID, "err", err)
@@ -214,7 +214,7 @@
 	client := &node.Request{ID: g.Job.ID, Category: g.Job.Category, Tenant: g.Job.Tenant, Hint: g.Job.Hint,
 		Key: g.Job.Key, Expiry: g.Job.Expiry, Message: &message{head: g.Head, body: g.Body}}
 	reply := cc.owe(client)
-	p.clients.figures.Taken()
+	p.clients.figures.JobAccepted()
 	p.node.Enqueue(node.JobAdopted{Request: client, Job: g.Job})
 	go p.clients.finish(cc, client, reply)
 }
@@ -230,7 +230,7 @@
 	}
 	cc.unwatch()
 	if r.Result == node.HandedOver && c.hand(cc, r.Job, client.Message.(*message)) {
-		c.figures.Left()
+		c.figures.ClientLeft()
 		cc.Close()
 		return
 	}
@@ -260,8 +260,8 @@
 	Result   string
 }
 
-var answers = map[takeover.Answer]node.CallbackResult{takeover.Applied: node.CallbackApplied, takeover.NotKnown: node.CallbackUnknown,
-	takeover.Unsure: node.CallbackUndetermined}
+var answers = map[takeover.CallbackResult]node.CallbackResult{takeover.Applied: node.CallbackApplied, takeover.JobNotFound: node.CallbackUnknown,
+	takeover.ResultUnknown: node.CallbackUndetermined}
 
 // Pass asks the other processes about a callback.
 func (p *Platform) ForwardCallback(c node.Callback) {
@@ -274,8 +274,8 @@
 		c.Respond(node.CallbackUnknown)
 		return
 	}
-	p.o.Exchange.Pass(text, c.FromSuccessor, c.FromPredecessor, func(a takeover.Answer) {
-		if a != takeover.NotKnown || c.FromPredecessor || !p.o.Exchange.Beside() {
+	p.o.Exchange.ForwardCallback(text, c.FromSuccessor, c.FromPredecessor, func(a takeover.CallbackResult) {
+		if a != takeover.JobNotFound || c.FromPredecessor || !p.o.Exchange.HasPredecessor() {
 			c.Respond(answers[a])
 			return
 		}
@@ -289,10 +289,10 @@
 }
 
 // Callback takes one that another process did not know.
-func (p *Platform) Callback(text []byte, newer bool, answer func(takeover.Answer)) {
+func (p *Platform) ForwardedCallback(text []byte, newer bool, answer func(takeover.CallbackResult)) {
 	var t told
 	if json.Unmarshal(text, &t) != nil {
-		answer(takeover.NotKnown)
+		answer(takeover.JobNotFound)
 		return
 	}
 	back := func(a node.CallbackResult) {
@@ -305,7 +305,7 @@
 	c := node.Callback{ID: t.ID, From: t.From, State: t.State, Share: t.Share, Result: t.Result, Respond: back,
 		FromSuccessor: newer, FromPredecessor: !newer}
 	if !p.node.Enqueue(c) {
-		answer(takeover.NotKnown)
+		answer(takeover.JobNotFound)
 	}
 }
 
@@ -320,7 +320,7 @@
 }
 
 // Inherit takes what the older process knew.
-func (p *Platform) Inherit(text []byte) error {
+func (p *Platform) ImportState(text []byte) error {
 	var k node.TakeoverState
 	if err := json.Unmarshal(text, &k); err != nil {
 		return err
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -22,7 +22,7 @@
 	"github.com/valyala/fasthttp"
 
 	"weldmast/internal/dispatch"
-	"weldmast/internal/figures"
+	"weldmast/internal/metrics"
 	"weldmast/internal/node"
 )
 
@@ -92,7 +92,7 @@
 	settle  time.Duration // and not before being idle for so long
 	most    int
 	copies  bool // second copies are allowed
-	figures *figures.Figures
+	figures *metrics.Metrics
 	gate    node.LeaseGuard // nil: of no fleet
 	mu      sync.Mutex
 	learned time.Duration // the same by connections that workers ended, as of learnAt
@@ -367,7 +367,7 @@
 	a.mu.Lock()
 	a.written = true
 	a.mu.Unlock()
-	a.w.figures.Tried()
+	a.w.figures.HandOffSent()
 	var r fasthttp.Response
 	err = r.ReadLimitBody(conn.in, answerMost)
 	a.release(conn, err, !r.ConnectionClose())
