--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -201,7 +201,7 @@
 		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: id, Tenant: -1, TimeLeft: 5000, Hint: hint}) })
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		slow := 0.5
-		if tr.d.items[id].hos[0].w.Kind == 1 {
+		if tr.d.items[id].handOffs[0].worker.Kind == 1 {
 			slow = 1
 		}
 		tr.at(tr.now+hint*slow, func(*Dispatcher) { tr.end(id, 0, Finished) })
@@ -212,7 +212,7 @@
 func TestBinsAndLanes(t *testing.T) {
 	tr := start(t, plain())
 	tr.learn()
-	tr.note("cutoff %.0f, capacities %.1f and %.1f", tr.d.cutoff, tr.d.kinds[0].each, tr.d.kinds[1].each)
+	tr.note("cutoff %.0f, capacities %.1f and %.1f", tr.d.cutoff, tr.d.kinds[0].workerCapacity, tr.d.kinds[1].workerCapacity)
 	tr.say("small to the fast kind, large to the slow one, at random within the kind")
 	for id := uint64(1); id <= 8; id++ {
 		tr.run(id, 0, 50+350*float64(id%2), 40)
@@ -228,11 +228,11 @@
 	for id := uint64(21); id <= 24; id++ {
 		tr.arrive(id, 0, 400)
 		tr.at(tr.now+1, func(*Dispatcher) { tr.end(id, 0, Full) })
-		tr.note("leak %.3f", tr.d.leakNow())
+		tr.note("leak %.3f", tr.d.currentLeak())
 		tr.at(tr.now+600, func(d *Dispatcher) { d.HandOffProgressed(id, 1, true, 0); tr.end(id, 1, Finished) })
 	}
 	tr.at(tr.now+10000, func(*Dispatcher) {})
-	tr.note("leak %.3f", tr.d.leakNow())
+	tr.note("leak %.3f", tr.d.currentLeak())
 	tr.check("lanes")
 }
 
@@ -253,7 +253,7 @@
 	tr.at(tr.now+900, func(*Dispatcher) {})
 	anew(1)
 	tr.say("second copies allowed: moved as soon as a fifth of its spare time is gone and another has credit")
-	tr.d.f.copies = true
+	tr.d.params.secondCopies = true
 	tr.arrive(6, 0, 100)
 	tr.at(tr.now+100, func(*Dispatcher) {})
 	anew(6)
@@ -274,14 +274,14 @@
 	for id := uint64(1); id <= 24; id++ {
 		tr.arrive(id, int(id%2), 100)
 		it := tr.d.items[id]
-		if it == nil || len(it.hos) == 0 {
+		if it == nil || len(it.handOffs) == 0 {
 			continue
 		}
-		if w := it.hos[0].w.Worker; failed == "" || failed == w {
+		if w := it.handOffs[0].worker.Worker; failed == "" || failed == w {
 			failed = w
 			tr.at(tr.now+1, func(*Dispatcher) { tr.end(id, 0, Failed) })
 		}
-		if k := len(it.hos) - 1; !it.ended && k >= 0 && !it.hos[k].done {
+		if k := len(it.handOffs) - 1; !it.answered && k >= 0 && !it.handOffs[k].done {
 			tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, k, true, 0) })
 			tr.at(tr.now+100, func(*Dispatcher) { tr.end(id, k, Finished) })
 		}
@@ -333,7 +333,7 @@
 	tr.say("cut short, unknown worker, unknown sender, our own number: passed over")
 	tell := func(from int, worker string, span float64) {
 		w := named(tr.d, worker)
-		tr.d.PeerMessageReceived(from, append([]byte(nil), tr.d.pack(w, span)...))
+		tr.d.PeerMessageReceived(from, append([]byte(nil), tr.d.encodeNotice(w, span)...))
 	}
 	tr.at(2200, func(d *Dispatcher) {
 		for range 2 {
@@ -350,9 +350,9 @@
 	tr.at(2300, func(*Dispatcher) { tell(1, "f1", 0); tell(1, "f1", 0) })
 	tr.arrive(3, 0, 400)
 	tr.at(2900, func(*Dispatcher) {})
-	tr.note("siblings unseen: %v", tr.d.sight == unseen)
+	tr.note("siblings unseen: %v", tr.d.peerView == blind)
 	tr.at(6000, func(*Dispatcher) {})
-	tr.note("siblings unseen: %v, as none was heard for three seconds", tr.d.sight == unseen)
+	tr.note("siblings unseen: %v, as none was heard for three seconds", tr.d.peerView == blind)
 	tr.check("siblings")
 }
 
@@ -360,7 +360,7 @@
 	if w := d.byID[id]; w != nil {
 		return w
 	}
-	return &worker{hash: hash(id)}
+	return &worker{idHash: hash(id)}
 }
 
 // TestDeal looks at many siblings: each computes the same deal by itself.
@@ -383,7 +383,7 @@
 		for k, d := range all {
 			d.Listed(ListComplete, listed)
 			for _, w := range d.workers {
-				if w.mine && w.State == Up {
+				if w.shared && w.State == Up {
 					dealt[w.Worker] = append(dealt[w.Worker], k)
 				}
 			}
@@ -401,7 +401,7 @@
 	for _, d := range all {
 		up := 0
 		for _, w := range d.workers {
-			if w.mine && w.State == Up {
+			if w.shared && w.State == Up {
 				up++
 			}
 		}
@@ -412,7 +412,7 @@
 	tr.note("workers dealt otherwise once 40 others left and 33 came: %d", moved)
 	tr.say("none of its own is up: any warm one will do, a cold one will not")
 	d := tr.d
-	own := func(e Entry) bool { return slices.Contains(d.deal(hash(e.Worker)), 0) }
+	own := func(e Entry) bool { return slices.Contains(d.chooseSharers(hash(e.Worker)), 0) }
 	others := slices.DeleteFunc(list(20), own)
 	tr.at(100000, func(d *Dispatcher) {
 		others[0].Since = 99000
@@ -441,16 +441,16 @@
 			d := New(s)
 			d.now = 10
 			d.Listed(ListComplete, listed)
-			d.reset()
+			d.recomputeCutoff()
 			for _, w := range d.workers {
-				if d.allowed(&item{WorkItem: WorkItem{Hint: 1e-6}, cat: &d.f.categories[0], expiry: 1e6}, w) {
+				if d.allowed(&item{WorkItem: WorkItem{Hint: 1e-6}, cat: &d.params.categories[0], expiry: 1e6}, w) {
 					warmers[w.Worker]++
 					most = max(most, warmers[w.Worker])
 				}
 			}
 			tr.d = d
 		}
-		tr.note("%d workers are up, one is shared by %d", up, tr.d.shares)
+		tr.note("%d workers are up, one is shared by %d", up, tr.d.sharers)
 	}
 	tr.note("a cold worker may be warmed by %d at most, whatever their lists", most)
 	tr.check("shares")
@@ -518,8 +518,8 @@
 		tr.note("%s: f1 gets %d of 20, f2 %d", what, tr.sum["f1"], tr.sum["f2"])
 	}
 	draw("at first")
-	word := append(slices.Clone(tr.d.pack(tr.d.byID["f1"], 0)), suspicion)
-	other := append(slices.Clone(word[:3]), suspicion+1)
+	word := append(slices.Clone(tr.d.encodeNotice(tr.d.byID["f1"], 0)), suspicionMarker)
+	other := append(slices.Clone(word[:3]), suspicionMarker+1)
 	tr.at(tr.now+5, func(d *Dispatcher) {
 		d.PeerMessageReceived(1, other)
 		d.PeerMessageReceived(1, append(word, 0))
@@ -564,16 +564,16 @@
 	tr.at(4900, func(*Dispatcher) {})
 	tr.log.Reset() // the tellings themselves are many
 	tr.say("each arrival pays for one telling to those that share a worker, no more")
-	tr.note("messages left to send after three hand-offs that lasted long: %d", tr.d.tellings)
+	tr.note("messages left to send after three hand-offs that lasted long: %d", tr.d.noticesLeft)
 	tr.say("two workers whose names collide, one of them dealt to the sender: only that one counts as loaded")
 	tr.say("a sibling that does not share the worker is passed over")
 	var v, w *worker
-	dealt := func(hash uint64) *worker { return &worker{hash: hash, sharers: tr.d.deal(hash)} }
+	dealt := func(hash uint64) *worker { return &worker{idHash: hash, sharers: tr.d.chooseSharers(hash)} }
 	shares := func(w *worker, from int) bool { return slices.Contains(w.sharers, from) }
 	from := 0
 	for k := 0; v == nil; k++ {
 		v = dealt(hash(strconv.Itoa(k)))
-		w = dealt(v.hash ^ 1<<40)
+		w = dealt(v.idHash ^ 1<<40)
 		for from = 1; from < 200 && (!shares(v, from) || shares(w, from)); {
 			from++
 		}
@@ -581,14 +581,14 @@
 			v = nil
 		}
 	}
-	tr.d.part = []*worker{v, w}
-	tr.d.PeerMessageReceived(from, tr.d.pack(v, 1000))
+	tr.d.candidates = []*worker{v, w}
+	tr.d.PeerMessageReceived(from, tr.d.encodeNotice(v, 1000))
 	stranger := 1
 	for shares(v, stranger) || shares(w, stranger) {
 		stranger++
 	}
-	tr.d.PeerMessageReceived(stranger, tr.d.pack(v, 1000))
-	tr.note("hand-offs told of at one: %d, at the other: %d", len(v.theirs), len(w.theirs))
+	tr.d.PeerMessageReceived(stranger, tr.d.encodeNotice(v, 1000))
+	tr.note("hand-offs told of at one: %d, at the other: %d", len(v.peerLeases), len(w.peerLeases))
 	tr.check("many")
 }
 
@@ -620,8 +620,8 @@
 	for id := uint64(1); id <= 5; id++ {
 		tr.arrive(id, 0, 400)
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
-		r := tr.d.kinds[0].room[unseen]
-		tr.note("sure beyond the first: %d, likely: %d", r.more, r.most)
+		r := tr.d.kinds[0].limit[blind]
+		tr.note("sure beyond the first: %d, likely: %d", r.sure, r.likely)
 		if id == 2 {
 			tr.say("both have one; siblings are unseen, so a second is not sure to start, but nothing else has room")
 		}
@@ -638,15 +638,15 @@
 	for id := uint64(1); id < 20; id++ {
 		tr.run(id, 0, 0, 2)
 	}
-	tr.note("nobody has hints: the kind's speed is %.0f, by half the due time", math.Exp(-tr.d.kinds[0].slow))
+	tr.note("nobody has hints: the kind's speed is %.0f, by half the due time", math.Exp(-tr.d.kinds[0].logSlow))
 	for id := uint64(20); id < 30; id++ {
 		tr.run(id, 0, 100, 100)
 	}
-	tr.note("with hints: %.1f", math.Exp(-tr.d.kinds[0].slow))
+	tr.note("with hints: %.1f", math.Exp(-tr.d.kinds[0].logSlow))
 	for id := uint64(30); id < 60; id++ {
 		tr.run(id, 0, 0, 2)
 	}
-	tr.note("after short work without: %.1f", math.Exp(-tr.d.kinds[0].slow))
+	tr.note("after short work without: %.1f", math.Exp(-tr.d.kinds[0].logSlow))
 	tr.check("hintless")
 }
 
@@ -657,12 +657,12 @@
 		s := plain()
 		s.StartNotices = told
 		d := New(s)
-		d.kinds[0].each = 6
-		d.kinds[0].slow = -math.Log(2)
-		first := d.sure(&d.kinds[0])
-		d.kinds[0].answers = sureAfter
+		d.kinds[0].workerCapacity = 6
+		d.kinds[0].logSlow = -math.Log(2)
+		first := d.reliableCapacity(&d.kinds[0])
+		d.kinds[0].answers = minReliableAnswers
 		want := map[bool][2]float64{true: {3, 6}, false: {1, 2}}[told]
-		if then := d.sure(&d.kinds[0]); math.Abs(first-want[0]) > 1e-9 || math.Abs(then-want[1]) > 1e-9 {
+		if then := d.reliableCapacity(&d.kinds[0]); math.Abs(first-want[0]) > 1e-9 || math.Abs(then-want[1]) > 1e-9 {
 			t.Errorf("starts told %v: %v, then %v, wanted %v", told, first, then, want)
 		}
 	}
--- a/internal/dispatch/failing_work_test.go
+++ b/internal/dispatch/failing_work_test.go
@@ -14,15 +14,15 @@
 		tr.arrive(id, 0, 50)
 		for range 4 {
 			it := tr.d.items[id]
-			for n := 0; n < 200 && it != nil && !it.ended && it.out == 0; n++ { // held: all are out
+			for n := 0; n < 200 && it != nil && !it.answered && it.outstanding == 0; n++ { // held: all are out
 				tr.at(tr.now+20, func(*Dispatcher) {})
 			}
-			if it == nil || it.ended || it.out == 0 {
+			if it == nil || it.answered || it.outstanding == 0 {
 				return
 			}
-			ho := len(it.hos) - 1
+			ho := len(it.handOffs) - 1
 			o := Finished
-			if fails(it.hos[ho].w.Worker) {
+			if fails(it.handOffs[ho].worker.Worker) {
 				o = Failed
 			}
 			sent[o == Failed]++
--- a/internal/dispatch/interface.go
+++ b/internal/dispatch/interface.go
@@ -160,10 +160,10 @@
 	Arrived(wi WorkItem)
 	ClientLeft(wi uint64)
 	HandOffEnded(a HandOffResult)
-	HandOffProgressed(wi uint64, ho int, start bool, share float64)
+	HandOffProgressed(wi uint64, ho int, start bool, progress float64)
 	ResponseStarted(wi uint64, ho int)
 	PeerMessageReceived(from int, data []byte)
-	Listed(form ListType, entries []Entry)
+	Listed(listType ListType, entries []Entry)
 }
 
 // Inbox holds what came in since the last round.
@@ -179,11 +179,11 @@
 
 // Writer takes decisions; they act at once, in the order written.
 type Executor interface {
-	HandOff(wi uint64, worker string, patience float64) // patience 0: until the client gives up
+	HandOff(wi uint64, worker string, timeout float64) // patience 0: until the client gives up
 	Cancel(wi uint64, ho int)
-	Defer(wi uint64, pause float64) // pause 0: no advice
+	Defer(wi uint64, retryAfter float64) // pause 0: no advice
 	WriteOff(wi uint64)
-	SetTimer(handle uint64, span float64)
+	SetTimer(handle uint64, delay float64)
 	WatchDiscovery(on bool)
 	SendToPeer(to int, data []byte) // to -1: every sibling
 }
--- a/internal/dispatch/learned.go
+++ b/internal/dispatch/learned.go
@@ -84,12 +84,12 @@
 	Till float64
 }
 
-func (r *ring) learned() Ring { return Ring{slices.Clone(r.cell[:]), r.epoch} }
+func (r *slidingSum) export() Ring { return Ring{slices.Clone(r.buckets[:]), r.epoch} }
 
-func (r *ring) recall(l Ring) {
-	if len(l.Cell) == len(r.cell) {
+func (r *slidingSum) restore(l Ring) {
+	if len(l.Cell) == len(r.buckets) {
 		r.epoch = l.Epoch
-		copy(r.cell[:], l.Cell)
+		copy(r.buckets[:], l.Cell)
 	}
 }
 
@@ -103,31 +103,31 @@
 
 // Learned tells what this dispatcher knows, its own hand-offs as leases until they should have ended.
 func (d *Dispatcher) Learned() Learned {
-	l := Learned{Sample: slices.Clone(d.sample), Sampled: d.sampled, Most: slices.Clone(d.most), Leak: d.leak, LeakAt: d.leakAt,
-		Heard: finite(d.heard), Tellings: d.tellings, Keys: slices.Clone(d.keys), Keyed: d.keyed, Silent: d.silent, Hinted: d.hinted,
-		Heards: d.heards.learned(), Tolds: d.tolds.learned()}
+	l := Learned{Sample: slices.Clone(d.recentHints), Sampled: d.hintsTotal, Most: slices.Clone(d.maxTimeLeft), Leak: d.leak, LeakAt: d.leakAt,
+		Heard: finite(d.lastPeerMessage), Tellings: d.noticesLeft, Keys: slices.Clone(d.recentKeys), Keyed: d.keysTotal, Silent: d.lostAnswerRate, Hinted: d.anyHint,
+		Heards: d.noticesReceived.export(), Tolds: d.noticesSent.export()}
 	for k := range d.arrivals {
-		l.Arrivals = append(l.Arrivals, d.arrivals[k].learned())
+		l.Arrivals = append(l.Arrivals, d.arrivals[k].export())
 	}
 	for _, c := range d.costs {
-		l.Costs = append(l.Costs, LearnedCost{c.answers, c.log, c.mean, c.at})
+		l.Costs = append(l.Costs, LearnedCost{c.answers, c.logTime, c.meanTime, c.updatedAt})
 	}
 	for k := range d.kinds {
 		kd := &d.kinds[k]
-		lk := LearnedKind{Slow: kd.slow, Known: kd.known, Answers: kd.answers, Queue: kd.queue, QueueAt: kd.queueAt,
-			Free: kd.free, Hint: kd.hint, Fetch: kd.fetch, Size: kd.size}
-		for _, r := range kd.room {
-			lk.Rooms = append(lk.Rooms, LearnedRoom{Fit: slices.Clone(r.fit[:]), More: r.more, Most: r.most,
-				Tried: r.tried, Explore: r.explore})
+		lk := LearnedKind{Slow: kd.logSlow, Known: kd.speedKnown, Answers: kd.answers, Queue: kd.queueWait, QueueAt: kd.queueWaitAt,
+			Free: kd.free, Hint: kd.meanHint, Fetch: kd.fetchTime, Size: kd.maxWeight}
+		for _, r := range kd.limit {
+			lk.Rooms = append(lk.Rooms, LearnedRoom{Fit: slices.Clone(r.startsAtOnce[:]), More: r.sure, Most: r.likely,
+				Tried: r.failedProbes, Explore: r.nextProbeAt})
 		}
 		l.Kinds = append(l.Kinds, lk)
 	}
-	out := map[*worker][]Lease{}
+	leases := map[*worker][]Lease{}
 	for _, it := range d.open {
-		for k := range it.hos {
-			if h := &it.hos[k]; h.at != nil {
-				till := max(h.sent+d.cost(it, h.w), d.now+d.f.twoGrains)
-				out[h.w] = append(out[h.w], Lease{d.f.number, till})
+		for k := range it.handOffs {
+			if h := &it.handOffs[k]; h.counter != nil {
+				until := max(h.sentAt+d.expectedTime(it, h.worker), d.now+d.params.twoRounds)
+				leases[h.worker] = append(leases[h.worker], Lease{d.params.position, until})
 			}
 		}
 	}
@@ -135,11 +135,11 @@
 		if w.State == Gone {
 			continue
 		}
-		lw := LearnedWorker{Entry: w.Entry, MinGap: finite(w.minGap), Drained: w.drained, Full: w.full, Slow: w.slow,
-			SlowAt: w.slowAt, Fails: w.fails, OutTill: w.outTill, SuspectTill: w.suspectTill, Sent: w.sent.learned(),
-			Last: finite(w.last), Out: out[w]}
-		for _, t := range w.theirs {
-			lw.Out = append(lw.Out, Lease{t.from, t.till})
+		lw := LearnedWorker{Entry: w.Entry, MinGap: finite(w.minStartGap), Drained: w.queueDrainedAt, Full: w.fullUntil, Slow: w.logSlow,
+			SlowAt: w.logSlowAt, Fails: w.failures, OutTill: w.ejectedUntil, SuspectTill: w.suspectedUntil, Sent: w.recentCost.export(),
+			Last: finite(w.lastHandOff), Out: leases[w]}
+		for _, t := range w.peerLeases {
+			lw.Out = append(lw.Out, Lease{t.from, t.until})
 		}
 		l.Workers = append(l.Workers, lw)
 	}
@@ -149,37 +149,37 @@
 // Recall takes what a forerunner knew. What is said of a worker counts for those that are listed here with the same
 // start: a worker that started anew is another. It must come before the first work item.
 func (d *Dispatcher) Recall(l Learned) {
-	d.sample, d.sampled = append(d.sample[:0], l.Sample[:min(len(l.Sample), sampleSize)]...), l.Sampled
-	if len(d.sample) == 0 {
-		d.sampled = 0
+	d.recentHints, d.hintsTotal = append(d.recentHints[:0], l.Sample[:min(len(l.Sample), sampleSize)]...), l.Sampled
+	if len(d.recentHints) == 0 {
+		d.hintsTotal = 0
 	}
-	if d.keys, d.keyed = append(d.keys[:0], l.Keys[:min(len(l.Keys), sampleSize)]...), l.Keyed; len(d.keys) < sampleSize {
-		d.keyed = len(d.keys)
+	if d.recentKeys, d.keysTotal = append(d.recentKeys[:0], l.Keys[:min(len(l.Keys), sampleSize)]...), l.Keyed; len(d.recentKeys) < sampleSize {
+		d.keysTotal = len(d.recentKeys)
 	}
-	d.silent, d.hinted = l.Silent, l.Hinted
+	d.lostAnswerRate, d.anyHint = l.Silent, l.Hinted
 	for k := range min(len(l.Costs), len(d.costs)) {
 		c := l.Costs[k]
-		d.costs[k] = cost{c.Answers, c.Log, c.Mean, c.At}
+		d.costs[k] = categoryCost{c.Answers, c.Log, c.Mean, c.At}
 	}
-	copy(d.most, l.Most)
-	d.leak, d.leakAt, d.tellings = l.Leak, l.LeakAt, l.Tellings
+	copy(d.maxTimeLeft, l.Most)
+	d.leak, d.leakAt, d.noticesLeft = l.Leak, l.LeakAt, l.Tellings
 	if l.Heard > 0 {
-		d.heard = max(d.heard, l.Heard)
+		d.lastPeerMessage = max(d.lastPeerMessage, l.Heard)
 	}
 	for k := range min(len(l.Arrivals), len(d.arrivals)) {
-		d.arrivals[k].recall(l.Arrivals[k])
+		d.arrivals[k].restore(l.Arrivals[k])
 	}
-	d.heards.recall(l.Heards)
-	d.tolds.recall(l.Tolds)
+	d.noticesReceived.restore(l.Heards)
+	d.noticesSent.restore(l.Tolds)
 	for k := range min(len(l.Kinds), len(d.kinds)) {
 		kd, lk := &d.kinds[k], l.Kinds[k]
-		kd.slow, kd.known, kd.answers, kd.queue, kd.queueAt, kd.free = lk.Slow, lk.Known, lk.Answers, lk.Queue,
+		kd.logSlow, kd.speedKnown, kd.answers, kd.queueWait, kd.queueWaitAt, kd.free = lk.Slow, lk.Known, lk.Answers, lk.Queue,
 			lk.QueueAt, lk.Free
-		kd.hint, kd.fetch, kd.size = lk.Hint, lk.Fetch, lk.Size
-		for i := range min(len(lk.Rooms), len(kd.room)) {
-			r, lr := &kd.room[i], lk.Rooms[i]
-			copy(r.fit[:], lr.Fit) // the older process may have had fewer places, or more
-			r.more, r.most, r.tried, r.explore = min(lr.More, MaxConcurrency-1), min(lr.Most, MaxConcurrency-1), lr.Tried, lr.Explore
+		kd.meanHint, kd.fetchTime, kd.maxWeight = lk.Hint, lk.Fetch, lk.Size
+		for i := range min(len(lk.Rooms), len(kd.limit)) {
+			r, lr := &kd.limit[i], lk.Rooms[i]
+			copy(r.startsAtOnce[:], lr.Fit) // the older process may have had fewer places, or more
+			r.sure, r.likely, r.failedProbes, r.nextProbeAt = min(lr.More, MaxConcurrency-1), min(lr.Most, MaxConcurrency-1), lr.Tried, lr.Explore
 		}
 	}
 	for _, lw := range l.Workers {
@@ -188,20 +188,20 @@
 			continue
 		}
 		if lw.MinGap > 0 {
-			w.minGap = lw.MinGap
+			w.minStartGap = lw.MinGap
 		}
 		if lw.Last > 0 {
-			w.last = lw.Last
+			w.lastHandOff = lw.Last
 		}
-		w.drained, w.full, w.slow, w.slowAt, w.fails = lw.Drained, lw.Full, lw.Slow, lw.SlowAt, lw.Fails
-		w.outTill, w.suspectTill = lw.OutTill, lw.SuspectTill
-		w.sent.recall(lw.Sent)
-		w.theirs = nil
+		w.queueDrainedAt, w.fullUntil, w.logSlow, w.logSlowAt, w.failures = lw.Drained, lw.Full, lw.Slow, lw.SlowAt, lw.Fails
+		w.ejectedUntil, w.suspectedUntil = lw.OutTill, lw.SuspectTill
+		w.recentCost.restore(lw.Sent)
+		w.peerLeases = nil
 		for _, t := range lw.Out {
-			w.theirs = append(w.theirs, lease{t.From, t.Till})
+			w.peerLeases = append(w.peerLeases, lease{t.From, t.Till})
 		}
 	}
-	d.resetAt, d.stirred = d.now, true
+	d.resetAt, d.recheckPending = d.now, true
 }
 
 // Taken is a hand-off that another process made.
@@ -215,38 +215,38 @@
 
 // Adopt takes a work item over with its hand-offs, in the order in which they were made. What is out counts as load, is
 // doubted and moved as any other; the due time is not known, so all of the client's time is there.
-func (d *Dispatcher) Adopt(wi WorkItem, hos []Taken) {
-	it := &item{WorkItem: wi, cat: &d.f.categories[wi.Category], expiry: d.now + wi.TimeLeft}
-	if it.Hint, it.guessed = wi.Hint, wi.Hint <= 0; it.guessed {
-		it.Hint = max(d.median, 1)
+func (d *Dispatcher) Adopt(wi WorkItem, handOffs []Taken) {
+	it := &item{WorkItem: wi, cat: &d.params.categories[wi.Category], expiry: d.now + wi.TimeLeft}
+	if it.Hint, it.hintGuessed = wi.Hint, wi.Hint <= 0; it.hintGuessed {
+		it.Hint = max(d.medianHint, 1)
 	}
-	it.until, it.rank = it.expiry, it.cat.Credit
-	if d.f.keyed && wi.Key != "" {
-		it.key = hash(wi.Key)
-		remember(&d.keys, &d.keyed, it.key)
+	it.dueAt, it.priority = it.expiry, it.cat.Credit
+	if d.params.keyAffinity && wi.Key != "" {
+		it.keyHash = hash(wi.Key)
+		remember(&d.recentKeys, &d.keysTotal, it.keyHash)
 	}
-	for _, t := range hos {
+	for _, t := range handOffs {
 		w := d.byID[t.Worker]
 		if w == nil { // not listed here: it is out there, and nothing is sent there
-			w = &worker{Entry: Entry{Worker: t.Worker, Kind: len(d.kinds) - 1, State: Gone}, minGap: math.Inf(1)}
+			w = &worker{Entry: Entry{Worker: t.Worker, Kind: len(d.kinds) - 1, State: Gone}, minStartGap: math.Inf(1)}
 		}
-		h := handoff{w: w, sent: t.Sent, heard: d.now, started: -1, load: d.load(w) + 1, sight: d.sight, done: t.Done,
-			unrun: t.Unrun}
-		if !h.unrun {
-			it.risk++
+		h := handoff{worker: w, sentAt: t.Sent, lastNoticeAt: d.now, startedAt: -1, load: d.knownLoad(w) + 1, peerView: d.peerView, done: t.Done,
+			provenNotRun: t.Unrun}
+		if !h.provenNotRun {
+			it.mayHaveRun++
 		}
 		if !h.done {
-			it.out++
-			if h.to(&w.waiting); t.Started > 0 || !d.f.tellsStart {
-				h.started = max(t.Started, t.Sent)
-				h.to(&w.running)
+			it.outstanding++
+			if h.setCounter(&w.waiting); t.Started > 0 || !d.params.startNotices {
+				h.startedAt = max(t.Started, t.Sent)
+				h.setCounter(&w.running)
 			}
-			h.tellAt = d.now + d.span(w)
+			h.notifyAt = d.now + d.avgRun(w)
 		}
-		it.hos = append(it.hos, h)
+		it.handOffs = append(it.handOffs, h)
 	}
 	d.items[wi.ID] = it
 	d.open = append(d.open, it)
-	d.hold(it, 0)
-	d.arrived = true
+	d.enqueue(it, 0)
+	d.newArrivals = true
 }
--- a/internal/dispatch/learned_test.go
+++ b/internal/dispatch/learned_test.go
@@ -34,9 +34,9 @@
 	s.Dispatchers, s.Tenants, s.KeyAffinity, s.LiveWeights = 3, []Tenant{{AllowancePerSec: 100}}, true, true
 	tr := start(t, s)
 	tr.learn()
-	tr.d.silent, tr.d.kinds[0].size, tr.d.kinds[0].fetch, tr.d.kinds[0].hint = 0.2, 8, 50, 90
+	tr.d.lostAnswerRate, tr.d.kinds[0].maxWeight, tr.d.kinds[0].fetchTime, tr.d.kinds[0].meanHint = 0.2, 8, 50, 90
 	tr.at(tr.now+5, func(d *Dispatcher) {
-		d.PeerMessageReceived(1, d.pack(named(d, "s1"), 3000))
+		d.PeerMessageReceived(1, d.encodeNotice(named(d, "s1"), 3000))
 		d.Arrived(WorkItem{ID: 1, TimeLeft: 5000, Hint: 100, Key: "a"})
 		d.Arrived(WorkItem{ID: 2, TimeLeft: 5000, Hint: 400, Category: 1})
 	})
--- a/internal/dispatch/no_hint_test.go
+++ b/internal/dispatch/no_hint_test.go
@@ -16,14 +16,14 @@
 		c := int(id % 2)
 		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: id, Category: c, Tenant: -1, TimeLeft: 5000}) })
 		it := tr.d.items[id]
-		if it == nil || len(it.hos) == 0 {
+		if it == nil || len(it.handOffs) == 0 {
 			t.Fatalf("work item %d of category %d was given up, with every worker free", id, c)
 		}
 		run := takes[c]
-		if it.hos[0].w.Kind == 1 {
+		if it.handOffs[0].worker.Kind == 1 {
 			run *= 1.5
 		}
-		took[c], expected[c] = run, tr.d.cost(it, it.hos[0].w)
+		took[c], expected[c] = run, tr.d.expectedTime(it, it.handOffs[0].worker)
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		tr.at(tr.now+run, func(d *Dispatcher) { tr.end(id, 0, Finished) })
 	}
@@ -42,12 +42,12 @@
 	tr.up("f1")
 	tr.run(1, 0, 0, 900)
 	tr.arrive(2, 0, 0)
-	if it := tr.d.items[2]; it != nil && len(it.hos) > 0 {
+	if it := tr.d.items[2]; it != nil && len(it.handOffs) > 0 {
 		t.Fatal("what is sure to come late was handed off")
 	}
 	tr.at(tr.now+40000, func(*Dispatcher) {})
 	tr.arrive(3, 0, 0)
-	if it := tr.d.items[3]; it == nil || len(it.hos) == 0 {
+	if it := tr.d.items[3]; it == nil || len(it.handOffs) == 0 {
 		t.Error("it is not tried again")
 	}
 }
@@ -60,8 +60,8 @@
 		tr.run(id, 0, 0, 700)
 	}
 	tr.run(10, 0, 100, 100)
-	if d := tr.d; !d.hinted || d.guess(0) != 100 || d.sampled != 1 {
-		t.Errorf("hinted %v, guess %.0f, %d hints", d.hinted, d.guess(0), d.sampled)
+	if d := tr.d; !d.anyHint || d.guessHint(0) != 100 || d.hintsTotal != 1 {
+		t.Errorf("hinted %v, guess %.0f, %d hints", d.anyHint, d.guessHint(0), d.hintsTotal)
 	}
 }
 
@@ -83,12 +83,12 @@
 		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: 20, Tenant: -1, TimeLeft: 5000, Hint: 100}) })
 		tr.at(tr.now+gap+3*gap, func(*Dispatcher) {}) // a new connection: three trips more
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(20, 0, true, 0) })
-		if n := len(tr.d.items[20].hos); n != 1 {
+		if n := len(tr.d.items[20].handOffs); n != 1 {
 			t.Errorf("zone %d: %d hand-offs", zone, n)
 		}
 		w := tr.d.byID["f1"]
-		if far := tr.d.grace(w) > 4*gap; far != (zone == 1) {
-			t.Errorf("zone %d: a start may take %.0f", zone, tr.d.grace(w))
+		if far := tr.d.startAllowance(w) > 4*gap; far != (zone == 1) {
+			t.Errorf("zone %d: a start may take %.0f", zone, tr.d.startAllowance(w))
 		}
 	}
 }
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -12,7 +12,7 @@
 // loaded until the time told.
 
 // suspicion as a fourth byte: the message tells of the worker itself, that it failed work.
-const suspicion = 1
+const suspicionMarker = 1
 
 func hash(id string) uint64 {
 	h := fnv.New64a()
@@ -27,17 +27,17 @@
 	return x ^ x>>33
 }
 
-func (d *Dispatcher) pack(w *worker, span float64) []byte {
-	step := 0.
-	if span > 0 {
-		step = min(max(16*math.Log2(span), 1), 255)
+func (d *Dispatcher) encodeNotice(w *worker, duration float64) []byte {
+	code := 0.
+	if duration > 0 {
+		code = min(max(16*math.Log2(duration), 1), 255)
 	}
-	d.msg = append(d.msg[:0], byte(w.hash>>8), byte(w.hash), byte(step))
-	return d.msg
+	d.msgBuf = append(d.msgBuf[:0], byte(w.idHash>>8), byte(w.idHash), byte(code))
+	return d.msgBuf
 }
 
-func unpack(w *worker, data []byte) (span float64, ok bool) {
-	if len(data) != 3 || data[0] != byte(w.hash>>8) || data[1] != byte(w.hash) {
+func decodeNotice(w *worker, data []byte) (duration float64, ok bool) {
+	if len(data) != 3 || data[0] != byte(w.idHash>>8) || data[1] != byte(w.idHash) {
 		return 0, false
 	}
 	if data[2] == 0 {
@@ -47,40 +47,40 @@
 }
 
 // named are the workers of the part that a message may name.
-func (d *Dispatcher) named(data []byte) []*worker {
+func (d *Dispatcher) candidatesNamedBy(data []byte) []*worker {
 	if len(data) < 2 {
 		return nil
 	}
-	if d.names == nil {
-		d.names = map[uint16][]*worker{}
-		for _, w := range d.part {
-			d.names[uint16(w.hash)] = append(d.names[uint16(w.hash)], w)
+	if d.candidatesByTag == nil {
+		d.candidatesByTag = map[uint16][]*worker{}
+		for _, w := range d.candidates {
+			d.candidatesByTag[uint16(w.idHash)] = append(d.candidatesByTag[uint16(w.idHash)], w)
 		}
 	}
-	return d.names[uint16(data[0])<<8|uint16(data[1])]
+	return d.candidatesByTag[uint16(data[0])<<8|uint16(data[1])]
 }
 
 // Heard takes a sibling's message.
 func (d *Dispatcher) PeerMessageReceived(from int, data []byte) {
-	if from < 0 || from >= d.f.siblings || from == d.f.number {
+	if from < 0 || from >= d.params.dispatchers || from == d.params.position {
 		return
 	}
-	d.heard = d.now
-	if len(data) == 4 && data[3] == suspicion {
-		for _, w := range d.named(data) {
-			if _, ok := unpack(w, data[:3]); ok && slices.Contains(w.sharers, from) {
-				w.suspectTill = d.now + suspectFor
+	d.lastPeerMessage = d.now
+	if len(data) == 4 && data[3] == suspicionMarker {
+		for _, w := range d.candidatesNamedBy(data) {
+			if _, ok := decodeNotice(w, data[:3]); ok && slices.Contains(w.sharers, from) {
+				w.suspectedUntil = d.now + suspicionPeriod
 			}
 		}
 		return
 	}
-	d.heards.add(d.now, weighSpan, 1)
-	for _, w := range d.named(data) {
-		if span, ok := unpack(w, data); ok && slices.Contains(w.sharers, from) {
-			if span > 0 {
-				w.theirs = append(w.theirs, lease{from, d.now + span})
-			} else if k := slices.IndexFunc(w.theirs, func(l lease) bool { return l.from == from }); k >= 0 {
-				w.theirs = slices.Delete(w.theirs, k, k+1)
+	d.noticesReceived.add(d.now, trafficWindow, 1)
+	for _, w := range d.candidatesNamedBy(data) {
+		if duration, ok := decodeNotice(w, data); ok && slices.Contains(w.sharers, from) {
+			if duration > 0 {
+				w.peerLeases = append(w.peerLeases, lease{from, d.now + duration})
+			} else if k := slices.IndexFunc(w.peerLeases, func(l lease) bool { return l.from == from }); k >= 0 {
+				w.peerLeases = slices.Delete(w.peerLeases, k, k+1)
 			}
 		}
 	}
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -48,7 +48,7 @@
 			if at[key] == nil {
 				at[key] = map[string]bool{}
 			}
-			at[key][tr.d.items[id].hos[0].w.Worker] = true
+			at[key][tr.d.items[id].handOffs[0].worker.Worker] = true
 			tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 			tr.at(tr.now+20, func(*Dispatcher) { tr.end(id, 0, Finished) })
 		}
@@ -86,7 +86,7 @@
 		tr.at(tr.now+5, func(d *Dispatcher) {
 			d.Arrived(WorkItem{ID: id, Tenant: -1, TimeLeft: 5000, Hint: 50, Key: key})
 		})
-		where[id] = tr.d.items[id].hos[0].w.Worker
+		where[id] = tr.d.items[id].handOffs[0].worker.Worker
 	}
 	end := func(id uint64) {
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
@@ -100,8 +100,8 @@
 	send(1, "key1")
 	send(2, "key1")
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: 4, Tenant: -1, TimeLeft: 5000, Hint: 50, Key: "key1"}) })
-	if n := len(tr.d.items[4].hos); n != 0 {
-		t.Errorf("sent to a third worker, %s", tr.d.items[4].hos[0].w.Worker)
+	if n := len(tr.d.items[4].handOffs); n != 0 {
+		t.Errorf("sent to a third worker, %s", tr.d.items[4].handOffs[0].worker.Worker)
 	}
 	end(1)
 	end(2)
@@ -125,10 +125,10 @@
 	silent := func(id uint64, category int, span float64) (handOffs, running int) {
 		tr.arrive(id, category, 400)
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
-		w := tr.d.items[id].hos[0].w
+		w := tr.d.items[id].handOffs[0].worker
 		tr.at(tr.now+span, func(d *Dispatcher) { d.HandOffProgressed(id, 1, true, 0) })
 		it := tr.d.items[id]
-		return len(it.hos), w.running
+		return len(it.handOffs), w.running
 	}
 	if n, _ := silent(1, 0, 700); n != 1 {
 		t.Errorf("before anything is known: %d hand-offs", n)
@@ -136,7 +136,7 @@
 	tr.at(tr.now+3000, func(*Dispatcher) {}) // it stands still
 	for id := uint64(2); id < 6; id++ {
 		silent(id, 0, 2700)
-		for k := range tr.d.items[id].hos {
+		for k := range tr.d.items[id].handOffs {
 			tr.at(tr.now+1, func(*Dispatcher) { tr.end(id, k, Cancelled) })
 		}
 	}
@@ -167,35 +167,35 @@
 		for id := uint64(100); id < 130; id++ {
 			tr.run(id, 0, 100, 100)
 		}
-		tr.d.silent = 0.9 // answers vanish: work is copied
+		tr.d.lostAnswerRate = 0.9 // answers vanish: work is copied
 		tr.arrive(1, 0, 400)
 		it := tr.d.items[1]
-		w := it.hos[0].w
+		w := it.handOffs[0].worker
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(1, 0, true, 0) })
 		if first >= 0 {
 			tr.at(tr.now+1, func(*Dispatcher) { tr.end(1, 0, first) })
 		}
-		for until := tr.now + 700; len(it.hos) < 2 && tr.now < until; {
+		for until := tr.now + 700; len(it.handOffs) < 2 && tr.now < until; {
 			tr.at(tr.now+5, func(*Dispatcher) {})
 		}
-		if len(it.hos) < 2 || it.hos[1].w == w {
-			t.Fatalf("%v: no second hand-off elsewhere: %d", first, len(it.hos))
+		if len(it.handOffs) < 2 || it.handOffs[1].worker == w {
+			t.Fatalf("%v: no second hand-off elsewhere: %d", first, len(it.handOffs))
 		}
 		for range 3 { // turned away, again and again
-			k := len(it.hos) - 1
-			if it.hos[k].done {
+			k := len(it.handOffs) - 1
+			if it.handOffs[k].done {
 				break
 			}
 			tr.at(tr.now+1, func(*Dispatcher) { tr.end(1, k, Full) })
 			for _, x := range tr.d.workers { // all others have room at once
-				x.fails, x.outTill, x.full, x.suspectTill = 0, 0, 0, 0
+				x.failures, x.ejectedUntil, x.fullUntil, x.suspectedUntil = 0, 0, 0, 0
 			}
-			tr.at(tr.now+5, func(*Dispatcher) { tr.d.stirred = true })
-			tr.at(tr.now+300, func(*Dispatcher) { tr.d.stirred = true })
+			tr.at(tr.now+5, func(*Dispatcher) { tr.d.recheckPending = true })
+			tr.at(tr.now+300, func(*Dispatcher) { tr.d.recheckPending = true })
 		}
 		again := false
-		for k, h := range it.hos {
-			again = again || k > 0 && h.w == w
+		for k, h := range it.handOffs {
+			again = again || k > 0 && h.worker == w
 		}
 		if may := first == Failed || first == Full; again != may {
 			t.Errorf("first ended as %d: handed off to its worker again %v, wanted %v", first, again, may)
@@ -223,7 +223,7 @@
 		for id := range uint64(c.first) {
 			tr.arrive(id, 1, 100)
 			tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
-			tr.d.silent = c.silent
+			tr.d.lostAnswerRate = c.silent
 			for end := tr.now + 2600; tr.now < end; {
 				tr.at(tr.now+100, func(*Dispatcher) {})
 				_, now := tr.d.Pool()
@@ -293,12 +293,12 @@
 		tr.run(id, 0, hint, hint/2+100)
 	}
 	k := &tr.d.kinds[0]
-	if slow := math.Exp(k.slow); slow < 0.45 || slow > 0.56 || k.fetch < 70 || k.fetch > 130 {
-		t.Errorf("%.2f of the hint and %.0f ms, want 0.5 and 100", slow, k.fetch)
+	if slow := math.Exp(k.logSlow); slow < 0.45 || slow > 0.56 || k.fetchTime < 70 || k.fetchTime > 130 {
+		t.Errorf("%.2f of the hint and %.0f ms, want 0.5 and 100", slow, k.fetchTime)
 	}
 	tr = start(t, s)
 	tr.learn()
-	if !tr.d.kinds[0].known || !tr.d.kinds[1].known {
+	if !tr.d.kinds[0].speedKnown || !tr.d.kinds[1].speedKnown {
 		t.Error("a kind that got small work alone learned no speed")
 	}
 }
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -32,50 +32,50 @@
 		r := rand.New(rand.NewPCG(seed, 1))
 		s := plain()
 		s.Seed, s.Kinds, s.PreferOwnZone = seed, 3, seed%2 == 0
-		tr := wide(t, s, 1+r.IntN(1200), 1+r.IntN(1200), many)
+		tr := wide(t, s, 1+r.IntN(1200), 1+r.IntN(1200), scanLimit)
 		d := tr.d
-		d.mean, d.cutoff = 20, 20
+		d.meanHint, d.cutoff = 20, 20
 		for k := range d.kinds {
-			d.kinds[k].lane, d.kinds[k].each = k%2, 1+float64(k)
-			d.kinds[k].room[seen].most, d.kinds[k].room[seen].more = 2, 1
-			d.kinds[k].room[seen].explore = math.Inf(1)
+			d.kinds[k].lane, d.kinds[k].workerCapacity = k%2, 1+float64(k)
+			d.kinds[k].limit[informed].likely, d.kinds[k].limit[informed].sure = 2, 1
+			d.kinds[k].limit[informed].nextProbeAt = math.Inf(1)
 		}
-		for _, w := range d.part { // most are taken, or each has credit and is too slow for the time; which stand out differs
+		for _, w := range d.candidates { // most are taken, or each has credit and is too slow for the time; which stand out differs
 			if w.waiting = 1; seed%4 == 0 {
-				w.waiting, w.slow, w.slowAt = 0, 5, d.now
+				w.waiting, w.logSlow, w.logSlowAt = 0, 5, d.now
 			}
 			if r.IntN(700) > 0 {
 				continue
 			}
-			w.slow = 0
+			w.logSlow = 0
 			switch w.waiting = 0; r.IntN(6) {
 			case 0:
 				w.running = 1 + r.IntN(4)
 			case 1:
-				w.fails = 1
+				w.failures = 1
 			case 2:
-				w.suspectTill = d.now + 100
+				w.suspectedUntil = d.now + 100
 			case 3:
-				w.slow, w.slowAt = 5, d.now
+				w.logSlow, w.logSlowAt = 5, d.now
 			case 4:
 				w.State = Draining
 			}
 		}
-		it := &item{WorkItem: WorkItem{ID: seed, Hint: 40 * r.Float64()}, cat: &s.Categories[r.IntN(2)], expiry: d.now + 5000, until: d.now + 300}
+		it := &item{WorkItem: WorkItem{ID: seed, Hint: 40 * r.Float64()}, cat: &s.Categories[r.IntN(2)], expiry: d.now + 5000, dueAt: d.now + 300}
 		if r.IntN(3) == 0 {
 			cat := *it.cat
 			cat.Kind, it.cat = r.IntN(3), &cat
 		}
-		d.wanted = likely
+		d.minCredit = creditLikely
 		var may []*worker
-		for _, w := range d.part {
-			if d.useful(it, w) {
+		for _, w := range d.candidates {
+			if d.mayDraw(it, w) {
 				may = append(may, w)
 			}
 		}
-		d.survey()
-		if got := d.choose(it); got != (len(may) > 0) || got && !slices.Contains(may, it.hos[0].w) {
-			t.Fatalf("seed %d: sent on %v, %d workers may take it, %v", seed, got, len(may), it.hos)
+		d.beginScan()
+		if got := d.placeItem(it); got != (len(may) > 0) || got && !slices.Contains(may, it.handOffs[0].worker) {
+			t.Fatalf("seed %d: sent on %v, %d workers may take it, %v", seed, got, len(may), it.handOffs)
 		}
 		if len(may) > 0 {
 			found++
@@ -127,7 +127,7 @@
 			})
 			count := 0
 			for k := range tr.d.pools {
-				count += tr.d.pools[k].looked
+				count += tr.d.pools[k].examined
 			}
 			most = max(most, count)
 		}
@@ -142,7 +142,7 @@
 		})
 		for _, it := range tr.d.open[len(tr.d.open)-100:] {
 			var number int
-			fmt.Sscanf(it.hos[0].w.Worker[1:], "%d", &number)
+			fmt.Sscanf(it.handOffs[0].worker.Worker[1:], "%d", &number)
 			racks[number*20/n] = true
 		}
 		if len(racks) < 15 {
@@ -151,7 +151,7 @@
 		return most
 	}
 	few, lots := looked(1000), looked(9000)
-	if bound := 4 * (many + 200); few > bound || lots > bound {
+	if bound := 4 * (scanLimit + 200); few > bound || lots > bound {
 		t.Errorf("a round looked at %d of 2,000 workers, and at %d of 18,000; no more than %d were wanted", few, lots, bound)
 	}
 }
@@ -162,11 +162,11 @@
 	for _, n := range []int{0, 1, 2, 5, 40, 300} {
 		of := make([]*worker, 300)
 		for k := range of {
-			of[k] = &worker{far: r.Float64()}
+			of[k] = &worker{keyDistance: r.Float64()}
 		}
 		all := slices.Clone(of)
 		slices.SortFunc(all, func(a, b *worker) int {
-			if a.far < b.far {
+			if a.keyDistance < b.keyDistance {
 				return -1
 			}
 			return 1
@@ -200,8 +200,8 @@
 	tr := wide(t, s, 300)
 	tell := func(id string) int {
 		w := tr.d.byID[id]
-		tr.at(tr.now+5, func(d *Dispatcher) { d.PeerMessageReceived(1, []byte{byte(w.hash >> 8), byte(w.hash), 200}) })
-		return len(w.theirs)
+		tr.at(tr.now+5, func(d *Dispatcher) { d.PeerMessageReceived(1, []byte{byte(w.idHash >> 8), byte(w.idHash), 200}) })
+		return len(w.peerLeases)
 	}
 	if n := tell("a7"); n != 1 {
 		t.Errorf("%d hand-offs were heard of at a worker", n)
@@ -218,8 +218,8 @@
 	tr := wide(t, plain(), 1000)
 	met := map[*worker]bool{}
 	for range 20000 {
-		some := tr.d.some()
-		if len(some) != many {
+		some := tr.d.someCandidates()
+		if len(some) != scanLimit {
 			t.Fatalf("%d workers are some", len(some))
 		}
 		for _, w := range some {
@@ -229,7 +229,7 @@
 	if len(met) != 1000 { // the first and the last are in one look of 745
 		t.Errorf("20,000 looks met %d of 1,000 workers", len(met))
 	}
-	if few := wide(t, plain(), many); len(few.d.some()) != many {
+	if few := wide(t, plain(), scanLimit); len(few.d.someCandidates()) != scanLimit {
 		t.Error("of few workers not all are some")
 	}
 }
--- a/internal/dispatch/worker_list_test.go
+++ b/internal/dispatch/worker_list_test.go
@@ -12,13 +12,13 @@
 	one := func(id uint64, end Outcome) {
 		tr.arrive(id, 0, 100)
 		tr.at(tr.now+1, func(d *Dispatcher) {
-			if it := d.items[id]; it != nil && it.out > 0 && end == Finished {
-				d.HandOffProgressed(id, len(it.hos)-1, true, 0)
+			if it := d.items[id]; it != nil && it.outstanding > 0 && end == Finished {
+				d.HandOffProgressed(id, len(it.handOffs)-1, true, 0)
 			}
 		})
 		tr.at(tr.now+60, func(d *Dispatcher) {
-			if it := d.items[id]; it != nil && it.out > 0 {
-				tr.end(id, len(it.hos)-1, end)
+			if it := d.items[id]; it != nil && it.outstanding > 0 {
+				tr.end(id, len(it.handOffs)-1, end)
 				if end != Finished {
 					d.ClientLeft(id)
 				}
@@ -41,7 +41,7 @@
 		one(id, Finished)
 	}
 	f1 := named(tr.d, "f1")
-	tr.note("weight of f1 %.3f, listed workers %v", tr.d.weight(f1)/tr.d.kinds[0].each, first(tr.d.Pool()))
+	tr.note("weight of f1 %.3f, listed workers %v", tr.d.drawWeight(f1)/tr.d.kinds[0].workerCapacity, first(tr.d.Pool()))
 	tr.say("f1 is gone indeed: three that cannot connect, then nothing more")
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f2", State: Draining}}) })
 	for id := uint64(30); id < 40; id++ {
