--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -13,20 +13,20 @@
 
 // trace drives one dispatcher and prints what it decides. Timers are left out.
 type trace struct {
-	t   *testing.T
-	d   *Dispatcher
-	now float64
-	in  func(d *Dispatcher)
-	log strings.Builder
-	sum map[string]int // hand-offs of each worker
+	t        *testing.T
+	d        *Dispatcher
+	now      float64
+	inbox    func(d *Dispatcher)
+	log      strings.Builder
+	handOffs map[string]int // hand-offs of each worker
 }
 
-func start(t *testing.T, s Settings) *trace {
-	return &trace{t: t, d: New(s), sum: map[string]int{}}
+func newTrace(t *testing.T, s Settings) *trace {
+	return &trace{t: t, d: New(s), handOffs: map[string]int{}}
 }
 
 // plain are settings with nothing special: two kinds, a rerunnable and an exclusive category.
-func plain() Settings {
+func baseSettings() Settings {
 	return Settings{Seed: 7, RoundInterval: 1, Dispatchers: 1, Kinds: 2, StartNotices: true, ProgressInterval: 1000,
 		MayCancel: true, MayAdviseRetryAfter: true, MaxRetryAfter: 2000, MaxHandOffs: 3, AnswerSlack: 20, DiscoveryAskWithin: 10000,
 		StartCapacity: 0.1, WarmUpTime: 20000, OverloadMultiple: 3, OverloadWindow: 2000, Categories: []Category{
@@ -39,21 +39,21 @@
 }
 
 // say puts a line of explanation into the trace.
-func (tr *trace) say(text string) { fmt.Fprintf(&tr.log, "%s\n", text) }
+func (tr *trace) comment(text string) { fmt.Fprintf(&tr.log, "%s\n", text) }
 
 // at runs a round at a time with what comes in then; beats before it run on their own.
 func (tr *trace) at(now float64, in func(d *Dispatcher)) {
 	for tr.now+5 < now && tr.now > 0 {
 		tr.now += 5
-		tr.in = func(*Dispatcher) {}
+		tr.inbox = func(*Dispatcher) {}
 		tr.d.Round(tr.now, tr, tr)
 	}
-	tr.now, tr.in = now, in
+	tr.now, tr.inbox = now, in
 	tr.d.Round(now, tr, tr)
 }
 
 // up lists workers that have been up for long, named by kind and number: f1 is of kind 0, s1 of kind 1.
-func (tr *trace) up(names ...string) {
+func (tr *trace) listUp(names ...string) {
 	tr.at(tr.now+1, func(d *Dispatcher) {
 		var list []Entry
 		for _, n := range names {
@@ -64,7 +64,7 @@
 }
 
 // run hands in an item of the category, lets it start at once and end after the given running time.
-func (tr *trace) run(id uint64, category int, hint, running float64) {
+func (tr *trace) runItem(id uint64, category int, hint, running float64) {
 	tr.at(tr.now+5, func(d *Dispatcher) {
 		d.Arrived(WorkItem{ID: id, Category: category, Tenant: -1, TimeLeft: 5000, Hint: hint})
 	})
@@ -83,15 +83,15 @@
 }
 
 // check compares the trace with the one kept.
-func (tr *trace) check(name string) {
+func (tr *trace) checkGolden(name string) {
 	tr.t.Helper()
 	kept.Check(tr.t, name, tr.log.String())
 }
 
-func (tr *trace) Deliver(d EventHandler) { tr.in(d.(*Dispatcher)) }
+func (tr *trace) Deliver(d EventHandler) { tr.inbox(d.(*Dispatcher)) }
 
 func (tr *trace) HandOff(wi uint64, worker string, _ float64) {
-	tr.sum[worker]++
+	tr.handOffs[worker]++
 	tr.note("hand off %d to %s", wi, worker)
 }
 func (tr *trace) Cancel(wi uint64, ho int)       { tr.note("cancel %d hand-off %d", wi, ho) }
@@ -102,97 +102,97 @@
 func (tr *trace) SendToPeer(to int, data []byte) { tr.note("tell %d: %x", to, data) }
 
 func TestOneFinalAnswer(t *testing.T) {
-	tr := start(t, plain())
-	tr.up("f1")
-	tr.say("rerunnable work on a worker that goes quiet: deferred at its expiry, nothing after it")
+	tr := newTrace(t, baseSettings())
+	tr.listUp("f1")
+	tr.comment("rerunnable work on a worker that goes quiet: deferred at its expiry, nothing after it")
 	tr.arrive(1, 0, 100)
 	tr.at(5200, func(*Dispatcher) {})
 	tr.at(5201, func(d *Dispatcher) { tr.end(1, 0, Cancelled); tr.end(1, 0, Finished); d.ClientLeft(1) })
-	tr.say("a client that leaves: its hand-off is called off, no answer")
-	tr.up("f2")
+	tr.comment("a client that leaves: its hand-off is called off, no answer")
+	tr.listUp("f2")
 	tr.arrive(2, 0, 100)
 	tr.at(tr.now+5, func(d *Dispatcher) { d.ClientLeft(2) })
-	tr.say("no worker at all: deferred as soon as it cannot end in time")
-	tr.up()
+	tr.comment("no worker at all: deferred as soon as it cannot end in time")
+	tr.listUp()
 	tr.arrive(3, 0, 100)
 	tr.at(tr.now+1000, func(*Dispatcher) {})
-	tr.check("final")
+	tr.checkGolden("final")
 }
 
-func TestNoEffectTwice(t *testing.T) {
-	s := plain()
+func TestNoDuplicateEffect(t *testing.T) {
+	s := baseSettings()
 	s.MaxHandOffs = 9
 	s.Categories = append(s.Categories,
 		Category{Repeat: Ticketed, DedupScope: DedupZone, DedupWindow: 400, DueTime: 5000, Expiry: 5000, Credit: 1, Kind: -1},
 		Category{Repeat: Ticketed, DedupScope: DedupAll, DedupWindow: 400, DueTime: 5000, Expiry: 5000, Credit: 1, Kind: -1})
-	tr := start(t, s)
-	tr.up("f1", "f2", "s1")
-	tr.say("exclusive: sent again after a refusal, which proves that it never ran; written off after an error")
+	tr := newTrace(t, s)
+	tr.listUp("f1", "f2", "s1")
+	tr.comment("exclusive: sent again after a refusal, which proves that it never ran; written off after an error")
 	tr.arrive(1, 1, 100)
 	tr.at(20, func(*Dispatcher) { tr.end(1, 0, Full) })
 	tr.at(30, func(*Dispatcher) { tr.end(1, 1, Failed) })
-	tr.say("exclusive that never starts: neither moved nor deferred, written off at its expiry")
-	tr.up("f5")
+	tr.comment("exclusive that never starts: neither moved nor deferred, written off at its expiry")
+	tr.listUp("f5")
 	tr.arrive(2, 1, 100)
 	tr.at(5100, func(*Dispatcher) {})
-	tr.say("ticketed, known in one zone: sent again there only")
+	tr.comment("ticketed, known in one zone: sent again there only")
 	tr.at(5200, func(d *Dispatcher) {
 		d.Listed(ListComplete, []Entry{{Worker: "f3", Zone: 0}, {Worker: "f4", Zone: 1}, {Worker: "f6", Zone: 0}})
 	})
 	tr.arrive(3, 2, 100)
 	tr.at(tr.now+5, func(*Dispatcher) { tr.end(3, 0, ConnReset) })
-	tr.say("the window has passed: no further send, and no deferral for what may have run")
+	tr.comment("the window has passed: no further send, and no deferral for what may have run")
 	tr.at(tr.now+500, func(*Dispatcher) { tr.end(3, 1, ConnReset) })
 	tr.at(10500, func(*Dispatcher) {})
-	tr.check("effects")
+	tr.checkGolden("effects")
 }
 
-func TestDrains(t *testing.T) {
-	tr := start(t, plain())
-	tr.up("f1", "f2")
-	tr.say("f1 drains, then f2 is gone: nothing goes there any more")
+func TestDrainingAndGoneWorkers(t *testing.T) {
+	tr := newTrace(t, baseSettings())
+	tr.listUp("f1", "f2")
+	tr.comment("f1 drains, then f2 is gone: nothing goes there any more")
 	tr.at(10, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f1", State: Draining}}) })
 	tr.arrive(1, 0, 100)
 	tr.at(20, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f2", State: Gone}}); tr.end(1, 0, Full) })
 	tr.at(700, func(*Dispatcher) {})
-	tr.say("absent from a complete list is gone as well")
-	tr.up("f3")
-	tr.up("f4")
+	tr.comment("absent from a complete list is gone as well")
+	tr.listUp("f3")
+	tr.listUp("f4")
 	tr.arrive(2, 0, 100)
-	tr.check("drains")
+	tr.checkGolden("drains")
 }
 
 func TestColdWorker(t *testing.T) {
-	s := plain()
+	s := baseSettings()
 	s.Dispatchers = 4
 	s.Categories[0].DueTime = 5000
-	tr := start(t, s)
-	tr.say("a cold worker alone: work goes to it at this dispatcher's part of the budget, more as it warms up")
+	tr := newTrace(t, s)
+	tr.comment("a cold worker alone: work goes to it at this dispatcher's part of the budget, more as it warms up")
 	tr.at(100000, func(d *Dispatcher) { d.Listed(ListComplete, []Entry{{Worker: "f1", Since: 99000}}) })
 	for id := uint64(1); id < 12; id++ {
-		tr.run(id, 0, 100, 30)
+		tr.runItem(id, 0, 100, 30)
 		tr.at(tr.now+100, func(*Dispatcher) {})
 	}
-	tr.check("cold")
+	tr.checkGolden("cold")
 }
 
-func TestDiscoveryIsKeptAlive(t *testing.T) {
-	s := plain()
+func TestDiscoverySubscriptionRenewed(t *testing.T) {
+	s := baseSettings()
 	s.DiscoveryOnRequest = true
-	tr := start(t, s)
-	tr.say("asks at start, again after failures ever more slowly, and when it heard nothing for long")
+	tr := newTrace(t, s)
+	tr.comment("asks at start, again after failures ever more slowly, and when it heard nothing for long")
 	tr.at(1, func(d *Dispatcher) { d.Listed(ListRestored, nil) })
 	for k := 1; k < 5; k++ {
 		tr.at(float64(k*700), func(d *Dispatcher) { d.Listed(ListUnavailable, nil) })
 	}
 	tr.at(6000, func(d *Dispatcher) { d.Listed(ListChanges, nil) })
 	tr.at(40000, func(*Dispatcher) {})
-	tr.check("discovery")
+	tr.checkGolden("discovery")
 }
 
 // learn runs small and large work until the speeds of both kinds and the cutoff are known.
-func (tr *trace) learn() {
-	tr.up("f1", "f2", "s1", "s2")
+func (tr *trace) learnSpeeds() {
+	tr.listUp("f1", "f2", "s1", "s2")
 	for id := uint64(100); id < 160; id++ {
 		hint := 50.0
 		if id%3 == 0 {
@@ -209,22 +209,22 @@
 	tr.log.Reset()
 }
 
-func TestBinsAndLanes(t *testing.T) {
-	tr := start(t, plain())
-	tr.learn()
+func TestCutoffAndLanes(t *testing.T) {
+	tr := newTrace(t, baseSettings())
+	tr.learnSpeeds()
 	tr.note("cutoff %.0f, capacities %.1f and %.1f", tr.d.cutoff, tr.d.kinds[0].workerCapacity, tr.d.kinds[1].workerCapacity)
-	tr.say("small to the fast kind, large to the slow one, at random within the kind")
+	tr.comment("small to the fast kind, large to the slow one, at random within the kind")
 	for id := uint64(1); id <= 8; id++ {
-		tr.run(id, 0, 50+350*float64(id%2), 40)
+		tr.runItem(id, 0, 50+350*float64(id%2), 40)
 	}
-	tr.say("no slow worker has credit: the large one crosses over")
+	tr.comment("no slow worker has credit: the large one crosses over")
 	for id := uint64(11); id <= 14; id++ {
 		tr.arrive(id, 0, 400)
 	}
 	for id := uint64(11); id <= 14; id++ {
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0); tr.end(id, 0, Finished) })
 	}
-	tr.say("slow workers refuse: the leak rises by a step each time, and fades")
+	tr.comment("slow workers refuse: the leak rises by a step each time, and fades")
 	for id := uint64(21); id <= 24; id++ {
 		tr.arrive(id, 0, 400)
 		tr.at(tr.now+1, func(*Dispatcher) { tr.end(id, 0, Full) })
@@ -233,43 +233,43 @@
 	}
 	tr.at(tr.now+10000, func(*Dispatcher) {})
 	tr.note("leak %.3f", tr.d.currentLeak())
-	tr.check("lanes")
+	tr.checkGolden("lanes")
 }
 
-func TestVanishedHandOff(t *testing.T) {
-	tr := start(t, plain())
-	tr.up("f1", "f2")
+func TestLostHandOff(t *testing.T) {
+	tr := newTrace(t, baseSettings())
+	tr.listUp("f1", "f2")
 	for id := uint64(100); id < 110; id++ {
-		tr.run(id, 0, 100, 100)
+		tr.runItem(id, 0, 100, 100)
 	}
 	tr.log.Reset()
-	anew := func(id uint64) { // the first hand-off is called off, the second runs
+	runAgain := func(id uint64) { // the first hand-off is called off, the second runs
 		tr.at(tr.now+1, func(*Dispatcher) { tr.end(id, 0, Cancelled) })
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 1, true, 0) })
 		tr.at(tr.now+100, func(*Dispatcher) { tr.end(id, 1, Finished) })
 	}
-	tr.say("1 never starts: lost when it has not started in twice the time of what may be before it, and sent anew")
+	tr.comment("1 never starts: lost when it has not started in twice the time of what may be before it, and sent anew")
 	tr.arrive(1, 0, 400)
 	tr.at(tr.now+900, func(*Dispatcher) {})
-	anew(1)
-	tr.say("second copies allowed: moved as soon as a fifth of its spare time is gone and another has credit")
+	runAgain(1)
+	tr.comment("second copies allowed: moved as soon as a fifth of its spare time is gone and another has credit")
 	tr.d.params.secondCopies = true
 	tr.arrive(6, 0, 100)
 	tr.at(tr.now+100, func(*Dispatcher) {})
-	anew(6)
-	tr.say("2 and 3, exclusive, never start: they leave the books, and both workers are tried again")
+	runAgain(6)
+	tr.comment("2 and 3, exclusive, never start: they leave the books, and both workers are tried again")
 	tr.arrive(2, 1, 100)
 	tr.arrive(3, 1, 100)
 	tr.at(tr.now+1500, func(*Dispatcher) {})
 	tr.arrive(4, 0, 100)
 	tr.arrive(5, 0, 100)
-	tr.check("vanished")
+	tr.checkGolden("vanished")
 }
 
 func TestFailingWorker(t *testing.T) {
-	tr := start(t, plain())
-	tr.up("f1", "f2")
-	tr.say("the one that fails fast leaves the draw, for longer each time; exclusive work keeps off its trials")
+	tr := newTrace(t, baseSettings())
+	tr.listUp("f1", "f2")
+	tr.comment("the one that fails fast leaves the draw, for longer each time; exclusive work keeps off its trials")
 	var failed string
 	for id := uint64(1); id <= 24; id++ {
 		tr.arrive(id, int(id%2), 100)
@@ -286,77 +286,77 @@
 			tr.at(tr.now+100, func(*Dispatcher) { tr.end(id, k, Finished) })
 		}
 	}
-	tr.check("failing")
+	tr.checkGolden("failing")
 }
 
-func TestShortCapacity(t *testing.T) {
-	s := plain()
+func TestTenantSharesUnderOverload(t *testing.T) {
+	s := baseSettings()
 	s.Tenants = []Tenant{{AllowancePerSec: 4}, {AllowancePerSec: 4}}
 	s.ExcessCredit = 0.1
 	s.Categories[1] = Category{DueTime: 300, Expiry: 5000, Credit: 2, Kind: -1}
-	tr := start(t, s)
-	tr.up("f1")
+	tr := newTrace(t, s)
+	tr.listUp("f1")
 	for id := uint64(100); id < 105; id++ {
-		tr.run(id, 1, 100, 100)
+		tr.runItem(id, 1, 100, 100)
 	}
 	tr.log.Reset()
-	tr.say("full: tenant 0 sends far beyond its share, the excess is deferred at once; tenant 1 waits")
+	tr.comment("full: tenant 0 sends far beyond its share, the excess is deferred at once; tenant 1 waits")
 	for id := uint64(1); id <= 60; id++ {
 		wi := WorkItem{ID: id, Tenant: int(id % 20 / 19), TimeLeft: 5000, Hint: 100}
 		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(wi) })
 	}
 	tr.at(tr.now+1000, func(d *Dispatcher) { tr.end(1, 0, Cancelled) })
-	tr.up("f1")
-	tr.say("f1 is busy with 89: what waits and can no longer end in time is given up at once")
-	one := func(id uint64, category int) {
+	tr.listUp("f1")
+	tr.comment("f1 is busy with 89: what waits and can no longer end in time is given up at once")
+	arrive := func(id uint64, category int) {
 		wi := WorkItem{ID: id, Category: category, Tenant: 1, TimeLeft: 5000, Hint: 100}
 		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(wi) })
 	}
-	one(89, 0)
-	one(90, 1)
+	arrive(89, 0)
+	arrive(90, 1)
 	tr.at(tr.now+400, func(d *Dispatcher) { d.HandOffProgressed(89, 0, true, 0) })
-	one(91, 0)
+	arrive(91, 0)
 	tr.at(tr.now+1, func(*Dispatcher) { tr.end(89, 0, Finished) })
-	tr.check("short")
+	tr.checkGolden("short")
 }
 
-func TestSiblings(t *testing.T) {
-	s := plain()
+func TestPeerNotices(t *testing.T) {
+	s := baseSettings()
 	s.Dispatchers, s.MayNotifyPeers = 2, true
-	tr := start(t, s)
-	tr.up("f1", "f2")
-	tr.say("siblings are told of a hand-off at once, for longer when it is still out, and when it ends early")
+	tr := newTrace(t, s)
+	tr.listUp("f1", "f2")
+	tr.comment("siblings are told of a hand-off at once, for longer when it is still out, and when it ends early")
 	tr.arrive(1, 0, 100)
 	tr.at(2100, func(*Dispatcher) {})
 	tr.at(2110, func(*Dispatcher) { tr.end(1, 0, Cancelled) })
-	tr.say("a sibling tells of two at f1 and at f2: nothing goes there until one ends, early or when told")
-	tr.say("cut short, unknown worker, unknown sender, our own number: passed over")
-	tell := func(from int, worker string, span float64) {
-		w := named(tr.d, worker)
+	tr.comment("a sibling tells of two at f1 and at f2: nothing goes there until one ends, early or when told")
+	tr.comment("cut short, unknown worker, unknown sender, our own number: passed over")
+	notify := func(from int, worker string, span float64) {
+		w := workerOrStub(tr.d, worker)
 		tr.d.PeerMessageReceived(from, append([]byte(nil), tr.d.encodeNotice(w, span)...))
 	}
 	tr.at(2200, func(d *Dispatcher) {
 		for range 2 {
-			tell(1, "f1", 2000)
-			tell(1, "f2", 500)
+			notify(1, "f1", 2000)
+			notify(1, "f2", 500)
 		}
 		d.PeerMessageReceived(1, []byte{1})
 		d.PeerMessageReceived(1, nil)
-		tell(1, "f9", 500)
-		tell(9, "f1", 0)
-		tell(0, "f1", 0)
+		notify(1, "f9", 500)
+		notify(9, "f1", 0)
+		notify(0, "f1", 0)
 	})
 	tr.arrive(2, 0, 400)
-	tr.at(2300, func(*Dispatcher) { tell(1, "f1", 0); tell(1, "f1", 0) })
+	tr.at(2300, func(*Dispatcher) { notify(1, "f1", 0); notify(1, "f1", 0) })
 	tr.arrive(3, 0, 400)
 	tr.at(2900, func(*Dispatcher) {})
 	tr.note("siblings unseen: %v", tr.d.peerView == blind)
 	tr.at(6000, func(*Dispatcher) {})
 	tr.note("siblings unseen: %v, as none was heard for three seconds", tr.d.peerView == blind)
-	tr.check("siblings")
+	tr.checkGolden("siblings")
 }
 
-func named(d *Dispatcher, id string) *worker {
+func workerOrStub(d *Dispatcher, id string) *worker {
 	if w := d.byID[id]; w != nil {
 		return w
 	}
@@ -364,10 +364,10 @@
 }
 
 // TestDeal looks at many siblings: each computes the same deal by itself.
-func TestDeal(t *testing.T) {
-	s := plain()
+func TestSharersAgreeAcrossDispatchers(t *testing.T) {
+	s := baseSettings()
 	s.Dispatchers, s.MayNotifyPeers = 577, true
-	tr := start(t, s)
+	tr := newTrace(t, s)
 	var all []*Dispatcher
 	for s.Position = range s.Dispatchers {
 		all = append(all, New(s))
@@ -378,19 +378,19 @@
 		}
 		return listed
 	}
-	deal := func(listed []Entry) map[string][]int {
-		dealt := map[string][]int{}
+	sharersOf := func(listed []Entry) map[string][]int {
+		sharers := map[string][]int{}
 		for k, d := range all {
 			d.Listed(ListComplete, listed)
 			for _, w := range d.workers {
 				if w.shared && w.State == Up {
-					dealt[w.Worker] = append(dealt[w.Worker], k)
+					sharers[w.Worker] = append(sharers[w.Worker], k)
 				}
 			}
 		}
-		return dealt
+		return sharers
 	}
-	before, after := deal(list(200)), deal(list(233)[40:])
+	before, after := sharersOf(list(200)), sharersOf(list(233)[40:])
 	counts, moved, least, most := map[int]int{}, 0, 233, 0
 	for w, to := range after {
 		counts[len(to)]++
@@ -410,10 +410,10 @@
 	tr.note("workers by number of dispatchers that share them: %v", counts)
 	tr.note("workers a dispatcher has: %d to %d", least, most)
 	tr.note("workers dealt otherwise once 40 others left and 33 came: %d", moved)
-	tr.say("none of its own is up: any warm one will do, a cold one will not")
+	tr.comment("none of its own is up: any warm one will do, a cold one will not")
 	d := tr.d
-	own := func(e Entry) bool { return slices.Contains(d.chooseSharers(hash(e.Worker)), 0) }
-	others := slices.DeleteFunc(list(20), own)
+	isShared := func(e Entry) bool { return slices.Contains(d.chooseSharers(hash(e.Worker)), 0) }
+	others := slices.DeleteFunc(list(20), isShared)
 	tr.at(100000, func(d *Dispatcher) {
 		others[0].Since = 99000
 		d.Listed(ListComplete, others[:2])
@@ -422,15 +422,15 @@
 		tr.arrive(id, 0, 100)
 	}
 	tr.note("the cold one is %s", others[0].Worker)
-	tr.check("deal")
+	tr.checkGolden("deal")
 }
 
 // TestShares gives dispatchers of one fleet lists of different lengths, as they have while it changes. Each takes a
 // share by its own list; who may warm a worker must not depend on it, or more than its budget allows for would.
-func TestShares(t *testing.T) {
-	s := plain()
+func TestWarmersIndependentOfWorkerList(t *testing.T) {
+	s := baseSettings()
 	s.Dispatchers, s.MayNotifyPeers = 80, true
-	tr := start(t, s)
+	tr := newTrace(t, s)
 	warmers, most := map[string]int{}, 0
 	for turn, up := range []int{10, 30, 60, 300} {
 		var listed []Entry
@@ -453,36 +453,36 @@
 		tr.note("%d workers are up, one is shared by %d", up, tr.d.sharers)
 	}
 	tr.note("a cold worker may be warmed by %d at most, whatever their lists", most)
-	tr.check("shares")
+	tr.checkGolden("shares")
 }
 
 // caller is a dispatcher's call to the service of TestAsking.
-type caller struct {
+type discoveryClient struct {
 	trace
-	called float64 // below 0: none is out
-	calls  int
+	calledAt float64 // below 0: none is out
+	calls    int
 }
 
-func (c *caller) WatchDiscovery(bool) { c.called, c.calls = c.now, c.calls+1 }
+func (c *discoveryClient) WatchDiscovery(bool) { c.calledAt, c.calls = c.now, c.calls+1 }
 
 // TestAsking starts a whole fleet at once before a discovery that serves a call in 62.5 ms, in turn. One that has waited
 // for 2 s has failed, and takes its turn all the same.
-func TestAsking(t *testing.T) {
-	s := plain()
+func TestDiscoveryRetriesOfWholeFleet(t *testing.T) {
+	s := baseSettings()
 	s.Dispatchers, s.DiscoveryOnRequest = 80, true
-	tr := start(t, s)
-	var all []*caller
+	tr := newTrace(t, s)
+	var all []*discoveryClient
 	for range s.Dispatchers {
 		s.Seed += 77777
-		all = append(all, &caller{trace: trace{t: t, d: New(s)}, called: -1})
+		all = append(all, &discoveryClient{trace: trace{t: t, d: New(s)}, calledAt: -1})
 	}
 	free, heard, calls := 0.0, 0, 0 // the service is free then
 	for tr.now = 5; tr.now < 30000 && heard < len(all); tr.now += 5 {
 		for _, c := range all {
 			before := c.calls
-			c.now, c.in = tr.now, func(d *Dispatcher) {
-				if c.called >= 0 && c.called+2000 <= c.now {
-					c.called = -1
+			c.now, c.inbox = tr.now, func(d *Dispatcher) {
+				if c.calledAt >= 0 && c.calledAt+2000 <= c.now {
+					c.calledAt = -1
 					d.Listed(ListUnavailable, nil)
 				}
 			}
@@ -491,50 +491,50 @@
 			}
 			calls++
 			if free = max(free, c.now) + 62.5; free <= c.now+2000 {
-				c.called = math.Inf(1)
+				c.calledAt = math.Inf(1)
 				c.d.Listed(ListComplete, nil)
 				heard++
 			}
 		}
 	}
 	tr.note("%d of %d dispatchers have their list, after %d calls", heard, len(all), calls)
-	tr.check("asking")
+	tr.checkGolden("asking")
 }
 
 // TestSuspicion: a worker that fails, or that a sibling says failed, is drawn last for a while. Words that are cut short,
 // of another kind or from nobody who shares it change nothing; a wrong one costs a turn at most.
 func TestSuspicion(t *testing.T) {
-	s := plain()
+	s := baseSettings()
 	s.Dispatchers, s.MayNotifyPeers = 3, true
-	tr := start(t, s)
-	tr.up("f1", "f2")
+	tr := newTrace(t, s)
+	tr.listUp("f1", "f2")
 	id := uint64(0)
 	draw := func(what string) {
-		clear(tr.sum)
+		clear(tr.handOffs)
 		for range 20 {
 			id++
-			tr.run(id, 0, 100, 100)
+			tr.runItem(id, 0, 100, 100)
 		}
-		tr.note("%s: f1 gets %d of 20, f2 %d", what, tr.sum["f1"], tr.sum["f2"])
+		tr.note("%s: f1 gets %d of 20, f2 %d", what, tr.handOffs["f1"], tr.handOffs["f2"])
 	}
 	draw("at first")
-	word := append(slices.Clone(tr.d.encodeNotice(tr.d.byID["f1"], 0)), suspicionMarker)
-	other := append(slices.Clone(word[:3]), suspicionMarker+1)
+	notice := append(slices.Clone(tr.d.encodeNotice(tr.d.byID["f1"], 0)), suspicionMarker)
+	unknownMark := append(slices.Clone(notice[:3]), suspicionMarker+1)
 	tr.at(tr.now+5, func(d *Dispatcher) {
-		d.PeerMessageReceived(1, other)
-		d.PeerMessageReceived(1, append(word, 0))
-		d.PeerMessageReceived(0, word)
-		d.PeerMessageReceived(3, word)
-		d.PeerMessageReceived(-1, word)
+		d.PeerMessageReceived(1, unknownMark)
+		d.PeerMessageReceived(1, append(notice, 0))
+		d.PeerMessageReceived(0, notice)
+		d.PeerMessageReceived(3, notice)
+		d.PeerMessageReceived(-1, notice)
 	})
 	draw("after words that are none")
-	tr.at(tr.now+5, func(d *Dispatcher) { d.PeerMessageReceived(1, word); d.PeerMessageReceived(1, word) })
+	tr.at(tr.now+5, func(d *Dispatcher) { d.PeerMessageReceived(1, notice); d.PeerMessageReceived(1, notice) })
 	draw("suspected by a sibling")
 	tr.at(tr.now+10000, func(*Dispatcher) {})
 	draw("10 s later")
 	tr.log.WriteString("it fails here: the others are told once\n")
 	tr.at(tr.now+5, func(d *Dispatcher) { d.suspect(d.byID["f1"]); d.suspect(d.byID["f1"]) })
-	tr.up("f1")
+	tr.listUp("f1")
 	draw("f1 alone is left, and suspected")
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListComplete, []Entry{{Worker: "f1", Since: 1}, {Worker: "f2"}}) })
 	draw("a new process of f1 is not suspected")
@@ -547,10 +547,10 @@
 	kept.Check(t, "suspicion", strings.Join(lines, "\n"))
 }
 
-func TestManySiblings(t *testing.T) {
-	s := plain()
+func TestNoticeBudgetAndTagCollision(t *testing.T) {
+	s := baseSettings()
 	s.Dispatchers, s.MayNotifyPeers = 200, true
-	tr := start(t, s)
+	tr := newTrace(t, s)
 	tr.at(1000, func(d *Dispatcher) {
 		var list []Entry
 		for k := range 40 {
@@ -563,17 +563,17 @@
 	}
 	tr.at(4900, func(*Dispatcher) {})
 	tr.log.Reset() // the tellings themselves are many
-	tr.say("each arrival pays for one telling to those that share a worker, no more")
+	tr.comment("each arrival pays for one telling to those that share a worker, no more")
 	tr.note("messages left to send after three hand-offs that lasted long: %d", tr.d.noticesLeft)
-	tr.say("two workers whose names collide, one of them dealt to the sender: only that one counts as loaded")
-	tr.say("a sibling that does not share the worker is passed over")
+	tr.comment("two workers whose names collide, one of them dealt to the sender: only that one counts as loaded")
+	tr.comment("a sibling that does not share the worker is passed over")
 	var v, w *worker
-	dealt := func(hash uint64) *worker { return &worker{idHash: hash, sharers: tr.d.chooseSharers(hash)} }
+	withHash := func(hash uint64) *worker { return &worker{idHash: hash, sharers: tr.d.chooseSharers(hash)} }
 	shares := func(w *worker, from int) bool { return slices.Contains(w.sharers, from) }
 	from := 0
 	for k := 0; v == nil; k++ {
-		v = dealt(hash(strconv.Itoa(k)))
-		w = dealt(v.idHash ^ 1<<40)
+		v = withHash(hash(strconv.Itoa(k)))
+		w = withHash(v.idHash ^ 1<<40)
 		for from = 1; from < 200 && (!shares(v, from) || shares(w, from)); {
 			from++
 		}
@@ -589,81 +589,81 @@
 	}
 	tr.d.PeerMessageReceived(stranger, tr.d.encodeNotice(v, 1000))
 	tr.note("hand-offs told of at one: %d, at the other: %d", len(v.peerLeases), len(w.peerLeases))
-	tr.check("many")
+	tr.checkGolden("many")
 }
 
-func TestColdBudgetOfAll(t *testing.T) {
-	s := plain()
+func TestColdBudgetAcrossDispatchers(t *testing.T) {
+	s := baseSettings()
 	s.Dispatchers, s.Categories[0].DueTime = 200, 5000
-	tr := start(t, s)
-	tr.say("200 dispatchers meet one worker 14 s after its start, each with work for it alone: few may send there")
+	tr := newTrace(t, s)
+	tr.comment("200 dispatchers meet one worker 14 s after its start, each with work for it alone: few may send there")
 	sent := 0
 	for s.Position = range s.Dispatchers {
-		one := start(t, s)
-		one.at(100000, func(d *Dispatcher) { d.Listed(ListComplete, []Entry{{Worker: "f1", Since: 86000}}) })
+		tr2 := newTrace(t, s)
+		tr2.at(100000, func(d *Dispatcher) { d.Listed(ListComplete, []Entry{{Worker: "f1", Since: 86000}}) })
 		for id := uint64(1); id < 20; id++ {
-			one.arrive(id, 0, 100)
+			tr2.arrive(id, 0, 100)
 		}
-		one.at(one.now+500, func(*Dispatcher) {})
-		sent += one.sum["f1"]
+		tr2.at(tr2.now+500, func(*Dispatcher) {})
+		sent += tr2.handOffs["f1"]
 	}
 	tr.now = 100600
 	tr.note("hand-offs of 100 ms each, by all: %d", sent)
-	tr.check("coldall")
+	tr.checkGolden("coldall")
 }
 
-func TestOneMoreWhenPressed(t *testing.T) {
-	s := plain()
+func TestExtraItemWhenAllBusy(t *testing.T) {
+	s := baseSettings()
 	s.Dispatchers = 3
-	tr := start(t, s)
-	tr.up("f1", "f2")
+	tr := newTrace(t, s)
+	tr.listUp("f1", "f2")
 	for id := uint64(1); id <= 5; id++ {
 		tr.arrive(id, 0, 400)
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		r := tr.d.kinds[0].limit[blind]
 		tr.note("sure beyond the first: %d, likely: %d", r.sure, r.likely)
 		if id == 2 {
-			tr.say("both have one; siblings are unseen, so a second is not sure to start, but nothing else has room")
+			tr.comment("both have one; siblings are unseen, so a second is not sure to start, but nothing else has room")
 		}
 	}
-	tr.check("pressed")
+	tr.checkGolden("pressed")
 }
 
 // TestWorkWithoutHint: short work without a hint makes its kind look no faster once others have hints, whether it came
 // before the first hint or after. It guards against a cold worker's budget many times too large: random worlds of
 // weldlab found one sent 1,300 ms of work where 1,043 were its most.
 func TestWorkWithoutHint(t *testing.T) {
-	tr := start(t, plain())
-	tr.up("f1")
+	tr := newTrace(t, baseSettings())
+	tr.listUp("f1")
 	for id := uint64(1); id < 20; id++ {
-		tr.run(id, 0, 0, 2)
+		tr.runItem(id, 0, 0, 2)
 	}
 	tr.note("nobody has hints: the kind's speed is %.0f, by half the due time", math.Exp(-tr.d.kinds[0].logSlow))
 	for id := uint64(20); id < 30; id++ {
-		tr.run(id, 0, 100, 100)
+		tr.runItem(id, 0, 100, 100)
 	}
 	tr.note("with hints: %.1f", math.Exp(-tr.d.kinds[0].logSlow))
 	for id := uint64(30); id < 60; id++ {
-		tr.run(id, 0, 0, 2)
+		tr.runItem(id, 0, 0, 2)
 	}
 	tr.note("after short work without: %.1f", math.Exp(-tr.d.kinds[0].logSlow))
-	tr.check("hintless")
+	tr.checkGolden("hintless")
 }
 
 // TestSureCapacity: the cold budget counts half of what a kind's first answers promise, and one slot where starts are
 // not told.
-func TestSureCapacity(t *testing.T) {
-	for _, told := range []bool{true, false} {
-		s := plain()
-		s.StartNotices = told
+func TestReliableCapacity(t *testing.T) {
+	for _, startNotices := range []bool{true, false} {
+		s := baseSettings()
+		s.StartNotices = startNotices
 		d := New(s)
 		d.kinds[0].workerCapacity = 6
 		d.kinds[0].logSlow = -math.Log(2)
 		first := d.reliableCapacity(&d.kinds[0])
 		d.kinds[0].answers = minReliableAnswers
-		want := map[bool][2]float64{true: {3, 6}, false: {1, 2}}[told]
+		want := map[bool][2]float64{true: {3, 6}, false: {1, 2}}[startNotices]
 		if then := d.reliableCapacity(&d.kinds[0]); math.Abs(first-want[0]) > 1e-9 || math.Abs(then-want[1]) > 1e-9 {
-			t.Errorf("starts told %v: %v, then %v, wanted %v", told, first, then, want)
+			t.Errorf("starts told %v: %v, then %v, wanted %v", startNotices, first, then, want)
 		}
 	}
 }
--- a/internal/dispatch/failing_work_test.go
+++ b/internal/dispatch/failing_work_test.go
@@ -4,13 +4,13 @@
 
 // TestFailsAnywhere: of three workers' work every third work item fails wherever it goes: a few hand-offs tell, then each costs
 // one, no worker is taken out for long and good work goes on; a worker that fails everything is taken out all the same.
-func TestFailsAnywhere(t *testing.T) {
-	s := plain()
+func TestWorkThatFailsAnywhere(t *testing.T) {
+	s := baseSettings()
 	s.Categories[0].DueTime = 5000
-	tr := start(t, s)
-	tr.up("f1", "f2", "f3")
+	tr := newTrace(t, s)
+	tr.listUp("f1", "f2", "f3")
 	sent := map[bool]int{}
-	one := func(id uint64, fails func(worker string) bool) {
+	runOne := func(id uint64, fails func(worker string) bool) {
 		tr.arrive(id, 0, 50)
 		for range 4 {
 			it := tr.d.items[id]
@@ -33,26 +33,26 @@
 			}
 		}
 	}
-	span := func(from uint64, fails func(id uint64, worker string) bool) (handOffs, good, bad int) {
+	run90 := func(from uint64, fails func(id uint64, worker string) bool) (handOffs, good, bad int) {
 		clear(sent)
 		for id := from; id < from+90; id++ {
 			if fails(id, "") {
 				bad++
 			}
-			one(id, func(w string) bool { return fails(id, w) })
+			runOne(id, func(w string) bool { return fails(id, w) })
 		}
 		return sent[true], sent[false], bad
 	}
-	third := func(id uint64, _ string) bool { return id%3 == 0 }
-	if n, good, bad := span(100, third); n > 2*bad || good < 60 {
+	everyThird := func(id uint64, _ string) bool { return id%3 == 0 }
+	if n, good, bad := run90(100, everyThird); n > 2*bad || good < 60 {
 		t.Errorf("at first: %d hand-offs for %d bad items, %d good ones", n, bad, good)
 	}
-	if n, good, bad := span(200, third); n > bad*13/10 || good < 60 {
+	if n, good, bad := run90(200, everyThird); n > bad*13/10 || good < 60 {
 		t.Errorf("once it is known: %d hand-offs for %d bad items, %d good ones", n, bad, good)
 	}
-	span(300, func(uint64, string) bool { return false })
+	run90(300, func(uint64, string) bool { return false })
 	tr.at(tr.now+20000, func(*Dispatcher) {})
-	if n, good, _ := span(400, func(_ uint64, w string) bool { return w == "f1" }); n < 1 || n > 8 || good < 85 {
+	if n, good, _ := run90(400, func(_ uint64, w string) bool { return w == "f1" }); n < 1 || n > 8 || good < 85 {
 		t.Errorf("one worker that fails: %d failed there, %d finished elsewhere", n, good)
 	}
 }
--- a/internal/dispatch/learned_test.go
+++ b/internal/dispatch/learned_test.go
@@ -11,7 +11,7 @@
 )
 
 // succeed is a newer process's dispatcher with the same list, told what the older one knows by the form of the link.
-func (tr *trace) succeed(t *testing.T, s Settings, list []Entry) *trace {
+func (tr *trace) successor(t *testing.T, s Settings, list []Entry) *trace {
 	text, err := json.Marshal(tr.d.Learned())
 	if err != nil {
 		t.Fatal(err)
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	tr.d.Succeed()
-	next := start(t, s)
+	next := newTrace(t, s)
 	next.at(tr.now, func(d *Dispatcher) { d.Listed(ListComplete, list) })
 	next.at(tr.now+1, func(d *Dispatcher) { d.Recall(l) })
 	return next
@@ -29,14 +29,14 @@
 
 // TestLearned: what one process knows the next one knows, hand-offs that are out as leases; a worker that started anew
 // meanwhile is another.
-func TestLearned(t *testing.T) {
-	s := plain()
+func TestLearnedSurvivesHandover(t *testing.T) {
+	s := baseSettings()
 	s.Dispatchers, s.Tenants, s.KeyAffinity, s.LiveWeights = 3, []Tenant{{AllowancePerSec: 100}}, true, true
-	tr := start(t, s)
-	tr.learn()
+	tr := newTrace(t, s)
+	tr.learnSpeeds()
 	tr.d.lostAnswerRate, tr.d.kinds[0].maxWeight, tr.d.kinds[0].fetchTime, tr.d.kinds[0].meanHint = 0.2, 8, 50, 90
 	tr.at(tr.now+5, func(d *Dispatcher) {
-		d.PeerMessageReceived(1, d.encodeNotice(named(d, "s1"), 3000))
+		d.PeerMessageReceived(1, d.encodeNotice(workerOrStub(d, "s1"), 3000))
 		d.Arrived(WorkItem{ID: 1, TimeLeft: 5000, Hint: 100, Key: "a"})
 		d.Arrived(WorkItem{ID: 2, TimeLeft: 5000, Hint: 400, Category: 1})
 	})
@@ -45,7 +45,7 @@
 	for _, w := range tr.d.workers {
 		list = append(list, w.Entry)
 	}
-	next := tr.succeed(t, s, list)
+	next := tr.successor(t, s, list)
 	was, is := tr.d.Learned(), next.d.Learned()
 	if len(was.Workers) != 4 || was.Sampled == 0 || len(was.Keys) == 0 || len(was.Workers[2].Out)+len(was.Workers[3].Out) < 2 {
 		t.Fatalf("little was learned: %+v", was)
@@ -54,7 +54,7 @@
 		t.Errorf("the next knows otherwise (-was +is):\n%s", diff)
 	}
 	list[0].Since = tr.now
-	for _, w := range tr.succeed(t, s, list).d.Learned().Workers {
+	for _, w := range tr.successor(t, s, list).d.Learned().Workers {
 		if w.Worker == list[0].Worker && (w.MinGap != 0 || w.Slow != 0 || w.Sent.Epoch != 0) {
 			t.Errorf("a new process counts as its forerunner: %+v", w)
 		}
@@ -63,54 +63,54 @@
 
 // TestSucceeded: two processes of a dispatcher keep one budget of a cold worker; a job that goes over is not sent twice,
 // and moved if it may be.
-func TestSucceeded(t *testing.T) {
-	s := plain()
+func TestReplacedProcess(t *testing.T) {
+	s := baseSettings()
 	s.Dispatchers, s.Categories[0].DueTime = 4, 5000
 	list := []Entry{{Worker: "f1", Since: 99000}}
-	tr := start(t, s)
+	tr := newTrace(t, s)
 	tr.at(100000, func(d *Dispatcher) { d.Listed(ListComplete, list) })
-	tr.run(1, 0, 100, 690)
+	tr.runItem(1, 0, 100, 690)
 	spent := tr.now
-	tr.say("the older one has spent the budget of the window; neither sends in what is left of it")
-	next := tr.succeed(t, s, list)
-	alone := start(t, s)
-	alone.at(spent, func(d *Dispatcher) { d.Listed(ListComplete, list) })
-	for _, one := range []*trace{tr, next, alone} {
-		one.at(spent+10, func(d *Dispatcher) { d.Arrived(WorkItem{ID: 10, Tenant: -1, TimeLeft: 5000, Hint: 100}) })
-		one.at(spent+300, func(*Dispatcher) {})
+	tr.comment("the older one has spent the budget of the window; neither sends in what is left of it")
+	next := tr.successor(t, s, list)
+	untold := newTrace(t, s)
+	untold.at(spent, func(d *Dispatcher) { d.Listed(ListComplete, list) })
+	for _, each := range []*trace{tr, next, untold} {
+		each.at(spent+10, func(d *Dispatcher) { d.Arrived(WorkItem{ID: 10, Tenant: -1, TimeLeft: 5000, Hint: 100}) })
+		each.at(spent+300, func(*Dispatcher) {})
 	}
-	tr.note("the newer one sent %d, one that was told nothing %d", next.sum["f1"], alone.sum["f1"])
+	tr.note("the newer one sent %d, one that was told nothing %d", next.handOffs["f1"], untold.handOffs["f1"])
 	tr.at(spent+2000, func(*Dispatcher) {})
 	next.at(spent+2000, func(*Dispatcher) {})
-	tr.note("after the window: the newer one %d", next.sum["f1"])
+	tr.note("after the window: the newer one %d", next.handOffs["f1"])
 
-	over := start(t, plain())
-	over.up("f1", "f2")
-	at := over.now
+	adopter := newTrace(t, baseSettings())
+	adopter.listUp("f1", "f2")
+	at := adopter.now
 	taken := []Taken{{Worker: "gone", Sent: at - 900, Done: true, Unrun: true}, {Worker: "f1", Sent: at - 500, Started: at - 490}}
-	over.at(at+5, func(d *Dispatcher) {
+	adopter.at(at+5, func(d *Dispatcher) {
 		d.Adopt(WorkItem{ID: 1, Category: 1, Tenant: -1, TimeLeft: 9000, Hint: 100}, taken)
 		d.Adopt(WorkItem{ID: 2, Category: 0, Tenant: -1, TimeLeft: 9000, Hint: 100}, taken)
 	})
-	over.say("both stand still; the exclusive one is left alone, the other is moved")
-	over.at(at+4000, func(*Dispatcher) {})
-	over.at(at+4010, func(d *Dispatcher) { over.end(2, 1, Cancelled) })
-	over.at(at+4020, func(d *Dispatcher) { over.end(1, 1, Finished) })
-	kept.Check(t, "succeeded", tr.log.String()+over.log.String())
+	adopter.comment("both stand still; the exclusive one is left alone, the other is moved")
+	adopter.at(at+4000, func(*Dispatcher) {})
+	adopter.at(at+4010, func(d *Dispatcher) { adopter.end(2, 1, Cancelled) })
+	adopter.at(at+4020, func(d *Dispatcher) { adopter.end(1, 1, Finished) })
+	kept.Check(t, "succeeded", tr.log.String()+adopter.log.String())
 }
 
 // TestManyAtOnce: a worker that starts each at once is found to take as many as MostFit, and no more than are started at once
 // where it starts fewer. A process that learned from one with fewer or more places takes over what it has room for.
-func TestManyAtOnce(t *testing.T) {
+func TestLearnedConcurrency(t *testing.T) {
 	for _, slots := range []int{5, 17, MaxConcurrency} {
-		s := plain()
-		tr := start(t, s)
-		tr.up("f1")
+		s := baseSettings()
+		tr := newTrace(t, s)
+		tr.listUp("f1")
 		for id := uint64(1); id <= uint64(slots); id++ {
 			tr.arrive(id, 0, 400)
 			tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		}
-		if got := tr.sum["f1"]; got != slots {
+		if got := tr.handOffs["f1"]; got != slots {
 			t.Errorf("of %d that start at once %d were handed off", slots, got)
 		}
 		if got := tr.d.kinds[0].slots(); got != slots {
@@ -129,7 +129,7 @@
 					r.Most, r.More, want = places-2, places-2, MaxConcurrency
 				}
 			}
-			next := start(t, s)
+			next := newTrace(t, s)
 			next.at(1, func(d *Dispatcher) { d.Recall(l) })
 			if got := next.d.kinds[0].slots(); got != want {
 				t.Errorf("%d slots, recalled with %d places: %d, wanted %d", slots, places, got, want)
--- a/internal/dispatch/no_hint_test.go
+++ b/internal/dispatch/no_hint_test.go
@@ -5,11 +5,11 @@
 // TestCategoryCosts: where nobody gives hints, work that takes far longer than its due time is not taken to be late: its
 // category's cost is learned, and what it may take grows with it. Each category has its own.
 func TestCategoryCosts(t *testing.T) {
-	s := plain()
+	s := baseSettings()
 	s.Categories = []Category{{DueTime: 100, DueStretch: 2.5, Expiry: 5000, Credit: 5, Kind: -1},
 		{DueTime: 600, DueStretch: 2, Expiry: 8000, Credit: 5, Kind: -1}}
-	tr := start(t, s)
-	tr.up("f1", "f2", "s1")
+	tr := newTrace(t, s)
+	tr.listUp("f1", "f2", "s1")
 	takes := [2]float64{365, 90}
 	var took, expected [2]float64 // of the last of each
 	for id := uint64(1); id <= 60; id++ {
@@ -35,12 +35,12 @@
 }
 
 // TestCostFades: work that was once far too long for its time is tried again: else nothing could tell otherwise.
-func TestCostFades(t *testing.T) {
-	s := plain()
+func TestLearnedCostDecays(t *testing.T) {
+	s := baseSettings()
 	s.Categories[0] = Category{DueTime: 100, Expiry: 5000, Credit: 1, Kind: -1}
-	tr := start(t, s)
-	tr.up("f1")
-	tr.run(1, 0, 0, 900)
+	tr := newTrace(t, s)
+	tr.listUp("f1")
+	tr.runItem(1, 0, 0, 900)
 	tr.arrive(2, 0, 0)
 	if it := tr.d.items[2]; it != nil && len(it.handOffs) > 0 {
 		t.Fatal("what is sure to come late was handed off")
@@ -53,13 +53,13 @@
 }
 
 // TestFirstHint: with the first hint, what was learned without any is given up.
-func TestFirstHint(t *testing.T) {
-	tr := start(t, plain())
-	tr.up("f1")
+func TestFirstHintDiscardsGuesses(t *testing.T) {
+	tr := newTrace(t, baseSettings())
+	tr.listUp("f1")
 	for id := uint64(1); id < 10; id++ {
-		tr.run(id, 0, 0, 700)
+		tr.runItem(id, 0, 0, 700)
 	}
-	tr.run(10, 0, 100, 100)
+	tr.runItem(10, 0, 100, 100)
 	if d := tr.d; !d.anyHint || d.guessHint(0) != 100 || d.hintsTotal != 1 {
 		t.Errorf("hinted %v, guess %.0f, %d hints", d.anyHint, d.guessHint(0), d.hintsTotal)
 	}
@@ -67,11 +67,11 @@
 
 // TestFarZone: where even the nearest start of a zone takes longer than a beat, a start that takes as long as a new connection
 // there is not late: the work is not called off to be sent on by yet another new connection. Nearby nothing changes.
-func TestFarZone(t *testing.T) {
+func TestSlowStartInFarZone(t *testing.T) {
 	for zone, gap := range []float64{2, 35} {
-		s := plain()
+		s := baseSettings()
 		s.SecondCopies, s.MaxHandOffs = true, 6
-		tr := start(t, s)
+		tr := newTrace(t, s)
 		tr.at(tr.now+1, func(d *Dispatcher) {
 			d.Listed(ListComplete, []Entry{{Worker: "f1", Zone: zone}, {Worker: "f2", Zone: zone}})
 		})
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -9,14 +9,14 @@
 
 // TestLastHandOffIsKept: a start that is late is no failure. Where siblings are unseen another worker only looks free, and
 // the last hand-off is kept for what is lost: a worker may run what was called off, and nothing is left for it then.
-func TestLastHandOffIsKept(t *testing.T) {
+func TestLastHandOffReserved(t *testing.T) {
 	for allowed, moves := range map[int]int{2: 0, 3: 1} {
-		s := plain()
+		s := baseSettings()
 		s.SecondCopies, s.MaxHandOffs, s.Dispatchers = true, allowed, 2
-		tr := start(t, s)
-		tr.up("f1", "f2")
+		tr := newTrace(t, s)
+		tr.listUp("f1", "f2")
 		for id := uint64(100); id < 110; id++ {
-			tr.run(id, 0, 100, 100)
+			tr.runItem(id, 0, 100, 100)
 		}
 		tr.log.Reset()
 		tr.arrive(1, 0, 100)
@@ -29,17 +29,17 @@
 
 // keyed runs a pool of dispatchers that have no word of one another, with as many workers as do; each key is asked for in
 // turn at each of them. It tells at how many workers each key's work ran, the most of them and on the mean.
-func keyed(t *testing.T, keyed bool, keys int) (most int, mean float64) {
+func workersPerKey(t *testing.T, keyed bool, keys int) (most int, mean float64) {
 	at := map[string]map[string]bool{}
 	for number := range 40 {
-		s := plain()
+		s := baseSettings()
 		s.Seed, s.Dispatchers, s.Position, s.KeyAffinity, s.Categories[0].DueTime = uint64(number+1), 40, number, keyed, 5000
-		tr := start(t, s)
+		tr := newTrace(t, s)
 		var names []string
 		for k := range 40 {
 			names = append(names, "f"+strconv.Itoa(k))
 		}
-		tr.up(names...)
+		tr.listUp(names...)
 		for id := range uint64(keys * 8) {
 			key := "key" + strconv.Itoa(int(id)%keys)
 			tr.at(tr.now+5, func(d *Dispatcher) {
@@ -62,25 +62,25 @@
 
 // TestKeysHaveHomes: all dispatchers send a key's work to the same few workers, which keep what it stands for; where keys
 // cost nothing each draws among its own share. A key that is all of the traffic is not kept to a few.
-func TestKeysHaveHomes(t *testing.T) {
-	if most, mean := keyed(t, true, 40); mean > 4 || most > 8 {
+func TestKeyAffinity(t *testing.T) {
+	if most, mean := workersPerKey(t, true, 40); mean > 4 || most > 8 {
 		t.Errorf("40 keys: each at %.1f of 40 workers, the widest at %d", mean, most)
 	}
-	if _, mean := keyed(t, false, 40); mean < 30 {
+	if _, mean := workersPerKey(t, false, 40); mean < 30 {
 		t.Errorf("40 keys that cost nothing: each at %.1f of 40 workers", mean)
 	}
-	if most, _ := keyed(t, true, 1); most < 30 {
+	if most, _ := workersPerKey(t, true, 1); most < 30 {
 		t.Errorf("one key for all: at %d of 40 workers", most)
 	}
 }
 
 // TestKeyMovesOn: while its first worker is busy a key's work goes to the next in its order, and back when it is free. While
 // both are busy it waits, though six others are idle: anywhere else it would be one more fetch.
-func TestKeyMovesOn(t *testing.T) {
-	s := plain()
+func TestBusyPreferredWorker(t *testing.T) {
+	s := baseSettings()
 	s.KeyAffinity, s.Categories[0].DueTime = true, 5000
-	tr := start(t, s)
-	tr.up("f1", "f2", "f3", "f4", "f5", "f6", "f7", "f8")
+	tr := newTrace(t, s)
+	tr.listUp("f1", "f2", "f3", "f4", "f5", "f6", "f7", "f8")
 	where := map[uint64]string{}
 	send := func(id uint64, key string) {
 		tr.at(tr.now+5, func(d *Dispatcher) {
@@ -114,15 +114,15 @@
 
 // TestAnswersLost: work starts and runs, yet many answers never come. What is overdue leaves the books, and rerunnable work
 // is sent once more while the first may still run; exclusive work never is. Once answers come again nothing is copied.
-func TestAnswersLost(t *testing.T) {
-	s := plain()
+func TestLostAnswers(t *testing.T) {
+	s := baseSettings()
 	s.SecondCopies, s.MaxHandOffs = true, 2
-	tr := start(t, s)
-	tr.up("f1", "f2", "f3", "f4")
+	tr := newTrace(t, s)
+	tr.listUp("f1", "f2", "f3", "f4")
 	for id := uint64(100); id < 130; id++ {
-		tr.run(id, 0, 100, 100)
+		tr.runItem(id, 0, 100, 100)
 	}
-	silent := func(id uint64, category int, span float64) (handOffs, running int) {
+	runSilent := func(id uint64, category int, span float64) (handOffs, running int) {
 		tr.arrive(id, category, 400)
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		w := tr.d.items[id].handOffs[0].worker
@@ -130,27 +130,27 @@
 		it := tr.d.items[id]
 		return len(it.handOffs), w.running
 	}
-	if n, _ := silent(1, 0, 700); n != 1 {
+	if n, _ := runSilent(1, 0, 700); n != 1 {
 		t.Errorf("before anything is known: %d hand-offs", n)
 	}
 	tr.at(tr.now+3000, func(*Dispatcher) {}) // it stands still
 	for id := uint64(2); id < 6; id++ {
-		silent(id, 0, 2700)
+		runSilent(id, 0, 2700)
 		for k := range tr.d.items[id].handOffs {
 			tr.at(tr.now+1, func(*Dispatcher) { tr.end(id, k, Cancelled) })
 		}
 	}
-	if n, running := silent(6, 0, 700); n != 2 || running != 0 {
+	if n, running := runSilent(6, 0, 700); n != 2 || running != 0 {
 		t.Errorf("where answers vanish: %d hand-offs, %d in the books of the first worker", n, running)
 	}
 	tr.at(tr.now+1, func(*Dispatcher) { tr.end(6, 1, Finished) })
-	if n, running := silent(7, 1, 700); n != 1 || running != 0 {
+	if n, running := runSilent(7, 1, 700); n != 1 || running != 0 {
 		t.Errorf("exclusive: %d hand-offs, %d in the books", n, running)
 	}
 	for id := uint64(200); id < 260; id++ {
-		tr.run(id, 0, 100, 100)
+		tr.runItem(id, 0, 100, 100)
 	}
-	if n, running := silent(8, 0, 700); n != 1 || running != 1 {
+	if n, running := runSilent(8, 0, 700); n != 1 || running != 1 {
 		t.Errorf("answers come again: %d hand-offs, %d in the books", n, running)
 	}
 }
@@ -158,14 +158,14 @@
 // TestOneAtATime: a worker gets one hand-off of a work item at a time. Where the first may still be there, as it is silent, its
 // connection broke or it was called off, and a second one elsewhere was turned away, the third never goes to the first's worker,
 // though nobody else has room; where the first ended for certain it does.
-func TestOneAtATime(t *testing.T) {
+func TestOneHandOffPerWorkerAtATime(t *testing.T) {
 	for _, first := range []Outcome{-1, ConnReset, Cancelled, TimedOut, Failed, Full} {
-		s := plain()
+		s := baseSettings()
 		s.SecondCopies, s.MaxHandOffs = true, 5
-		tr := start(t, s)
-		tr.up("f1", "f2")
+		tr := newTrace(t, s)
+		tr.listUp("f1", "f2")
 		for id := uint64(100); id < 130; id++ {
-			tr.run(id, 0, 100, 100)
+			tr.runItem(id, 0, 100, 100)
 		}
 		tr.d.lostAnswerRate = 0.9 // answers vanish: work is copied
 		tr.arrive(1, 0, 400)
@@ -212,12 +212,12 @@
 		keyed          bool
 		first, avoided int
 	}{{0, false, 1, 1}, {0.2, false, 1, 0}, {0.2, false, 2, 1}, {0.2, true, 1, 1}} {
-		s := plain()
+		s := baseSettings()
 		s.KeyAffinity = c.keyed
-		tr := start(t, s)
-		tr.up("f1")
+		tr := newTrace(t, s)
+		tr.listUp("f1")
 		for id := uint64(100); id < 130; id++ {
-			tr.run(id, 0, 100, 100)
+			tr.runItem(id, 0, 100, 100)
 		}
 		avoided := 0
 		for id := range uint64(c.first) {
@@ -240,9 +240,9 @@
 // come late there. Such a list is no change of the fleet.
 func TestLiveWeights(t *testing.T) {
 	for _, live := range []bool{true, false} {
-		s := plain()
+		s := baseSettings()
 		s.LiveWeights = live
-		tr := start(t, s)
+		tr := newTrace(t, s)
 		list := func(weights ...float64) {
 			tr.at(tr.now+5, func(d *Dispatcher) {
 				var list []Entry
@@ -254,50 +254,50 @@
 		}
 		list(8, 8)
 		for id := uint64(100); id < 130; id++ {
-			tr.run(id, 0, 100, 100)
+			tr.runItem(id, 0, 100, 100)
 		}
-		due := tr.d.resetAt
+		resetBefore := tr.d.resetAt
 		list(0.5, 8) // fifteen for each core
-		if live && tr.d.resetAt != due {
+		if live && tr.d.resetAt != resetBefore {
 			t.Error("weights alone had the lanes learned anew")
 		}
-		clear(tr.sum)
+		clear(tr.handOffs)
 		for id := uint64(200); id < 230; id++ {
-			tr.run(id, 0, 100, 100)
+			tr.runItem(id, 0, 100, 100)
 		}
-		if sent := tr.sum["f1"] > 0; sent == live {
-			t.Errorf("live weights %v: %d of 30 to the one that is far behind", live, tr.sum["f1"])
+		if sent := tr.handOffs["f1"] > 0; sent == live {
+			t.Errorf("live weights %v: %d of 30 to the one that is far behind", live, tr.handOffs["f1"])
 		}
 		list(8, 8)
-		clear(tr.sum)
+		clear(tr.handOffs)
 		for id := uint64(300); id < 330; id++ {
-			tr.run(id, 0, 100, 100)
+			tr.runItem(id, 0, 100, 100)
 		}
-		if tr.sum["f1"] == 0 {
+		if tr.handOffs["f1"] == 0 {
 			t.Errorf("live weights %v: nothing to f1 once it is free", live)
 		}
 	}
 }
 
 // TestFetchesApart: a fetch adds the same to small work and large; it must not pass for slowness of the kind.
-func TestFetchesApart(t *testing.T) {
-	s := plain()
+func TestFetchTimeSeparateFromSpeed(t *testing.T) {
+	s := baseSettings()
 	s.KeyAffinity, s.Categories[0].DueTime = true, 5000
-	tr := start(t, s)
-	tr.up("f1", "f2")
+	tr := newTrace(t, s)
+	tr.listUp("f1", "f2")
 	for id := uint64(100); id < 500; id++ {
 		hint := 40.0
 		if id%4 == 0 {
 			hint = 1000
 		}
-		tr.run(id, 0, hint, hint/2+100)
+		tr.runItem(id, 0, hint, hint/2+100)
 	}
 	k := &tr.d.kinds[0]
 	if slow := math.Exp(k.logSlow); slow < 0.45 || slow > 0.56 || k.fetchTime < 70 || k.fetchTime > 130 {
 		t.Errorf("%.2f of the hint and %.0f ms, want 0.5 and 100", slow, k.fetchTime)
 	}
-	tr = start(t, s)
-	tr.learn()
+	tr = newTrace(t, s)
+	tr.learnSpeeds()
 	if !tr.d.kinds[0].speedKnown || !tr.d.kinds[1].speedKnown {
 		t.Error("a kind that got small work alone learned no speed")
 	}
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -9,9 +9,9 @@
 )
 
 // wide starts a dispatcher that knows so many workers of each kind, listed kind by kind, every fourth in its own zone.
-func wide(t *testing.T, s Settings, counts ...int) *trace {
+func newLargePool(t *testing.T, s Settings, counts ...int) *trace {
 	t.Helper()
-	tr := start(t, s)
+	tr := newTrace(t, s)
 	tr.at(1, func(d *Dispatcher) {
 		var list []Entry
 		for k, n := range counts {
@@ -26,13 +26,13 @@
 
 // TestManyNoneMissed: with more workers than a draw looks at, work finds one exactly if any of them all may take it, whatever
 // they are busy with, and none that may not.
-func TestManyNoneMissed(t *testing.T) {
+func TestLargePoolFindsEligibleWorker(t *testing.T) {
 	found, missed := 0, 0
 	for seed := range uint64(400) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		s := plain()
+		s := baseSettings()
 		s.Seed, s.Kinds, s.PreferOwnZone = seed, 3, seed%2 == 0
-		tr := wide(t, s, 1+r.IntN(1200), 1+r.IntN(1200), scanLimit)
+		tr := newLargePool(t, s, 1+r.IntN(1200), 1+r.IntN(1200), scanLimit)
 		d := tr.d
 		d.meanHint, d.cutoff = 20, 20
 		for k := range d.kinds {
@@ -67,17 +67,17 @@
 			cat.Kind, it.cat = r.IntN(3), &cat
 		}
 		d.minCredit = creditLikely
-		var may []*worker
+		var eligible []*worker
 		for _, w := range d.candidates {
 			if d.mayDraw(it, w) {
-				may = append(may, w)
+				eligible = append(eligible, w)
 			}
 		}
 		d.beginScan()
-		if got := d.placeItem(it); got != (len(may) > 0) || got && !slices.Contains(may, it.handOffs[0].worker) {
-			t.Fatalf("seed %d: sent on %v, %d workers may take it, %v", seed, got, len(may), it.handOffs)
+		if got := d.placeItem(it); got != (len(eligible) > 0) || got && !slices.Contains(eligible, it.handOffs[0].worker) {
+			t.Fatalf("seed %d: sent on %v, %d workers may take it, %v", seed, got, len(eligible), it.handOffs)
 		}
-		if len(may) > 0 {
+		if len(eligible) > 0 {
 			found++
 		} else {
 			missed++
@@ -90,17 +90,17 @@
 
 // TestManyEven: of more workers than a draw looks at each is drawn as often, wherever it stands in the list, near or far, as
 // where all are looked at.
-func TestManyEven(t *testing.T) {
-	s := plain()
+func TestLargePoolDrawsEvenly(t *testing.T) {
+	s := baseSettings()
 	s.Categories[0].DueTime = 5000
 	const items, workers = 30000, 1500
-	tr := wide(t, s, workers)
+	tr := newLargePool(t, s, workers)
 	for id := range uint64(items) {
-		tr.run(id, 0, 20, 2)
+		tr.runItem(id, 0, 20, 2)
 	}
 	near, chi := 0, 0.
 	for w := range workers {
-		n := tr.sum[fmt.Sprintf("a%d", w)]
+		n := tr.handOffs[fmt.Sprintf("a%d", w)]
 		if w%4 == s.Zone {
 			near += n
 		}
@@ -116,9 +116,9 @@
 
 // TestManyLooked: while most workers have credit a round looks at as many as it needs, however many there are; of a batch
 // that comes at once each goes to another.
-func TestManyLooked(t *testing.T) {
-	looked := func(n int) (most int) {
-		tr := wide(t, plain(), n, n)
+func TestLargePoolExaminesFewWorkers(t *testing.T) {
+	maxExamined := func(n int) (most int) {
+		tr := newLargePool(t, baseSettings(), n, n)
 		for id := range uint64(20) {
 			tr.at(tr.now+5, func(d *Dispatcher) {
 				for k := range uint64(10) {
@@ -131,8 +131,8 @@
 			}
 			most = max(most, count)
 		}
-		if len(tr.sum) != 200 {
-			t.Errorf("%d workers: 200 work items went to %d of them", 2*n, len(tr.sum))
+		if len(tr.handOffs) != 200 {
+			t.Errorf("%d workers: 200 work items went to %d of them", 2*n, len(tr.handOffs))
 		}
 		racks := map[int]bool{} // of the list's first kind, by tens: neighbours there stand side by side
 		tr.at(tr.now+5, func(d *Dispatcher) {
@@ -150,7 +150,7 @@
 		}
 		return most
 	}
-	few, lots := looked(1000), looked(9000)
+	few, lots := maxExamined(1000), maxExamined(9000)
 	if bound := 4 * (scanLimit + 200); few > bound || lots > bound {
 		t.Errorf("a round looked at %d of 2,000 workers, and at %d of 18,000; no more than %d were wanted", few, lots, bound)
 	}
@@ -178,14 +178,14 @@
 }
 
 // TestManyNear: where crossing to another zone has a price, of many workers the near ones are drawn first.
-func TestManyNear(t *testing.T) {
-	s := plain()
+func TestLargePoolPrefersOwnZone(t *testing.T) {
+	s := baseSettings()
 	s.PreferOwnZone = true
-	tr := wide(t, s, 1000)
+	tr := newLargePool(t, s, 1000)
 	for id := range uint64(100) {
-		tr.run(id, 0, 20, 2)
+		tr.runItem(id, 0, 20, 2)
 	}
-	for name := range tr.sum {
+	for name := range tr.handOffs {
 		var number int
 		if fmt.Sscanf(name[1:], "%d", &number); number%4 != 0 {
 			t.Errorf("%s of another zone got work while all near ones were free", name)
@@ -194,28 +194,28 @@
 }
 
 // TestNamed: a message is understood of workers that came after others were named.
-func TestNamed(t *testing.T) {
-	s := plain()
+func TestNoticeForNewWorker(t *testing.T) {
+	s := baseSettings()
 	s.Dispatchers, s.MayNotifyPeers = 2, true
-	tr := wide(t, s, 300)
-	tell := func(id string) int {
+	tr := newLargePool(t, s, 300)
+	notify := func(id string) int {
 		w := tr.d.byID[id]
 		tr.at(tr.now+5, func(d *Dispatcher) { d.PeerMessageReceived(1, []byte{byte(w.idHash >> 8), byte(w.idHash), 200}) })
 		return len(w.peerLeases)
 	}
-	if n := tell("a7"); n != 1 {
+	if n := notify("a7"); n != 1 {
 		t.Errorf("%d hand-offs were heard of at a worker", n)
 	}
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "new"}}) })
-	if n := tell("new"); n != 1 {
+	if n := notify("new"); n != 1 {
 		t.Errorf("%d hand-offs were heard of at a worker that came later", n)
 	}
 	tr.at(tr.now+5, func(d *Dispatcher) { d.PeerMessageReceived(1, nil) }) // nothing to be named
 }
 
 // TestManySome: where a look at some is enough, these are others each time, and in the end all.
-func TestManySome(t *testing.T) {
-	tr := wide(t, plain(), 1000)
+func TestSomeCandidatesCoverAll(t *testing.T) {
+	tr := newLargePool(t, baseSettings(), 1000)
 	met := map[*worker]bool{}
 	for range 20000 {
 		some := tr.d.someCandidates()
@@ -229,7 +229,7 @@
 	if len(met) != 1000 { // the first and the last are in one look of 745
 		t.Errorf("20,000 looks met %d of 1,000 workers", len(met))
 	}
-	if few := wide(t, plain(), scanLimit); len(few.d.someCandidates()) != scanLimit {
+	if few := newLargePool(t, baseSettings(), scanLimit); len(few.d.someCandidates()) != scanLimit {
 		t.Error("of few workers not all are some")
 	}
 }
--- a/internal/dispatch/worker_list_test.go
+++ b/internal/dispatch/worker_list_test.go
@@ -4,12 +4,12 @@
 
 // TestWrongList: where only draining binds, workers that the list drops go on being used by steps, one that is gone indeed
 // costs a few hand-offs that never ran, one seen as draining stays bound, one that no list named is never sent to.
-func TestWrongList(t *testing.T) {
-	s := plain()
+func TestListWithoutLiveWorkers(t *testing.T) {
+	s := baseSettings()
 	s.OnlyDrainingBinds, s.Categories[0].DueTime = true, 5000
-	tr := start(t, s)
-	tr.up("f1", "f2", "f3")
-	one := func(id uint64, end Outcome) {
+	tr := newTrace(t, s)
+	tr.listUp("f1", "f2", "f3")
+	runOne := func(id uint64, end Outcome) {
 		tr.arrive(id, 0, 100)
 		tr.at(tr.now+1, func(d *Dispatcher) {
 			if it := d.items[id]; it != nil && it.outstanding > 0 && end == Finished {
@@ -26,33 +26,33 @@
 		})
 	}
 	for id := uint64(1); id < 4; id++ {
-		one(id, Finished)
+		runOne(id, Finished)
 	}
-	tr.say("f3 drains; then an empty list: f1 and f2 go on, f3 does not, nor does one that was never in service")
+	tr.comment("f3 drains; then an empty list: f1 and f2 go on, f3 does not, nor does one that was never in service")
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f3", State: Draining}}) })
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListComplete, nil) })
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f4", State: Gone}}) })
 	for id := uint64(10); id < 16; id++ {
-		one(id, Finished)
+		runOne(id, Finished)
 	}
-	tr.say("f2 is listed again, f1 is not: with work out there its weight halves, and doubles as it answers")
+	tr.comment("f2 is listed again, f1 is not: with work out there its weight halves, and doubles as it answers")
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f2"}}) })
 	for id := uint64(20); id < 26; id++ {
-		one(id, Finished)
+		runOne(id, Finished)
 	}
-	f1 := named(tr.d, "f1")
-	tr.note("weight of f1 %.3f, listed workers %v", tr.d.drawWeight(f1)/tr.d.kinds[0].workerCapacity, first(tr.d.Pool()))
-	tr.say("f1 is gone indeed: three that cannot connect, then nothing more")
+	f1 := workerOrStub(tr.d, "f1")
+	tr.note("weight of f1 %.3f, listed workers %v", tr.d.drawWeight(f1)/tr.d.kinds[0].workerCapacity, firstOf(tr.d.Pool()))
+	tr.comment("f1 is gone indeed: three that cannot connect, then nothing more")
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f2", State: Draining}}) })
 	for id := uint64(30); id < 40; id++ {
-		one(id, ConnectFailed)
+		runOne(id, ConnectFailed)
 		tr.at(tr.now+4000, func(*Dispatcher) {})
 	}
-	tr.say("listed again")
+	tr.comment("listed again")
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListComplete, []Entry{{Worker: "f1"}}) })
 	tr.at(tr.now+20000, func(*Dispatcher) {})
-	one(50, Finished)
-	tr.check("wronglist")
+	runOne(50, Finished)
+	tr.checkGolden("wronglist")
 }
 
-func first(a, _ int) int { return a }
+func firstOf(a, _ int) int { return a }
