--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,10 +1,12 @@
-// Package dispatch decides where each work item (wi) goes, and when it is given up. It is size interval task
-// assignment (Turchetta and Gardner): bins by cost hint, lanes of kinds by speed, a worker at random within
-// the kind. docs/design.md says what was kept, changed and why, with the condition of each departure.
+// Package dispatch decides which worker gets each work item (wi), and when the dispatcher gives an item up.
+// It implements size interval task assignment (Turchetta and Gardner): work items fall into bins by cost
+// hint, worker kinds into lanes by speed, and a worker is drawn at random within the kind. docs/design.md
+// lists what was kept from the paper, what was changed and why, and the condition for each departure.
 //
-// Call Round(now, in, out) whenever something came in: it has in call the plain methods below (Arrived,
-// Answered, ...), then places what is held; decisions go straight to out. The interface lives in port.go,
-// what is remembered in state.go and pools.go, the form of messages between siblings in siblings.go.
+// Call Round(now, in, out) whenever an event has arrived. Round delivers the events by calling the
+// EventHandler methods below (Arrived, HandOffEnded, ...), then places the pending work items and writes its
+// decisions to out. The interface is in interface.go, the state in state.go and pools.go, and the format of
+// messages between peers in peers.go. Peers are the other dispatchers that use the same workers.
 package dispatch
 
 import (
@@ -14,38 +16,43 @@
 )
 
 const (
-	cutoffResetInterval = 5000   // time between cutoff resets
-	startSmoothing      = 0.1    // smoothing of how many fit, for each start
-	kindSmoothing       = 0.05   // smoothing of a kind's speed, for each answer
-	workerSmoothing     = 0.25   // the same for a worker beside its kind
-	queueSmoothing      = 0.2    // smoothing of the wait at a kind, for each start
-	queueHalfLife       = 2000   // it halves in this time without a start
-	leakStep            = 0.02   // rise of the leak for each refusal of a slow worker
-	leakHalfLife        = 5000   // the leak halves in this time
-	minReliableAnswers  = 8      // answers after which a kind's speed is relied on
-	suspicionPeriod     = 1e4    // a worker that failed work is drawn last for this time
-	failureSmoothing    = 0.05   // smoothing of how much work fails, for each answer
-	improbable          = 0.06   // chance below which failures in a row are the worker's
-	refailThreshold     = 0.8    // share of failed work that fails again from which all of it is taken to
-	overdueFactor       = 1.25   // times the running time expected: an answer is overdue
-	lostAnswerThreshold = 0.1    // share of silent ends from which work is copied while it may still run
-	retryAnywayShare    = 1. / 8 // part of it that goes on all the same, to see whether that still holds
-	goneAfterFailures   = 3      // failures in a row after which a worker that the list has dropped counts as gone
-	minUnlistedWeight   = 1. / 8 // least weight in the draw of one that it has dropped
-	firstEjection       = 500    // first time out of the draw after a failure; doubles with each in a row
-
-	maxSharers     = 32    // dispatchers that share a worker, at most
-	maxWarmers     = 8     // those of them that may send there while it is cold; so many share it at least
-	wantedWorkers  = 10    // workers that a dispatcher wants to draw from
-	keySpareFactor = 1.5   // workers for a key's work, of what its part of all work fills
-	peerTimeout    = 3000  // siblings are unseen when none was heard for this time
-	tenantWindow   = 5000  // time over which a tenant's arrivals are counted
-	trafficWindow  = 60000 // time over which this dispatcher's traffic is weighed against that of siblings
-	slownessDecay  = 1e4   // a worker's own speed fades back to its kind's over this time
-	scanLimit      = 256   // workers beyond which a draw looks at some; of each pool as many that fit are enough
+	cutoffResetInterval = 5000 // Time between recomputations of the cutoff and the lanes, in ms.
+	startSmoothing      = 0.1  // Smoothing factor of startsAtOnce, for each start.
+	kindSmoothing       = 0.05 // Smoothing factor of a kind's speed, for each answer.
+	workerSmoothing     = 0.25 // Smoothing factor of a worker's speed relative to its kind, for each answer.
+	queueSmoothing      = 0.2  // Smoothing factor of a kind's queue wait, for each start.
+	queueHalfLife       = 2000 // The estimated queue wait halves in this time without a start, in ms.
+	leakStep            = 0.02 // Increase of the leak for each refusal by a slow worker.
+	leakHalfLife        = 5000 // The leak halves in this time, in ms.
+	minReliableAnswers  = 8    // A kind's speed is relied on after this many answers.
+	suspicionPeriod     = 1e4  // A suspected worker is drawn last for this time, in ms.
+	failureSmoothing    = 0.05 // Smoothing factor of the failure rates, for each answer.
+	improbable          = 0.06 // Failures in a row that are less probable than this by chance are the worker's fault.
+	refailThreshold     = 0.8  // Refail rate above which any work that fails is assumed to fail on every worker.
+	overdueFactor       = 1.25 // An answer is overdue after this multiple of the expected running time.
+	// Rate of lost answers from which overdue work is copied while the first hand-off may still run.
+	lostAnswerThreshold = 0.1
+	// Share of the work assumed to fail anywhere that is retried all the same, to test that assumption.
+	retryAnywayShare  = 1. / 8
+	goneAfterFailures = 3      // An unlisted worker counts as gone after this many failures in a row.
+	minUnlistedWeight = 1. / 8 // Lower bound of an unlisted worker's weight in the draw.
+	// Ejection time after a first failure, in ms; it doubles with each further failure in a row.
+	firstEjection = 500
+
+	maxSharers    = 32 // Upper bound of the dispatchers that share a worker.
+	maxWarmers    = 8  // Sharers that may send to a worker while it is cold; at least this many share each worker.
+	wantedWorkers = 10 // Number of workers that a dispatcher wants to draw from.
+	// Preferred workers of a key, as a multiple of the workers that the key's share of all work fills.
+	keySpareFactor = 1.5
+	peerTimeout    = 3000  // The peers' load is unknown when no peer message was received for this time, in ms.
+	tenantWindow   = 5000  // Window over which a tenant's arrivals are counted, in ms.
+	trafficWindow  = 60000 // Window over which notices sent and received are compared, in ms.
+	slownessDecay  = 1e4   // Time constant, in ms, with which a worker's own speed decays to that of its kind.
+	// With more candidates than this, a draw examines some; this many eligible workers of a pool are enough.
+	scanLimit = 256
 )
 
-// Round takes in what came in and decides. Nothing is decided outside it.
+// Round delivers the events of the inbox and decides. The dispatcher makes no decision outside Round.
 func (d *Dispatcher) Round(now float64, in Inbox, out Executor) {
 	d.now, d.out = now, out
 	in.Deliver(d)
@@ -54,7 +61,7 @@
 		out.SetTimer(0, d.sweepInterval)
 		d.sweep()
 		d.renewSubscription()
-		// While no sibling is heard their work is unseen: the books would show workers free that are not.
+		// Without messages from peers their load is unknown: workers would look free that are not.
 		if d.peerView = informed; d.params.dispatchers > 1 && now-d.lastPeerMessage > peerTimeout {
 			d.peerView = blind
 		}
@@ -65,9 +72,12 @@
 	d.placePending()
 }
 
-// deal lists the dispatchers that may share the worker, in an order drawn for it: one of each part of them,
-// by its id and their numbers alone, so that all deal alike without a word and no other worker's coming or
-// going changes it. The first d.shares share it: each learns the more of a worker the fewer fill it unseen.
+// chooseSharers lists the dispatchers that may share the worker with the given hash, in a pseudo-random
+// order. It takes one dispatcher from each group, and depends only on the worker's ID and the dispatchers'
+// positions. So all dispatchers compute the same list without exchanging messages, and other workers'
+// arrivals and departures do not change it. The first d.sharers of the list share the worker. The fewer
+// dispatchers share a worker, the more each learns about it, and the less of its load comes from peers that
+// this dispatcher has no information about.
 func (d *Dispatcher) chooseSharers(hash uint64) (sharers []int) {
 	groupHash := func(group int) uint64 { return mix(hash + uint64(group)) }
 	for group := range d.params.groups {
@@ -81,8 +91,9 @@
 	return sharers
 }
 
-// share cuts how many dispatchers share a worker by how many there are beside how many workers are up. Who
-// may warm one does not depend on it: those come first in its deal, whatever list another has.
+// updateSharing sets how many dispatchers share a worker, from the ratio of dispatchers to workers that are
+// up. Who may warm a cold worker does not depend on that number, as warmers are the first of the worker's
+// sharers, even when dispatchers have different lists of workers.
 func (d *Dispatcher) updateSharing() {
 	up := 0
 	for _, w := range d.workers {
@@ -92,7 +103,7 @@
 	}
 	d.sharers = min(max((wantedWorkers*d.params.dispatchers+up-1)/max(up, 1), maxWarmers), d.params.groups)
 	d.minNoticeShare = float64(d.sharers*d.sharers) / (maxSharers * maxSharers)
-	noneShared := true // then it goes to any, though never to a cold one
+	noneShared := true // If so, all workers are candidates; allowed still excludes cold ones.
 	for _, w := range d.workers {
 		w.shared = d.params.keyAffinity || w.sharerRank < d.sharers
 		noneShared = noneShared && !(w.shared && w.State == Up)
@@ -106,8 +117,9 @@
 	d.rebuildPools()
 }
 
-// tell lets those that share the worker know of a hand-off that lasts, and for how long; no span tells that
-// it ended well before. What is short is not worth it. Each arrival pays for mostShare of these: no flood.
+// notifySharers tells the other sharers of a worker that a hand-off will be out for the duration. A duration
+// of 0 says that it ended well before the time announced. Short hand-offs are not worth a notice. Each
+// arrival adds maxSharers messages to the budget, which limits the message rate.
 func (d *Dispatcher) notifySharers(h *handoff, duration float64) {
 	h.notifyAt = d.now + duration
 	if d.mayNotify() {
@@ -127,7 +139,8 @@
 	}
 }
 
-// off takes a hand-off that ended or is lost out of the books, its siblings' too.
+// release stops counting a hand-off that has ended or is lost as load, here and, where worthwhile, at the
+// peers.
 func (d *Dispatcher) release(h *handoff) {
 	if h.counter != nil && h.notifyAt-d.now > d.minNoticeShare*d.avgRun(h.worker) {
 		d.notifySharers(h, 0)
@@ -135,22 +148,24 @@
 	h.setCounter(nil)
 }
 
-// ask keeps the subscription to discovery alive: again when a call failed, after a drawn, doubling time, and
-// when nothing was heard for long. It guards against dispatchers that keep one another from being heard.
+// renewSubscription keeps the subscription to discovery alive. It calls again when a call failed, after a
+// random wait whose mean doubles, and when discovery has sent nothing for long. The random wait guards
+// against dispatchers whose simultaneous calls keep discovery from answering any of them.
 func (d *Dispatcher) renewSubscription() {
 	wait := d.askWait
 	if d.subscribed {
 		wait = d.params.silentAskWait
 	}
 	if d.params.discoveryOnRequest && (d.askedAt < 0 || d.now-d.askedAt >= wait) {
-		d.askedAt, d.askWait = d.now, d.params.maxAskWait // its answer may take long
+		d.askedAt, d.askWait = d.now, d.params.maxAskWait // The answer may take long.
 		d.out.WatchDiscovery(true)
 	}
 }
 
-// Listed takes what discovery says.
+// Listed takes a listing from discovery. Entries of ListChanges update the known workers; the entries of any
+// other type replace them.
 func (d *Dispatcher) Listed(listType ListType, entries []Entry) {
-	if listType == ListUnavailable { // guards against sending to workers whose drain nobody told
+	if listType == ListUnavailable { // The retry guards against sending to workers whose drain was not reported.
 		d.subscribed, d.askedAt = false, d.now
 		d.askWait = min(d.meanAskWait, d.params.maxAskWait) * (0.5 + d.random())
 		d.meanAskWait = 2 * min(d.meanAskWait, d.params.maxAskWait)
@@ -176,7 +191,8 @@
 		}
 		if w == nil {
 			w = d.addWorker(e.Worker)
-		} else if e.Since != w.Since { // a new process: what its forerunner did says nothing of it
+			// A new process of the worker: what was learned of the previous one does not apply.
+		} else if e.Since != w.Since {
 			w.failures, w.ejectedUntil, w.suspectedUntil, w.logSlow, w.fullUntil, w.peerLeases = 0, 0, 0, 0, 0, nil
 		}
 		if e.Kind < 0 || e.Kind >= len(d.kinds) {
@@ -186,7 +202,7 @@
 			k.maxWeight = max(k.maxWeight, e.Weight)
 			w.listedLoad = k.maxWeight/e.Weight - 1
 		}
-		w.Weight = e.Weight // which alone is no change of the fleet
+		w.Weight = e.Weight // A change of weight alone does not count as a change of the fleet.
 		fleetChanged = fleetChanged || w.Entry != e || w.unlisted
 		w.Entry, w.unlisted = e, false
 	}
@@ -196,18 +212,20 @@
 	}
 }
 
-// drop takes a worker off the list. Where only draining binds one that was up stays in the draw by steps, as
-// it answers. It guards against lists that lack live workers; it could cost a few hand-offs that never ran.
+// unlist takes a worker off the list. Where only draining binds, a worker that was up stays in the draw, with
+// a weight that rises as it answers. This guards against lists that omit live workers; the price is a few
+// hand-offs that never ran.
 func (d *Dispatcher) unlist(w *worker) {
 	switch {
-	case !d.params.onlyDrainingBinds || w.State != Up: // one seen as draining stays bound when a later list forgets it
+	// A worker last listed as draining stays excluded when a later list omits it.
+	case !d.params.onlyDrainingBinds || w.State != Up:
 		w.State = Gone
 	case !w.unlisted:
 		w.unlisted, w.unlistedWeight, w.failures = true, 1, min(w.failures, 1)
 	}
 }
 
-// Arrived takes a new work item.
+// Arrived takes a new work item and queues it for placement.
 func (d *Dispatcher) Arrived(wi WorkItem) {
 	it := &item{WorkItem: wi, cat: &d.params.categories[wi.Category], expiry: d.now + wi.TimeLeft}
 	if it.Hint, it.hintGuessed = wi.Hint, wi.Hint <= 0; it.hintGuessed {
@@ -217,7 +235,8 @@
 	}
 	if it.hintGuessed != d.anyHint {
 		remember(&d.recentHints, &d.hintsTotal, it.Hint)
-		if d.hintsTotal&(d.hintsTotal-1) == 0 { // early on, reset as the sample doubles
+		// At first the cutoff is recomputed whenever the number of hints doubles.
+		if d.hintsTotal&(d.hintsTotal-1) == 0 {
 			d.resetAt = d.now
 		}
 	}
@@ -225,10 +244,11 @@
 		it.keyHash = hash(wi.Key)
 		remember(&d.recentKeys, &d.keysTotal, it.keyHash)
 	}
-	// A retry counts from its first try: what is gone of the time that a first try has is past.
+	// The due time of a retry counts from the client's first try. The time spent since then is the time that
+	// a first try of the category has, less the time left.
 	d.maxTimeLeft[wi.Category] = max(d.maxTimeLeft[wi.Category], wi.TimeLeft)
 	elapsed := d.maxTimeLeft[wi.Category] - wi.TimeLeft
-	if wi.ShutdownIn > 0 { // what is taken must be answered by then
+	if wi.ShutdownIn > 0 { // The process ends then: whatever it accepts must be answered by that time.
 		it.expiry = min(it.expiry, d.now+wi.ShutdownIn)
 	}
 	it.dueAt = min(d.now-elapsed+min(it.cat.DueTime+it.cat.DueStretch*it.Hint, it.cat.Expiry), it.expiry)
@@ -241,8 +261,9 @@
 	d.enqueue(it, 0)
 }
 
-// excess counts an arrival of the tenant and tells what part of its traffic lies beyond its share, what
-// arrives elsewhere taken to be like what arrives here, by the messages heard beside those sent.
+// excessShare counts an arrival of the tenant and returns the share of the tenant's traffic beyond its
+// allowance. It assumes that traffic at other dispatchers has the same mix of tenants as here, and estimates
+// its volume from the ratio of notices received to notices sent.
 func (d *Dispatcher) excessShare(tenant int) float64 {
 	if tenant < 0 {
 		return 0
@@ -251,13 +272,14 @@
 	received := d.noticesReceived.sum(d.now, trafficWindow) / float64(max(d.sharers-1, 1))
 	otherTraffic := float64(d.params.dispatchers-1) * (received + 1) / (d.noticesSent.sum(d.now, trafficWindow) + 1)
 	arrived, share := d.arrivals[tenant].sum(d.now, tenantWindow), d.params.tenantShares[tenant]/(1+otherTraffic)
-	if arrived < share+2*math.Sqrt(share) { // may be chance
+	if arrived < share+2*math.Sqrt(share) { // Within two standard deviations: may be chance.
 		return 0
 	}
 	return 1 - share/arrived
 }
 
-// hold queues an item, by rank, that has no more than so many hand-offs out.
+// enqueue adds an item to the pending ones, ordered by priority, unless it has more than maxOutstanding
+// hand-offs outstanding.
 func (d *Dispatcher) enqueue(it *item, maxOutstanding int) {
 	if it.pending || it.answered || it.outstanding > maxOutstanding {
 		return
@@ -270,7 +292,7 @@
 	d.pending = slices.Insert(d.pending, at, it)
 }
 
-// Noticed takes a start or progress notice.
+// HandOffProgressed takes a start notice or a progress notice of a hand-off.
 func (d *Dispatcher) HandOffProgressed(wi uint64, ho int, start bool, _ float64) {
 	it := d.items[wi]
 	if it == nil || ho < 0 || ho >= len(it.handOffs) || it.handOffs[ho].done {
@@ -283,7 +305,9 @@
 		return
 	}
 	h.startedAt, d.recheckPending = d.now, true
-	if !start { // the start notice was lost or is late; else its gap is the one direct sight of the queue
+	// The start notice was lost or is delayed. Otherwise the gap to it is the only direct measure of the
+	// worker's queue.
+	if !start {
 		return
 	}
 	w, k, gap := h.worker, &d.kinds[h.worker.Kind], d.now-h.sentAt
@@ -294,14 +318,15 @@
 	k.queueWait, k.queueWaitAt = d.expectedQueue(k)+(max(0, gap-d.startAllowance(w))-d.expectedQueue(k))*queueSmoothing, d.now
 }
 
-// fits learns how many work items run at once on a worker of the kind: did the nth start at once? With
-// siblings heard and unheard are learned apart; unheard, one more must be nearly sure to start.
+// learnConcurrency learns how many work items run at once on a worker of the kind, from whether the nth
+// started at once. It learns this separately with the peers' load known and unknown. While it is unknown, one
+// more item must be nearly sure to start before it counts as sure.
 func (d *Dispatcher) learnConcurrency(k *kind, h *handoff, atOnce bool) {
 	r, n := &k.limit[h.peerView], min(h.load, len(k.limit[0].startsAtOnce)-1)
 	if atOnce {
 		r.startsAtOnce[n] += startSmoothing * (1 - r.startsAtOnce[n])
 	} else if r.startsAtOnce[n] -= startSmoothing * (1 + r.startsAtOnce[n]); n > r.likely+1 {
-		r.failedProbes++ // one more does not fit: try that ever more rarely
+		r.failedProbes++ // One more does not fit: probe for that ever more rarely.
 		r.nextProbeAt = d.now + 1000*math.Exp2(float64(min(r.failedProbes, 4)))
 	}
 	for r.likely = 0; r.likely+2 < len(r.startsAtOnce) && r.startsAtOnce[r.likely+2] > 0; {
@@ -312,7 +337,8 @@
 	}
 }
 
-// Answered takes the end of a hand-off.
+// HandOffEnded takes the end of a hand-off. Unless that was the final answer, the item is queued again or
+// given up.
 func (d *Dispatcher) HandOffEnded(a HandOffResult) {
 	it := d.items[a.WI]
 	if it == nil || a.HO < 0 || a.HO >= len(it.handOffs) || it.handOffs[a.HO].done {
@@ -332,13 +358,14 @@
 		d.finish(it)
 	case it.outstanding == 0 && (d.now >= it.expiry || len(it.handOffs) >= d.params.maxHandOffs || it.failsAnywhere ||
 		!d.mayRepeat(it, nil)):
-		d.giveUp(it) // nothing more may be sent for it
+		d.giveUp(it) // No further hand-off is allowed.
 	default:
 		d.enqueue(it, 0)
 	}
 }
 
-// judge learns from the end of a hand-off: speed from answers, sickness from failures in a row.
+// learnFromResult learns from the end of a hand-off: a worker's speed from answers, faults from failures in a
+// row.
 func (d *Dispatcher) learnFromResult(it *item, h *handoff, a HandOffResult) {
 	w, k := h.worker, &d.kinds[h.worker.Kind]
 	k.free = max(k.free, int(a.Load.FreeSlots))
@@ -349,35 +376,38 @@
 		d.lostAnswerRate *= 1 - failureSmoothing
 		runTime := a.Elapsed
 		if h.startedAt >= 0 {
-			runTime = d.now - h.startedAt // its running time; without notices, its latency
+			runTime = d.now - h.startedAt // The running time; without start notices, the latency.
 		}
-		if !d.params.startNotices { // no notices: a long answer tells of waiting
+		if !d.params.startNotices { // Without start notices, a long answer is a sign of queueing.
 			d.learnConcurrency(k, h, runTime <= 2*d.expectedTime(it, w))
 		} else if h.startedAt < 0 {
 			return
 		}
-		if it.hintGuessed { // where others have hints, short work without one would make its kind look fast
+		if it.hintGuessed { // Where other work has hints, short work without one would make its kind look fast.
 			d.learnWithoutHint(it, w, max(runTime, d.params.twoRounds/4)*d.warmFraction(w))
 			return
 		}
-		if d.params.keyAffinity { // as speed, what a fetch adds would have small work come late
+		// If the time that a fetch adds counted as slowness, small work would be taken to come too late.
+		if d.params.keyAffinity {
 			k.fetchTime += (max(0, runTime-it.Hint*math.Exp(k.logSlow+d.workerLogSlow(w))) - k.fetchTime) * kindSmoothing
 			if k.meanHint += (it.Hint - k.meanHint) * kindSmoothing; it.Hint < k.meanHint/2 {
 				return
 			}
 			runTime = max(runTime-k.fetchTime, runTime/2)
 		}
-		// By logarithms, so that work far costlier than its hint moves the speed by little.
-		logSlow := math.Log(max(runTime, d.params.twoRounds/4) * d.warmFraction(w) / it.Hint) // as if warm
+		// A logarithm, so that work far costlier than its hint changes the speed by little.
+		// As if the worker were warm.
+		logSlow := math.Log(max(runTime, d.params.twoRounds/4) * d.warmFraction(w) / it.Hint)
 		if k.answers++; !k.speedKnown {
 			k.logSlow, k.speedKnown = logSlow, true
 			return
 		}
 		w.logSlow, w.logSlowAt = d.workerLogSlow(w)*(1-workerSmoothing)+(logSlow-k.logSlow)*workerSmoothing, d.now
-		k.logSlow += (logSlow - k.logSlow) * kindSmoothing * math.Floor(d.warmFraction(w)) // cold ones tell nothing of their kind
+		// Cold workers say nothing about their kind's speed.
+		k.logSlow += (logSlow - k.logSlow) * kindSmoothing * math.Floor(d.warmFraction(w))
 	case Full:
-		d.eject(w)       // it was taken to have room: what fills it is unseen, or it refuses everything
-		if k.lane == 1 { // slow workers refuse: let some large work into the fast lane
+		d.eject(w)       // The worker was expected to have room: unknown load fills it, or it refuses everything.
+		if k.lane == 1 { // Slow workers refuse work: let some large work into the fast lane.
 			d.leak, d.leakAt = min(1, d.currentLeak()+leakStep), d.now
 		}
 	case Failed:
@@ -388,8 +418,10 @@
 	}
 }
 
-// blame finds what failed: the worker if so many in a row are unlikely where as much fails as everywhere; the
-// work if it failed elsewhere too, or if what fails mostly does. It guards against work that nobody can do.
+// attributeFailure decides whether the worker or the work is at fault. The worker is, if so many failures in
+// a row are improbable at the fleet's failure rate. The work is, if it failed at another worker too, or if
+// most work that fails once fails again. This guards against sending work that no worker can do to one worker
+// after another.
 func (d *Dispatcher) attributeFailure(it *item, w *worker) {
 	if it.failedOn != nil && it.failedOn != w {
 		it.failsAnywhere = true
@@ -404,8 +436,9 @@
 	it.failsAnywhere = d.refailRate > refailThreshold && d.random() > retryAnywayShare
 }
 
-// suspect has a worker drawn last for a while, here and at those that share it: each of many dispatchers has
-// few answers to learn from, and one that fails fast is always free. A wrong word costs it its turn alone.
+// suspect makes a worker the last choice for a while, here and at the dispatchers that share it. Each of many
+// dispatchers has few answers to learn from, and a worker that fails fast always looks free. A wrong
+// suspicion only delays the worker's turn.
 func (d *Dispatcher) suspect(w *worker) {
 	remaining := w.suspectedUntil - d.now
 	if w.suspectedUntil = d.now + suspicionPeriod; remaining > suspicionPeriod/2 || !d.mayNotify() {
@@ -414,23 +447,23 @@
 	d.sendToSharers(w, append(d.encodeNotice(w, 0), suspicionMarker))
 }
 
-// fail takes a worker out of the draw, the longer the more failures it had in a row.
+// eject takes a worker out of the draw, for longer with each failure in a row.
 func (d *Dispatcher) eject(w *worker) {
-	if w.failures++; w.unlisted && w.failures >= goneAfterFailures { // list and worker say the same
+	if w.failures++; w.unlisted && w.failures >= goneAfterFailures { // The list and the failures agree that it is gone.
 		w.State, w.unlisted, d.resetAt = Gone, false, d.now
 	}
 	w.ejectedUntil = d.now + min(firstEjection*math.Exp2(float64(w.failures-1)), d.params.warmUpTime)
 }
 
-// Left takes a client's departure.
+// ClientLeft takes a client's departure: the item needs no answer.
 func (d *Dispatcher) ClientLeft(wi uint64) {
 	if it := d.items[wi]; it != nil && !it.answered {
 		d.finish(it)
 	}
 }
 
-// giveUp gives the final answer at once. This is the one place for it: a deferral where trying again is
-// harmless, else a write-off.
+// giveUp gives the final answer without a result: a deferral where trying again is harmless, else a
+// write-off. No other function does so.
 func (d *Dispatcher) giveUp(it *item) {
 	if it.answered {
 		return
@@ -443,7 +476,7 @@
 	d.finish(it)
 }
 
-// end marks an item as answered and calls off what is still out for it.
+// finish marks an item as answered and cancels its outstanding hand-offs.
 func (d *Dispatcher) finish(it *item) {
 	it.answered, it.pending = true, false
 	for k := range it.handOffs {
@@ -454,8 +487,8 @@
 	}
 }
 
-// sweep looks at everything open: what has expired, waits too long or stands still. What is answered but
-// still out counts on, as a cancel may leave it running.
+// sweep checks all open items for expiry, and their hand-offs for long waits and stalls. A hand-off of an
+// answered item stays counted until it ends, as the worker may run it on despite a cancel.
 func (d *Dispatcher) sweep() {
 	keep := d.open[:0]
 	for _, it := range d.open {
@@ -481,10 +514,10 @@
 	d.open = keep
 }
 
-// doubt looks at a hand-off that is out. One that has waited away a fifth of what it can spare is moved if
-// second copies are allowed. One that stands still, or has not started in twice the time that all known
-// before it takes, is lost and no longer counts as load. This guards against hand-offs that vanish without a
-// word.
+// checkHandOff checks a hand-off that has not ended. One that has waited for a fifth of its slack without
+// starting is moved to another worker if second copies are allowed. One that has stalled, or has not started
+// in twice the time that all work known to be ahead of it takes, is lost and no longer counts as load. This
+// guards against hand-offs that disappear without any report.
 func (d *Dispatcher) checkHandOff(it *item, ho int, h *handoff) {
 	overdue, lost := false, false
 	switch waited := d.now - h.sentAt; {
@@ -494,11 +527,12 @@
 		lost = d.now-h.lastNoticeAt > d.params.stallTimeout
 		d.copyOverdue(it, h)
 	default:
-		// Not where a cancel may leave it queued; nor, where others only look free, by the last hand-off.
+		// Not where a cancelled hand-off may stay queued at the worker. Where the peers' load is unknown,
+		// other workers may only look free: the last hand-off is not spent on such a move.
 		slack := it.dueAt - h.sentAt - d.expectedTime(it, h.worker)
 		overdue = d.params.secondCopies && len(it.handOffs)+d.peerView < d.params.maxHandOffs && waited > max(d.startAllowance(h.worker), slack/5)
 		ahead := h.load
-		if d.peerView == blind { // as much again may be there
+		if d.peerView == blind { // Peers may have sent as much again.
 			ahead += d.kinds[h.worker.Kind].slots()
 		}
 		lost = waited > max(d.startAllowance(h.worker), 2*float64(ahead)*d.avgRun(h.worker))
@@ -506,7 +540,7 @@
 	if lost {
 		d.markSilent(h)
 	}
-	// Only rerunnable work is moved: anything else may have had its effect.
+	// Only rerunnable work is moved: other work may already have had its effect.
 	if it.cat.Repeat != Rerunnable || !d.params.mayCancel || it.responding || len(it.handOffs) >= d.params.maxHandOffs {
 		return
 	}
@@ -521,9 +555,9 @@
 	}
 }
 
-// copy takes work that is overdue out of the books and sends it a second time while the first may still run,
-// where many answers never come. It guards against answers that are lost on the way from workers that are
-// well, which would look full and sick. Where answers are merely late it would do work twice.
+// copyOverdue stops counting overdue work as load, and sends it a second time while the first hand-off may
+// still run, where many answers are lost. It guards against answers lost on the way from healthy workers,
+// which would look full and faulty. Where answers are merely delayed it would do work twice.
 func (d *Dispatcher) copyOverdue(it *item, h *handoff) {
 	if d.lostAnswerRate < lostAnswerThreshold || d.now-h.startedAt < overdueFactor*d.expectedTime(it, h.worker) {
 		return
@@ -534,8 +568,9 @@
 	}
 }
 
-// silence takes a hand-off that says no more out of the books. It is the worker's failure unless it started
-// and so many in a row are likely by lost answers alone; a fetch shows no progress either.
+// markSilent stops counting a hand-off as load that no longer reports. That is the worker's failure, unless
+// the work started and so many silent hand-offs in a row are probable from lost answers alone. With key
+// affinity it always is, as work that fetches reports no progress either.
 func (d *Dispatcher) markSilent(h *handoff) {
 	if h.counter == nil {
 		return
@@ -551,7 +586,7 @@
 	d.eject(h.worker)
 }
 
-// reset learns the lanes and the cutoff anew.
+// recomputeCutoff recomputes the lanes and the cutoff, and forgets workers that are gone.
 func (d *Dispatcher) recomputeCutoff() {
 	clear(d.workersByKey)
 	d.resetAt = d.now + cutoffResetInterval
@@ -561,8 +596,8 @@
 	}
 }
 
-// lanes splits the kinds by speed where the lanes' capacities are most alike. It returns the fast lane's
-// part.
+// assignLanes splits the kinds by speed into two lanes whose capacities are as equal as possible. It returns
+// the fast lane's share of the capacity.
 func (d *Dispatcher) assignLanes() float64 {
 	sumLogSlow, speedsKnown, total, cumulative, fast := 0.0, 0.0, 0.0, 0.0, 0.0
 	var order []*kind
@@ -586,7 +621,7 @@
 		}
 	}
 	slices.SortStableFunc(order, func(a, b *kind) int { return cmp.Compare(a.logSlow, b.logSlow) })
-	for _, kd := range order { // a kind goes to the lane in which the middle of its capacity lies
+	for _, kd := range order { // A kind goes into the lane in which the middle of its capacity lies.
 		if cumulative += kd.capacity; 2*cumulative-kd.capacity > total {
 			kd.lane = 1
 		} else {
@@ -596,7 +631,7 @@
 	return fast / max(total, 1e-9)
 }
 
-// cut sets the cutoff such that the sample's cost below it is the given part.
+// setCutoff sets the cutoff such that recent work items below it make up the given share of the total cost.
 func (d *Dispatcher) setCutoff(share float64) {
 	d.sortedHints = append(d.sortedHints[:0], d.recentHints...)
 	slices.Sort(d.sortedHints)
@@ -614,7 +649,8 @@
 	}
 }
 
-// warmth is the part of its capacity that a worker has at least, its growth taken as the slowest.
+// warmFraction is a lower bound for the share of its capacity that a worker has, assuming the slowest
+// warm-up.
 func (d *Dispatcher) warmFraction(w *worker) float64 {
 	age := d.now - w.Since
 	if w.Since <= 0 || age >= d.params.warmUpTime {
@@ -623,15 +659,16 @@
 	return d.params.startCapacity + d.params.warmUpRate*max(age, 0)
 }
 
-// cost is the running time to expect of an item on a worker. A cold one may warm faster than it must.
+// expectedTime is the time that an item is expected to take at a worker, including queueing and fetches. A
+// cold worker may warm up faster than it must.
 func (d *Dispatcher) expectedTime(it *item, w *worker) float64 {
 	k, warmth := &d.kinds[w.Kind], d.warmFraction(w)
 	return it.Hint*math.Exp(k.logSlow+max(d.workerLogSlow(w), math.Log(warmth)))/warmth + k.fetchTime +
 		max(0, w.queueDrainedAt-d.now, (w.listedLoad-1)*d.avgRun(w), 2*d.expectedQueue(k))
 }
 
-// place hands off what is held, best rank first, and gives up what can no longer end in time. What was held
-// before is looked at again only when something may have changed for it.
+// placePending hands off the pending items, highest priority first, and gives up those that can no longer end
+// in time. An item that was examined before is examined again only when something may have changed for it.
 func (d *Dispatcher) placePending() {
 	if len(d.pending) == 0 || !d.recheckPending && !d.newArrivals {
 		return
@@ -641,8 +678,9 @@
 		if !it.pending || it.examined && !d.recheckPending || anyCredit && d.placeItem(it) {
 			continue
 		}
-		// Capacity is short: what lies beyond a tenant's share gives way first. Then what comes too late.
-		if it.examined = true; it.outstanding > 0 { // a copy that finds no room
+		// Capacity is short. Items beyond a tenant's allowance are given up first, then items that would come
+		// too late.
+		if it.examined = true; it.outstanding > 0 { // A second copy for which no worker has room.
 			it.pending = false
 		} else if it.overShare || d.now+d.minExpectedTime(it) > it.dueAt || !d.mayRepeat(it, nil) {
 			d.giveUp(it)
@@ -652,7 +690,7 @@
 	d.recheckPending, d.newArrivals = false, false
 }
 
-// least is the running time on the fastest kind that may take the item.
+// minExpectedTime is the running time on the fastest kind that may take the item.
 func (d *Dispatcher) minExpectedTime(it *item) float64 {
 	least := math.Inf(1)
 	for k := range d.kinds {
@@ -660,15 +698,16 @@
 			least = min(least, it.Hint*math.Exp(d.kinds[k].logSlow)+d.kinds[k].fetchTime+2*d.expectedQueue(&d.kinds[k]))
 		}
 	}
-	if math.IsInf(least, 1) { // no worker is up just now
+	if math.IsInf(least, 1) { // No worker is up at present.
 		return 0
 	}
 	return least
 }
 
-// choose takes the item's lane by its bin, or the other lane when no worker of its own has credit. Near goes
-// first where crossing has a price, siblings are seen and no key tells where. Only when none has credit, a
-// worker may get one more that is likely, not sure, to start at once. Suspects come last.
+// placeItem hands the item off in its bin's lane, or in the other lane when no worker of its own has credit.
+// Workers of the own zone come first if crossing zones has a price, the peers' load is known and the item has
+// no key. Only when no worker has sure credit does one get an item that is likely, but not sure, to start at
+// once. Suspected workers come last. It reports whether it handed the item off.
 func (d *Dispatcher) placeItem(it *item) bool {
 	lane := 0
 	if it.Hint >= d.cutoff && d.random() >= d.currentLeak() {
@@ -692,9 +731,10 @@
 	return false
 }
 
-// draw takes a kind of the lane by capacity, then a worker uniformly within the kind; a key narrows the draw
-// to its homes. Workers that would be drawn again at once are left out beforehand, which comes to the same.
-// Of very many it looks at some, until enough fit: these stand for the others, and none that fits is missed.
+// drawWorker draws a kind of the lane by capacity, then a worker uniformly within the kind; a key narrows the
+// draw to its preferred workers. Workers loaded above the mean are left out beforehand, which is equivalent
+// to drawing again whenever one is drawn. Of very many workers it examines some until enough are eligible;
+// these represent the others, and no eligible worker is missed. It returns nil when none is eligible.
 func (d *Dispatcher) drawWorker(it *item, lane int, ownZone, allowSuspected bool) *worker {
 	d.eligible = d.eligible[:0]
 	fits := func(w *worker) bool {
@@ -720,9 +760,10 @@
 	return nil
 }
 
-// home deals workers to a key: of each lane the first by rendezvous hashing, alike at all dispatchers.
-// Work is drawn among the first that are useful, as many as its part of all work fills, out of twice as many;
-// else it waits: a fetch slows all others, and work that went anywhere in a rush would keep the rush up.
+// preferredWorkers returns the workers that a key's work goes to: the first of each lane by rendezvous
+// hashing, the same at all dispatchers. Work is drawn among the first that are eligible, as many as the key's
+// share of all work fills, out of twice as many. Otherwise it waits: a fetch slows down all other work, and
+// sending the key's work anywhere under load would prolong the load by further fetches.
 func (d *Dispatcher) preferredWorkers(key uint64) *keyWorkers {
 	if h := d.workersByKey[key]; h != nil {
 		return h
@@ -741,7 +782,8 @@
 		}
 	}
 	for lane, ordered := range order {
-		share := (keyCount - math.Sqrt(keyCount)) / float64(len(d.recentKeys)) // less what may be chance
+		// Minus one standard deviation, which may be chance.
+		share := (keyCount - math.Sqrt(keyCount)) / float64(len(d.recentKeys))
 		h.drawLimit[lane] = max(1, int(math.Round(keySpareFactor*share*float64(len(ordered)))))
 		h.workers = append(h.workers, nearest(ordered, 2*h.drawLimit[lane])...)
 	}
@@ -749,8 +791,8 @@
 	return h
 }
 
-// weight is a worker's in the draw: its kind's capacity, and less of it while the list has dropped it; times
-// the workers that it stands for.
+// drawWeight is a worker's weight in the draw: its kind's capacity, reduced while the worker is unlisted,
+// times the number of workers that it represents.
 func (d *Dispatcher) drawWeight(w *worker) float64 {
 	if w.unlisted {
 		return w.unlistedWeight * d.kinds[w.Kind].workerCapacity * w.standsFor
@@ -758,11 +800,11 @@
 	return d.kinds[w.Kind].workerCapacity * w.standsFor
 }
 
-// credit: a worker earns it by starting and answering what it was given. One hand-off that has not started
-// takes it away, and so do failures in a row and standing still.
+// creditOf says how sure a further item is to start at once at a worker. A worker earns credit by starting
+// and answering its work. It has none while a hand-off has not started, and after an ejection or a stall.
 func (d *Dispatcher) creditOf(w *worker) credit {
 	k := &d.kinds[w.Kind]
-	trial := w.failures > 0 // one at a time
+	trial := w.failures > 0 // One item at a time.
 	if w.State != Up || w.waiting > 0 || trial && w.running > 0 || d.now < w.fullUntil || d.ejected(w) {
 		return creditNone
 	}
@@ -775,35 +817,36 @@
 	return creditNone
 }
 
-// useful tells whether the draw may stop at this worker for this item.
+// mayDraw reports whether the draw may choose this worker for this item.
 func (d *Dispatcher) mayDraw(it *item, w *worker) bool {
 	if d.creditOf(w) < d.minCredit || it.cat.Kind >= 0 && it.cat.Kind != w.Kind {
 		return false
 	}
-	if n := len(it.handOffs); n > 0 && it.handOffs[n-1].worker == w { // it just failed or waited there
+	if n := len(it.handOffs); n > 0 && it.handOffs[n-1].worker == w { // The previous hand-off failed or waited there.
 		return false
 	}
-	trial := w.failures > 0 // may cost the effect
+	trial := w.failures > 0 // A trial may cost exclusive work its one effect.
 	return (!trial || it.cat.Repeat != Exclusive) && d.now+d.expectedTime(it, w) <= it.dueAt && d.allowed(it, w)
 }
 
-// allowed holds the rules that a hand-off may not break.
+// allowed checks the rules that every hand-off must satisfy.
 func (d *Dispatcher) allowed(it *item, w *worker) bool {
-	// One final answer, nothing after it, and within the limit of hand-offs.
+	// One final answer, nothing after it, and no more hand-offs than allowed.
 	if it.answered || it.responding || d.now >= it.expiry || len(it.handOffs) >= d.params.maxHandOffs {
 		return false
 	}
-	// Drains: never to one that this dispatcher was told drains or is gone. No effect twice.
+	// Nothing goes to a worker that this dispatcher knows to drain or to be gone. No effect happens twice.
 	if w.State != Up || it.outstanding > 0 && (!d.params.secondCopies || it.cat.Repeat == Exclusive) ||
 		it.mayBeAt(w) || !d.mayRepeat(it, w) {
 		return false
 	}
-	// Cold workers: by the few that may warm them, by one process of each, within its part of the budget.
+	// A cold worker gets work from its warmers only, at each from one process only, within that dispatcher's
+	// part of the budget.
 	return d.warmFraction(w) == 1 || !d.replaced && w.sharerRank < maxWarmers && d.withinColdBudget(w, max(it.Hint, d.meanHint))
 }
 
-// mayRepeat tells whether what may have run already may be sent to the worker, or to any for nil: exclusive
-// work never, ticketed work while the workers of its group still know it.
+// mayRepeat reports whether an item that may already have run may be sent to the worker, or to any worker for
+// nil. Exclusive work may not. Ticketed work may while the workers of its scope still recognise it.
 func (d *Dispatcher) mayRepeat(it *item, w *worker) bool {
 	if it.mayHaveRun == 0 || it.cat.Repeat == Rerunnable {
 		return true
@@ -822,8 +865,8 @@
 	return true
 }
 
-// sure is a warm worker's capacity as far as it can be relied on: where starts are not told, how many fit is
-// a guess, and the first answers of a kind may be far from its hints.
+// reliableCapacity is a warm worker's capacity as far as it can be relied on. Without start notices the
+// concurrency is a guess, and the first answers of a kind may be far from its hints.
 func (d *Dispatcher) reliableCapacity(k *kind) float64 {
 	capacity := k.workerCapacity
 	if !d.params.startNotices {
@@ -835,14 +878,16 @@
 	return capacity
 }
 
-// coldRoom keeps a cold worker from being pushed over: this dispatcher's part of the budget of any fall
-// window, or one work item when nothing went there for as long as the budget needs for it.
+// withinColdBudget keeps a cold worker from being overloaded. It allows this dispatcher's part of the budget
+// of any overload window, or a single item when nothing was sent there for as long as the budget requires for
+// its cost.
 func (d *Dispatcher) withinColdBudget(w *worker, cost float64) bool {
 	rate := d.params.overloadShare * d.warmFraction(w) * d.reliableCapacity(&d.kinds[w.Kind])
 	return cost+w.recentCost.sum(d.now, d.params.overloadWindow) <= rate*d.params.overloadWindow || d.now-max(w.lastHandOff, w.Since) >= cost/rate
 }
 
-// handOff is the one way out for work: every send passes here and keeps the rules or does not go.
+// handOff hands the item off to the worker if all rules allow it, and reports whether it did. All work leaves
+// the dispatcher through this function.
 func (d *Dispatcher) handOff(it *item, w *worker) bool {
 	if !d.allowed(it, w) {
 		return false
