--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -128,8 +128,10 @@
 	}
 }
 
+// mayNotify reports whether notices are allowed and the message budget covers one more.
 func (d *Dispatcher) mayNotify() bool { return d.params.mayNotifyPeers && d.noticesLeft >= d.sharers-1 }
 
+// sendToSharers sends a message to the other sharers of a worker, at the expense of the message budget.
 func (d *Dispatcher) sendToSharers(w *worker, message []byte) {
 	d.noticesLeft -= d.sharers - 1
 	for _, to := range w.sharers[:d.sharers] {
--- a/internal/dispatch/interface.go
+++ b/internal/dispatch/interface.go
@@ -1,76 +1,78 @@
 package dispatch
 
-// Times are milliseconds with fractions. Categories, tenants, kinds and zones are
-// positions in the lists of the settings, -1 where there is none; ids are the wire's.
+// All times are in milliseconds, with fractions. Categories, tenants, kinds and zones are given as positions
+// in the lists of the settings, -1 if there is none. IDs are those of the wire.
 
-// Settings is what a dispatcher is told when it starts.
+// Settings is the configuration of a dispatcher.
 type Settings struct {
-	Seed                uint64
-	RoundInterval       float64 // least time between rounds
-	Dispatchers         int     // dispatchers that share the workers, this one included
-	Position            int     // this one's among them, from 0
-	Zone                int
-	PreferOwnZone       bool // handing off to another zone has a price
-	KeyAffinity         bool // a fetch of what a work item's key stands for has a price
-	LiveWeights         bool // a listed weight is the worker's size over 1 and the work items that it holds for each core
-	Kinds               int
+	Seed          uint64
+	RoundInterval float64 // Minimum time between rounds.
+	Dispatchers   int     // Number of dispatchers that use the same workers, this one included.
+	Position      int     // This dispatcher's position among them, from 0.
+	Zone          int     // The zone of this dispatcher.
+	PreferOwnZone bool    // Handing off to another zone has a price.
+	KeyAffinity   bool    // Fetching the data that a work item's key refers to has a price.
+	// A listed weight is size / (1 + work items per core), so it falls with the worker's load.
+	LiveWeights         bool
+	Kinds               int // Number of known kinds of worker.
 	Categories          []Category
 	Tenants             []Tenant
-	ExcessCredit        float64 // part of the credit earned beyond a tenant's share
-	StartNotices        bool
-	ProgressInterval    float64 // time between progress notices; 0: none
-	DiscoveryOnRequest  bool    // discovery answers only when asked
-	MayCancel           bool
-	MayNotifyPeers      bool
-	MayAdviseRetryAfter bool
-	SecondCopies        bool
-	MaxRetryAfter       float64
-	MaxHandOffs         int
-	AnswerSlack         float64
-	DiscoveryAskWithin  float64
-	DrainGrace          float64 // after this time nothing may be sent to a worker told to drain; 0: not said
-	OnlyDrainingBinds   bool    // a worker that is called gone, or left out, is not bound by that
-	StartCapacity       float64 // least part of its capacity with which a worker starts
-	WarmUpTime          float64 // it is warm after this time at the latest
-	OverloadMultiple    float64
+	ExcessCredit        float64 // Share of the credit that work beyond a tenant's allowance earns.
+	StartNotices        bool    // Workers send a notice when work starts.
+	ProgressInterval    float64 // Time between progress notices; 0: none are sent.
+	DiscoveryOnRequest  bool    // Discovery sends a listing only on request.
+	MayCancel           bool    // Hand-offs may be cancelled.
+	MayNotifyPeers      bool    // Messages may be sent to peers.
+	MayAdviseRetryAfter bool    // A deferral may say when the client should try again.
+	SecondCopies        bool    // Work may be sent a second time while the first hand-off may still run.
+	MaxRetryAfter       float64 // Longest time that a deferral may advise.
+	MaxHandOffs         int     // For each work item.
+	AnswerSlack         float64 // An answer may come this long after the client's deadline.
+	DiscoveryAskWithin  float64 // Discovery must be asked again within this time.
+	DrainGrace          float64 // After this time nothing may be sent to a worker told to drain; 0: unspecified.
+	OnlyDrainingBinds   bool    // Only a draining entry binds; a worker listed as gone, or omitted, may still be used.
+	StartCapacity       float64 // Least share of its capacity with which a worker starts.
+	WarmUpTime          float64 // A worker is warm after this time at the latest.
+	OverloadMultiple    float64 // A cold worker fails beyond this multiple of its capacity in an OverloadWindow.
 	OverloadWindow      float64
 }
 
-// Repeat says what a category allows once a work item may have run.
+// RepeatPolicy says whether a category's work item may be sent again once it may have run.
 type RepeatPolicy int
 
-// The three kinds of category.
+// The repeat policies. Rerunnable work may always be sent again. Ticketed work may while the workers of its
+// scope recognise and drop a repeat. Exclusive work may never.
 const (
 	Rerunnable RepeatPolicy = iota
 	Ticketed
 	Exclusive
 )
 
-// Group says which workers drop the repeats of a ticketed work item.
+// DedupScope says which workers recognise and drop a repeat of a ticketed work item.
 type DedupScope int
 
-// The groups of workers.
+// The scopes: all workers, or those of the same zone or cell as the worker that got the earlier hand-off.
 const (
 	DedupAll DedupScope = iota
 	DedupZone
 	DedupCell
 )
 
-// Category is what the settings say of one category.
+// Category is the configuration of one category of work items.
 type Category struct {
 	Repeat      RepeatPolicy
 	DedupScope  DedupScope
-	DedupWindow float64 // a ticketed repeat is known for so long
-	DueTime     float64
-	DueStretch  float64 // the due time grows by so much of the hinted cost
-	Expiry      float64
-	Credit      float64
-	Kind        int // the one kind that runs it, or -1
+	DedupWindow float64 // A repeat of ticketed work is recognised for this time.
+	DueTime     float64 // Time after which an answer is of no use, before DueStretch.
+	DueStretch  float64 // Added to the due time for each unit of the hinted cost.
+	Expiry      float64 // Upper bound of the due time.
+	Credit      float64 // Credit that an answer in time earns for each unit of cost.
+	Kind        int     // The only kind that runs it; -1: any.
 }
 
-// Tenant is what the settings say of one tenant.
+// Tenant is the configuration of one tenant.
 type Tenant struct {
-	AllowancePerSec float64 // work items a second within its share, all dispatchers together
+	AllowancePerSec float64 // Work items per second within the tenant's share, over all dispatchers.
 }
 
 // WorkItem is a client's request as it arrives.
@@ -78,16 +80,17 @@
 	ID         uint64
 	Category   int
 	Tenant     int
-	TimeLeft   float64 // until the client gives up
-	ShutdownIn float64 // the dispatcher itself ends after this time; 0: it does not
-	Hint       float64 // cost at speed 1; 0: none
-	Key        string  // what it is about, of which a worker keeps some; empty: nothing
+	TimeLeft   float64 // Time until the client gives up.
+	ShutdownIn float64 // Time until the dispatcher's process ends; 0: it does not end.
+	Hint       float64 // Cost at speed 1; 0: no hint.
+	Key        string  // Names data that the work needs and that workers cache in part; empty: none.
 }
 
-// Outcome is how a hand-off ended.
+// Outcome says how a hand-off ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes. Full: the worker refused the work for lack of room. NotSent: the hand-off never left this
+// process.
 const (
 	Finished Outcome = iota
 	Failed
@@ -99,55 +102,57 @@
 	NotSent
 )
 
-// ProvesUnrun tells whether the outcome proves that the work never ran.
+// ProvesNotRun reports whether the outcome proves that the work never ran.
 func (o Outcome) ProvesNotRun() bool { return o == Full || o == ConnectFailed || o == NotSent }
 
-// MayGoOn tells whether the worker may run the work on, for all that the outcome shows.
+// MayStillRun reports whether the worker may still be running the work, as far as the outcome shows.
 func (o Outcome) MayStillRun() bool { return o == TimedOut || o == ConnReset || o == Cancelled }
 
-// Load is a worker's own report. Values are -1 where the report lacks them.
+// LoadReport is a worker's own report of its load. A value is -1 where the report lacks it.
 type LoadReport struct {
-	FreeSlots float64 // free slots
+	FreeSlots float64
 }
 
-// NoLoad is the report that tells nothing.
+// UnknownLoad is the report without any values.
 var UnknownLoad = LoadReport{FreeSlots: -1}
 
-// Answer ends one hand-off.
+// HandOffResult is the end of one hand-off.
 type HandOffResult struct {
 	WI      uint64
-	HO      int // number of the hand-off, from 0
+	HO      int // Number of the hand-off among the item's, from 0.
 	Outcome Outcome
-	Elapsed float64
-	Final   bool // the work item has ended
+	Elapsed float64 // Time since the hand-off.
+	Final   bool    // The work item has ended.
 	Load    LoadReport
 }
 
-// State is what discovery says of a worker.
+// WorkerState is a worker's state according to discovery.
 type WorkerState int
 
-// The states.
+// The states. Gone also stands for workers that a complete list omits.
 const (
 	Up WorkerState = iota
 	Draining
 	Gone
 )
 
-// Entry is one line of discovery's list.
+// Entry is one worker in a listing from discovery. It travels as JSON to the next process: its fields keep
+// their names.
 type Entry struct {
 	Worker string
 	Zone   int
 	Kind   int
 	Cell   int
 	State  WorkerState
-	Since  float64 // clock time of its last start; 0: long ago
-	Weight float64 // as listed, beside those of others; 0: none
+	Since  float64 // Time of its last start, on the clock of Round; 0: long ago.
+	Weight float64 // Listed capacity relative to other workers; 0: none.
 }
 
-// Form says what a listing holds.
+// ListType says what a listing contains.
 type ListType int
 
-// The forms of a listing.
+// The types: entries that changed, the complete list, a stored list restored at start, or nothing as the call
+// to discovery failed.
 const (
 	ListChanges ListType = iota
 	ListComplete
@@ -155,35 +160,51 @@
 	ListUnavailable
 )
 
-// Receiver takes what came in. The Dispatcher is one; baselines that it is measured beside are others.
+// EventHandler takes the events since the last round. The Dispatcher implements it, and so do the baselines
+// that it is compared with.
 type EventHandler interface {
+	// Arrived takes a new work item.
 	Arrived(wi WorkItem)
+	// ClientLeft takes a client's departure: its work item needs no answer.
 	ClientLeft(wi uint64)
+	// HandOffEnded takes the end of a hand-off.
 	HandOffEnded(a HandOffResult)
+	// HandOffProgressed takes a start notice, or a progress notice with the share of the work that is done.
 	HandOffProgressed(wi uint64, ho int, start bool, progress float64)
+	// ResponseStarted takes the start of a response to the client.
 	ResponseStarted(wi uint64, ho int)
+	// PeerMessageReceived takes a message from the peer at the given position.
 	PeerMessageReceived(from int, data []byte)
+	// Listed takes a listing from discovery.
 	Listed(listType ListType, entries []Entry)
 }
 
-// Inbox holds what came in since the last round.
+// Inbox holds the events since the last round.
 type Inbox interface {
-	// Deliver calls the receiver's methods, one for each thing that came in, in order.
+	// Deliver calls the handler's methods, once for each event, in order of arrival.
 	Deliver(to EventHandler)
 }
 
-// Decider decides once a round: it has the inbox delivered, then writes what is to be done.
+// Decider decides once a round: it has the inbox deliver its events, then writes its decisions to out.
 type Decider interface {
+	// Round runs one round at the given time.
 	Round(now float64, in Inbox, out Executor)
 }
 
-// Writer takes decisions; they act at once, in the order written.
+// Executor carries out decisions at once, in the order in which they are written.
 type Executor interface {
-	HandOff(wi uint64, worker string, timeout float64) // patience 0: until the client gives up
+	// HandOff sends the work item to the worker. A timeout of 0 lasts until the client gives up.
+	HandOff(wi uint64, worker string, timeout float64)
+	// Cancel cancels a hand-off.
 	Cancel(wi uint64, ho int)
-	Defer(wi uint64, retryAfter float64) // pause 0: no advice
+	// Defer answers that the client may try again, after the given time; 0 gives no advice.
+	Defer(wi uint64, retryAfter float64)
+	// WriteOff answers that the work item failed, perhaps after it had its effect.
 	WriteOff(wi uint64)
+	// SetTimer requests a round after the delay.
 	SetTimer(handle uint64, delay float64)
+	// WatchDiscovery subscribes to discovery's listings, or ends the subscription.
 	WatchDiscovery(on bool)
-	SendToPeer(to int, data []byte) // to -1: every sibling
+	// SendToPeer sends a message to the peer at the given position, or to all peers for -1.
+	SendToPeer(to int, data []byte)
 }
--- a/internal/dispatch/learned.go
+++ b/internal/dispatch/learned.go
@@ -1,5 +1,6 @@
-// This file owns what a dispatcher remembers as plain values, to be told to the process that takes its place. It must
-// never decide anything, and what it takes in must not be believed beyond the workers that are listed.
+// This file exports what a dispatcher has learned as plain values, for the process that takes its place, and
+// imports it there. It must not make decisions, and what it imports must apply only to workers that are
+// listed.
 
 package dispatch
 
@@ -8,54 +9,61 @@
 	"slices"
 )
 
-// Learned is all that decisions rest on but the work items themselves. Times are on the clock of Round.
+// Learned is all the state that decisions depend on, except the work items themselves. Times are on the clock
+// of Round. It travels as JSON between an old and a new process, so the fields of this struct, and of those
+// below, keep their names. Comments explain the names that do not speak for themselves.
 type Learned struct {
-	Sample   []float64
-	Sampled  int
-	Most     []float64 // of each category
+	Sample   []float64 // Ring buffer of the last hints.
+	Sampled  int       // Number of hints so far.
+	Most     []float64 // Longest TimeLeft seen of each category.
 	Kinds    []LearnedKind
-	Workers  []LearnedWorker // as listed, gone ones left out
-	Leak     float64
+	Workers  []LearnedWorker // Listed workers, without those that are gone.
+	Leak     float64         // Probability that large work goes to the fast lane, as of LeakAt.
 	LeakAt   float64
-	Heard    float64 // last word of a sibling; 0: none
-	Tellings int
-	Keys     []uint64 // hashed
-	Keyed    int
-	Silent   float64
-	Hinted   bool          // some work item had a hint
-	Costs    []LearnedCost // of each category, where none had
-	Arrivals []Ring
-	Heards   Ring
-	Tolds    Ring
+	Heard    float64       // Time of the last peer message; 0: none.
+	Tellings int           // Messages that may still be sent to peers.
+	Keys     []uint64      // Hashes of the last work items' keys.
+	Keyed    int           // Number of keys so far.
+	Silent   float64       // Share of started work whose answer never came, smoothed.
+	Hinted   bool          // Some work item had a hint.
+	Costs    []LearnedCost // Of each category, where no work has hints.
+	Arrivals []Ring        // Work items of each tenant.
+	Heards   Ring          // Notices received from peers.
+	Tolds    Ring          // Notices sent to peers.
 }
 
-// Ring is a sum over time, by its buckets.
+// Ring is a sum over a sliding window, as its buckets.
 type Ring struct {
 	Cell  []float64
-	Epoch int
+	Epoch int // Number of the newest bucket, counted from time 0.
 }
 
-// LearnedKind is what was learned of a kind of worker.
+// LearnedKind is what was learned of one kind of worker.
 type LearnedKind struct {
-	Slow    float64
-	Known   bool
-	Answers int
-	Rooms   []LearnedRoom
-	Queue   float64
+	Slow    float64       // Logarithm of running time over hint, smoothed.
+	Known   bool          // Slow was learned.
+	Answers int           // Answers that Slow was learned from.
+	Rooms   []LearnedRoom // With the peers' load known, and unknown.
+	Queue   float64       // Smoothed wait before the start, as of QueueAt.
 	QueueAt float64
-	Free    int
-	Hint    float64
-	Fetch   float64
-	Size    float64
+	Free    int     // Most slots that a load report showed free.
+	Hint    float64 // Mean hint of the work that it answered, smoothed.
+	Fetch   float64 // Mean time that fetches add to a work item.
+	Size    float64 // Largest weight that discovery listed for a worker of the kind.
 }
 
-// LearnedCost is what a category's work was seen to cost.
+// LearnedCost is what was learned of a category's cost where no work has hints. Log is the smoothed
+// logarithm of the running time at a worker of average speed, Mean the smoothed running time itself, and At
+// the time of the last answer.
 type LearnedCost struct {
 	Answers       int
 	Log, Mean, At float64
 }
 
-// LearnedRoom is what was learned of how many work items run at once.
+// LearnedRoom is what was learned of how many work items run at once on one worker. Fit[n] says whether the
+// nth item starts at once (1 always, -1 never). More and Most are the items beyond the first that are sure,
+// or likely, to start at once. Tried counts failed probes for one more, and Explore is the earliest time of
+// the next probe.
 type LearnedRoom struct {
 	Fit               []float64
 	More, Most, Tried int
@@ -65,27 +73,29 @@
 // LearnedWorker is what was learned of one worker.
 type LearnedWorker struct {
 	Entry
-	MinGap      float64 // 0: none seen
-	Drained     float64
-	Full        float64
-	Slow        float64
+	MinGap      float64 // Least time from a hand-off to its start notice; 0: none known.
+	Drained     float64 // By then the queue last met there has drained.
+	Full        float64 // Assumed to be full until then.
+	Slow        float64 // Logarithm of its slowness relative to its kind, as of SlowAt.
 	SlowAt      float64
-	Fails       int
-	OutTill     float64
-	SuspectTill float64
-	Sent        Ring
-	Last        float64 // 0: never
-	Out         []Lease // by siblings and by this dispatcher
+	Fails       int     // Failures in a row.
+	OutTill     float64 // Kept out of the draw until then.
+	SuspectTill float64 // Drawn last until then.
+	Sent        Ring    // Cost sent to it in the last overload window.
+	Last        float64 // Time of the last hand-off; 0: never.
+	Out         []Lease // Outstanding hand-offs of this dispatcher and its peers.
 }
 
-// Lease is a hand-off that is out, by whom and until when.
+// Lease is an outstanding hand-off: the dispatcher that sent it, and the time until which it counts as load.
 type Lease struct {
 	From int
 	Till float64
 }
 
+// export copies the sum into its exported form.
 func (r *slidingSum) export() Ring { return Ring{slices.Clone(r.buckets[:]), r.epoch} }
 
+// restore takes over an exported sum, unless the exporting process had another number of buckets.
 func (r *slidingSum) restore(l Ring) {
 	if len(l.Cell) == len(r.buckets) {
 		r.epoch = l.Epoch
@@ -93,7 +103,8 @@
 	}
 }
 
-// finite is x, or 0 for the infinities by which state.go says never: JSON has none.
+// finite returns x, or 0 for an infinity, which the dispatcher's state uses for "never" and JSON cannot
+// represent.
 func finite(x float64) float64 {
 	if math.IsInf(x, 0) {
 		return 0
@@ -101,7 +112,8 @@
 	return x
 }
 
-// Learned tells what this dispatcher knows, its own hand-offs as leases until they should have ended.
+// Learned returns what this dispatcher has learned, with its own hand-offs as leases until they should have
+// ended.
 func (d *Dispatcher) Learned() Learned {
 	l := Learned{Sample: slices.Clone(d.recentHints), Sampled: d.hintsTotal, Most: slices.Clone(d.maxTimeLeft), Leak: d.leak, LeakAt: d.leakAt,
 		Heard: finite(d.lastPeerMessage), Tellings: d.noticesLeft, Keys: slices.Clone(d.recentKeys), Keyed: d.keysTotal, Silent: d.lostAnswerRate, Hinted: d.anyHint,
@@ -146,8 +158,9 @@
 	return l
 }
 
-// Recall takes what a forerunner knew. What is said of a worker counts for those that are listed here with the same
-// start: a worker that started anew is another. It must come before the first work item.
+// Recall imports what the previous process had learned. What it had learned of a worker applies only if the
+// worker is listed here with the same start time: a restarted worker counts as a new one. Recall must be
+// called before the first work item arrives.
 func (d *Dispatcher) Recall(l Learned) {
 	d.recentHints, d.hintsTotal = append(d.recentHints[:0], l.Sample[:min(len(l.Sample), sampleSize)]...), l.Sampled
 	if len(d.recentHints) == 0 {
@@ -178,7 +191,7 @@
 		kd.meanHint, kd.fetchTime, kd.maxWeight = lk.Hint, lk.Fetch, lk.Size
 		for i := range min(len(lk.Rooms), len(kd.limit)) {
 			r, lr := &kd.limit[i], lk.Rooms[i]
-			copy(r.startsAtOnce[:], lr.Fit) // the older process may have had fewer places, or more
+			copy(r.startsAtOnce[:], lr.Fit) // The previous process may have had fewer entries, or more.
 			r.sure, r.likely, r.failedProbes, r.nextProbeAt = min(lr.More, MaxConcurrency-1), min(lr.Most, MaxConcurrency-1), lr.Tried, lr.Explore
 		}
 	}
@@ -204,17 +217,18 @@
 	d.resetAt, d.recheckPending = d.now, true
 }
 
-// Taken is a hand-off that another process made.
+// Taken is a hand-off that another process made, taken over by this one.
 type Taken struct {
 	Worker  string
 	Sent    float64
-	Started float64 // 0: not known to have started
+	Started float64 // 0: not known to have started.
 	Done    bool
-	Unrun   bool // known not to have run
+	Unrun   bool // It is known not to have run.
 }
 
-// Adopt takes a work item over with its hand-offs, in the order in which they were made. What is out counts as load, is
-// doubted and moved as any other; the due time is not known, so all of the client's time is there.
+// Adopt takes over a work item with its hand-offs, in the order in which they were made. Outstanding ones
+// count as load, and are checked and moved like any other. The due time is not known, so the item may use all
+// of the client's time.
 func (d *Dispatcher) Adopt(wi WorkItem, handOffs []Taken) {
 	it := &item{WorkItem: wi, cat: &d.params.categories[wi.Category], expiry: d.now + wi.TimeLeft}
 	if it.Hint, it.hintGuessed = wi.Hint, wi.Hint <= 0; it.hintGuessed {
@@ -227,7 +241,7 @@
 	}
 	for _, t := range handOffs {
 		w := d.byID[t.Worker]
-		if w == nil { // not listed here: it is out there, and nothing is sent there
+		if w == nil { // Not listed here: its hand-off is outstanding, and nothing more is sent to it.
 			w = &worker{Entry: Entry{Worker: t.Worker, Kind: len(d.kinds) - 1, State: Gone}, minStartGap: math.Inf(1)}
 		}
 		h := handoff{worker: w, sentAt: t.Sent, lastNoticeAt: d.now, startedAt: -1, load: d.knownLoad(w) + 1, peerView: d.peerView, done: t.Done,
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -6,27 +6,30 @@
 	"slices"
 )
 
-// A message names one worker, by 16 bits of its id's hash, and tells for how long its sender has a further
-// hand-off out there: a byte, on a scale of sixteenths of doublings; 0 for one that ended. Workers whose
-// names collide are told apart by the deal, unless the two dispatchers share both: then both count as
-// loaded until the time told.
+// A notice identifies one worker by 16 bits of its ID's hash, and says for how long its sender has a further
+// hand-off outstanding there: one byte, in sixteenths of a doubling; 0 for a hand-off that ended. Where two
+// workers have the same 16 bits, the sender tells them apart, as only dispatchers that share a worker send
+// notices of it. If the two dispatchers share both workers, both count as loaded for the announced time.
 
-// suspicion as a fourth byte: the message tells of the worker itself, that it failed work.
+// suspicionMarker is the fourth byte of a message that reports the worker itself as suspected, as it failed
+// work.
 const suspicionMarker = 1
 
+// hash returns a well-mixed hash of an ID or a key.
 func hash(id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return mix(h.Sum64())
 }
 
-// mix spreads its bits over all others (the finalizer of MurmurHash3).
+// mix spreads each bit of x over all others (the finalizer of MurmurHash3).
 func mix(x uint64) uint64 {
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
 	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
 	return x ^ x>>33
 }
 
+// encodeNotice encodes a notice in a buffer that the next call reuses.
 func (d *Dispatcher) encodeNotice(w *worker, duration float64) []byte {
 	code := 0.
 	if duration > 0 {
@@ -36,6 +39,7 @@
 	return d.msgBuf
 }
 
+// decodeNotice returns the duration that a notice announces, and false if it is not about the worker.
 func decodeNotice(w *worker, data []byte) (duration float64, ok bool) {
 	if len(data) != 3 || data[0] != byte(w.idHash>>8) || data[1] != byte(w.idHash) {
 		return 0, false
@@ -46,7 +50,7 @@
 	return math.Exp2(float64(data[2]) / 16), true
 }
 
-// named are the workers of the part that a message may name.
+// candidatesNamedBy returns the candidates that a message may be about.
 func (d *Dispatcher) candidatesNamedBy(data []byte) []*worker {
 	if len(data) < 2 {
 		return nil
@@ -60,7 +64,8 @@
 	return d.candidatesByTag[uint16(data[0])<<8|uint16(data[1])]
 }
 
-// Heard takes a sibling's message.
+// PeerMessageReceived takes a message from a peer: a notice of a hand-off, or a suspicion. It ignores
+// messages from unknown senders, and notices of workers that the sender does not share.
 func (d *Dispatcher) PeerMessageReceived(from int, data []byte) {
 	if from < 0 || from >= d.params.dispatchers || from == d.params.position {
 		return
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -1,5 +1,6 @@
-// This file owns which workers of this dispatcher's part a round has looked at, so that what a draw costs does not grow with
-// all that are known. It decides nothing of a worker: whether one may be drawn is asked of dispatch.go, of each alone.
+// This file keeps track of which candidates a round has examined, so that the cost of a draw does not grow
+// with the number of known workers. It makes no decision about a worker: whether one may be drawn is decided
+// in dispatch.go, for each worker by itself.
 
 package dispatch
 
@@ -8,7 +9,7 @@
 	"slices"
 )
 
-// credit is how sure a further work item is to start at once at a worker.
+// credit says how sure a further work item is to start at once at a worker.
 type credit int
 
 const (
@@ -17,25 +18,27 @@
 	creditSure
 )
 
-// A pool holds workers that are drawn from together: all of the part, or where these are many those of one kind, near or far.
+// pool holds workers that are drawn from together: all candidates, or where there are many, those of one kind
+// that are in the dispatcher's own zone, or outside it.
 type pool struct {
 	workers  []*worker
-	kind     int // -1: workers of any kind, near and far
+	kind     int // -1: workers of any kind and zone.
 	ownZone  bool
-	examined int // how many of all this round has looked at
-	start    int // where it began
+	examined int // Number of workers that this round has examined.
+	start    int // Index of the first one.
 	stride   int
-	ready    [creditSure + 1][]*worker // those found with credit, by it; in a pool of any kind all as sure
+	// Examined workers that have credit, by credit; a pool of any kind lists them all under creditSure.
+	ready [creditSure + 1][]*worker
 }
 
-// pool cuts the part into pools.
+// rebuildPools divides the candidates into pools.
 func (d *Dispatcher) rebuildPools() {
 	d.pools, d.candidatesByTag = d.pools[:0], nil
 	if len(d.candidates) <= scanLimit {
 		d.pools = append(d.pools, pool{workers: d.candidates, kind: -1})
 		return
 	}
-	at := make([]int, 2*len(d.kinds)) // one past its place in pools
+	at := make([]int, 2*len(d.kinds)) // Index in d.pools plus one; 0: no pool yet.
 	for _, w := range d.candidates {
 		near := w.Zone == d.params.zone
 		k := 2 * w.Kind
@@ -51,7 +54,7 @@
 	}
 }
 
-// survey begins a round's look at the workers. It tells whether any may have credit.
+// beginScan starts a round's examination of the workers. It reports whether any worker may have credit.
 func (d *Dispatcher) beginScan() bool {
 	d.anySuspected, d.minCredit = false, creditLikely
 	for k := range d.pools {
@@ -60,7 +63,7 @@
 		for c := range p.ready {
 			p.ready[c] = p.ready[c][:0]
 		}
-		if p.kind >= 0 { // each round sees others first
+		if p.kind >= 0 { // Each round starts with other workers.
 			p.start, p.stride = int(d.random()*float64(len(p.workers))), d.randomStride(len(p.workers))
 			continue
 		}
@@ -72,7 +75,8 @@
 	return len(d.pools) > 0
 }
 
-// step draws a stride that leads through all n places: neighbours in the list are often neighbours in the building.
+// randomStride returns a random stride that visits all n positions. Neighbours in the list are often
+// neighbours in the building, so a draw should not take them together.
 func (d *Dispatcher) randomStride(n int) int {
 	for {
 		if stride := 1 + int(d.random()*float64(n)); gcd(stride, n) == 1 {
@@ -88,7 +92,7 @@
 	return a
 }
 
-// look takes the next worker of the pool into those that are ready, if it has credit.
+// examineNext examines the next worker of the pool and adds it to the ready ones if it has credit.
 func (d *Dispatcher) examineNext(p *pool) {
 	w := p.workers[(p.start+p.examined*p.stride)%len(p.workers)]
 	p.examined++
@@ -103,7 +107,7 @@
 	p.ready[c] = append(p.ready[c], w)
 }
 
-// gather takes workers that fit into the draw, the first of those given, no more than most.
+// collect adds to the draw the first of the given workers that fit, at most limit.
 func (d *Dispatcher) collect(workers []*worker, limit int, fits func(*worker) bool) {
 	for _, w := range workers {
 		if fits(w) {
@@ -115,8 +119,9 @@
 	}
 }
 
-// gatherMany takes workers that fit from each pool of the lane, as many as are enough where it has many: each of them stands
-// for its part of those that were not looked at. With likely credit wanted, sure credit was looked for before, in vain.
+// collectFromPools adds to the draw workers that fit from each pool of the lane, up to scanLimit from each;
+// each of them represents its part of the workers that were not examined. When likely credit is wanted, an
+// earlier pass has found no worker with sure credit.
 func (d *Dispatcher) collectFromPools(it *item, lane int, ownZone bool, fits func(*worker) bool) {
 	for k := range d.pools {
 		p := &d.pools[k]
@@ -144,7 +149,8 @@
 	}
 }
 
-// nearest are the first n of them by far, in order. All are sorted only where most are wanted.
+// nearest returns the first n workers by key distance, in order. It sorts all of them only if most are
+// wanted.
 func nearest(workers []*worker, n int) []*worker {
 	order := func(a, b *worker) int { return cmp.Compare(a.keyDistance, b.keyDistance) }
 	if n*n >= len(workers) {
@@ -162,7 +168,8 @@
 	return first
 }
 
-// some are workers of the part to look at where it is not worth looking at all: those in reach of one draw.
+// someCandidates returns candidates to examine where examining all is not worth the cost: as many as one draw
+// examines.
 func (d *Dispatcher) someCandidates() []*worker {
 	if len(d.candidates) <= scanLimit {
 		return d.candidates
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	sampleSize    = 512 // hints remembered for the cutoff, and keys
-	stalledAfter  = 2.5 // progress intervals without a word: a hand-off stands still
-	firstAskWait  = 0.4 // mean wait after a failed call to discovery, of the time within which to ask
-	silentAskWait = 3.  // the same for a subscription that says nothing
+	sampleSize   = 512 // Number of recent hints kept for the cutoff, and of recent keys.
+	stalledAfter = 2.5 // A hand-off has stalled after this many progress intervals without a notice.
+	firstAskWait = 0.4 // Mean wait after a failed call to discovery, as a share of DiscoveryAskWithin.
+	// Wait after which a subscription without messages is renewed, as a multiple of DiscoveryAskWithin.
+	silentAskWait = 3.
 )
 
-// figures are what decisions use of the settings.
+// parameters holds the values that decisions use, derived from Settings.
 type parameters struct {
 	categories         []Category
-	tenantShares       []float64 // work items of each tenant within its share in one tenantSpan
+	tenantShares       []float64 // Work items within each tenant's share in one tenantWindow.
 	excessCredit       float64
 	dispatchers        int
-	position           int // this dispatcher's among them
-	groups             int // of all dispatchers; one of each may share a worker
+	position           int // This dispatcher's position among them.
+	groups             int // Groups of dispatchers; one of each group may share a worker.
 	zone               int
 	preferOwnZone      bool
 	keyAffinity        bool
@@ -31,19 +32,20 @@
 	mayCancel          bool
 	secondCopies       bool
 	maxHandOffs        int
-	maxRetryAfter      float64 // 0: clients take no advice
+	maxRetryAfter      float64 // 0: clients are given no advice.
 	twoRounds          float64
-	stallTimeout       float64 // no progress for so long: it stands still
-	firstAskWait       float64 // mean wait after a first failed call to discovery
-	maxAskWait         float64 // the same after many
-	silentAskWait      float64 // a subscription is asked for anew after this time without a word
+	stallTimeout       float64 // A hand-off has stalled after this time without progress.
+	firstAskWait       float64 // Mean wait after the first failed call to discovery.
+	maxAskWait         float64 // Upper bound of the mean wait after repeated failures.
+	silentAskWait      float64 // A subscription without messages is renewed after this time.
 	startCapacity      float64
-	warmUpRate         float64 // part of its capacity that a cold worker gains in a millisecond, at least
+	warmUpRate         float64 // Least share of its capacity that a cold worker gains in a millisecond.
 	warmUpTime         float64
 	overloadWindow     float64
-	overloadShare      float64 // this dispatcher's part of the multiple that pushes a cold worker over
+	overloadShare      float64 // This dispatcher's part of OverloadMultiple, beyond which a cold worker fails.
 }
 
+// derive computes the parameters from the settings.
 func derive(s Settings) parameters {
 	dispatchers := max(s.Dispatchers, 1)
 	groups := min(dispatchers, maxSharers)
@@ -63,13 +65,14 @@
 	return params
 }
 
-// A ring sums what happened in the last span of time, by buckets used again. It holds one bucket
-// more than a span has, so that it never forgets early.
+// slidingSum sums values over the most recent window of time, in buckets that are reused. It has one bucket
+// more than the window, so that no value is dropped early.
 type slidingSum struct {
 	buckets [11]float64
 	epoch   int
 }
 
+// advance clears the buckets that have left the window, and returns the index of the current one.
 func (r *slidingSum) advance(now, window float64) int {
 	epoch := int(now / window * float64(len(r.buckets)-1))
 	for e := max(r.epoch+1, epoch-len(r.buckets)+1); e <= epoch; e++ {
@@ -79,8 +82,10 @@
 	return epoch % len(r.buckets)
 }
 
+// add counts x at the time now.
 func (r *slidingSum) add(now, window, x float64) { r.buckets[r.advance(now, window)] += x }
 
+// sum returns the sum over the window up to now.
 func (r *slidingSum) sum(now, window float64) (sum float64) {
 	r.advance(now, window)
 	for _, x := range r.buckets {
@@ -89,114 +94,118 @@
 	return sum
 }
 
-// A kind of worker with what was learned of it.
+// kind holds what was learned of one kind of worker.
 type kind struct {
-	logSlow        float64 // log of running time over hint, smoothed
+	logSlow        float64 // Logarithm of running time over hint, smoothed.
 	speedKnown     bool
-	answers        int                 // that taught its speed
-	limit          [2]concurrencyLimit // with siblings' work seen, and unseen
-	queueWait      float64             // smoothed wait before the start, as of queueAt
+	answers        int                 // Answers that its speed was learned from.
+	limit          [2]concurrencyLimit // Learned with the peers' load known (informed), and unknown (blind).
+	queueWait      float64             // Smoothed wait before the start, as of queueWaitAt.
 	queueWaitAt    float64
-	lane           int     // 0: small bins, 1: large
-	meanHint       float64 // mean hint of what it answered, smoothed
-	fetchTime      float64 // mean time that fetches add to a work item
-	maxWeight      float64 // most weight that the list gave one
-	free           int     // most slots that a report showed free
-	workerCapacity float64 // capacity of one worker as of the last reset: speed times slots
-	capacity       float64 // capacity as of the last reset
+	lane           int     // 0: small work; 1: large work.
+	meanHint       float64 // Mean hint of the work that it answered, smoothed.
+	fetchTime      float64 // Mean time that fetches add to a work item.
+	maxWeight      float64 // Largest weight that discovery listed for a worker of the kind.
+	free           int     // Most slots that a load report showed free.
+	workerCapacity float64 // Capacity of one worker as of the last recomputation: speed times slots.
+	capacity       float64 // Capacity of all its workers as of the last recomputation.
 }
 
-// Whether the work of siblings is seen.
+// Whether the load that peers put on workers is known from their notices.
 const (
 	informed = iota
 	blind
 )
 
-// MostFit is how many work items that run at once on one worker can be learned.
+// MaxConcurrency is the largest number of work items at once on one worker that can be learned.
 const MaxConcurrency = 64
 
-// A room is what was learned of how many work items run at once on one worker.
+// concurrencyLimit holds what was learned of how many work items run at once on one worker.
 type concurrencyLimit struct {
-	startsAtOnce [MaxConcurrency + 1]float64 // smoothed: did the nth start at once? 1 always, -1 never, 0 not known
-	sure         int                         // most that do, beyond the first
-	failedProbes int                         // how often one more did not
-	nextProbeAt  float64                     // not before this time is one more tried
-	likely       int                         // the same where it is only likelier than not
+	// By the number of items there, the new one included, smoothed: 1 always starts at once, -1 never, 0
+	// unknown.
+	startsAtOnce [MaxConcurrency + 1]float64
+	sure         int     // Items beyond the first that are sure to start at once.
+	failedProbes int     // How often one more item did not start at once.
+	nextProbeAt  float64 // One more item is not tried before this time.
+	likely       int     // Items beyond the first that are more likely than not to start at once.
 }
 
+// slots is the estimated number of work items that a worker of the kind runs at once.
 func (k *kind) slots() int { return max(1+k.limit[informed].likely, 1+k.limit[blind].likely, k.free) }
 
-// A cost is what a category's work was seen to cost where nobody gives a hint.
+// categoryCost holds what was learned of a category's cost where no work has hints.
 type categoryCost struct {
 	answers   int
-	logTime   float64 // of its running time at a worker as fast as most, smoothed
-	meanTime  float64 // of the same, which is more where few take long
-	updatedAt float64 // time of the last answer
+	logTime   float64 // Logarithm of the running time at a worker of average speed, smoothed.
+	meanTime  float64 // The mean of that running time, which is larger where a few items take long.
+	updatedAt float64 // Time of the last answer.
 }
 
-// A home holds the workers that a key is dealt to, and among how many of each lane is drawn.
+// keyWorkers holds the preferred workers of a key, and the number of each lane that work is drawn among.
 type keyWorkers struct {
 	workers   []*worker
 	drawLimit [2]int
 }
 
-// A worker as this dispatcher sees it.
+// worker is a worker as this dispatcher knows it.
 type worker struct {
 	Entry
-	waiting        int // own hand-offs not known to have started
+	waiting        int // Own hand-offs not known to have started.
 	running        int
-	minStartGap    float64 // least time seen from hand-off to start notice
-	queueDrainedAt float64 // the queue last met there has drained by then
-	fullUntil      float64 // taken to be full until then
-	logSlow        float64 // log of its slowness beside its kind
+	minStartGap    float64 // Least time from a hand-off to its start notice.
+	queueDrainedAt float64 // By then the queue last met there has drained.
+	fullUntil      float64 // Assumed to be full until then.
+	logSlow        float64 // Logarithm of its slowness relative to its kind, as of logSlowAt.
 	logSlowAt      float64
-	failures       int // in a row
-	workFailures   int // work that failed there, in a row
+	failures       int // Failures in a row.
+	workFailures   int // Work that failed there, in a row.
 	ejectedUntil   float64
-	unlisted       bool       // the list lacks it or calls it gone, which does not bind
-	unlistedWeight float64    // its weight in the draw while dropped: 1 or less
-	suspectedUntil float64    // drawn last until then
-	recentCost     slidingSum // cost sent to it in the last fall window
-	lastHandOff    float64    // time of the last hand-off
-	keyDistance    float64    // its place in the order of the key just dealt
-	lostAnswers    float64    // work started there whose answer never came, in a row
-	listedLoad     float64    // work items for each core by the list
-	idHash         uint64     // of its id
-	sharers        []int      // the dispatchers that it is dealt to, in the order of the deal
-	sharerRank     int        // this dispatcher's among them; beyond the last: it is not
-	shared         bool       // this dispatcher shares it
-	standsFor      float64    // workers in the draw, itself and those not looked at
-	peerLeases     []lease    // hand-offs that siblings told of
-}
-
-// A lease is a sibling's hand-off and until when it is taken to be out.
+	unlisted       bool       // The list omits it or calls it gone, which does not bind.
+	unlistedWeight float64    // Factor of its weight in the draw while it is unlisted, at most 1.
+	suspectedUntil float64    // Drawn last until then.
+	recentCost     slidingSum // Cost sent to it in the last overload window.
+	lastHandOff    float64    // Time of the last hand-off.
+	keyDistance    float64    // Its distance in the order of the key for which preferred workers were last chosen.
+	lostAnswers    float64    // Work started there whose answer never came, in a row.
+	listedLoad     float64    // Work items for each core according to its listed weight.
+	idHash         uint64     // Hash of its ID.
+	sharers        []int      // Dispatchers that may share it, in the order of chooseSharers.
+	sharerRank     int        // This dispatcher's index in sharers; the number of groups if it is not in it.
+	shared         bool       // This dispatcher shares it.
+	standsFor      float64    // Number of workers that it represents in the draw: itself and others not examined.
+	peerLeases     []lease    // Hand-offs that peers reported.
+}
+
+// lease is a peer's hand-off, assumed to be outstanding until the given time.
 type lease struct {
 	from  int
 	until float64
 }
 
-// A handoff (ho) of one work item to one worker.
+// handoff (ho) is one hand-off of a work item to a worker.
 type handoff struct {
 	worker       *worker
 	sentAt       float64
-	startedAt    float64 // below 0: not known to have started
-	lastNoticeAt float64 // last sign of life
-	notifyAt     float64 // siblings are told of it then if it is still out
-	peerView     int     // were siblings seen when it was sent?
-	load         int     // work items known to be at the worker with this one
-	counter      *int    // the worker's count in which it is, if any
+	startedAt    float64 // Below 0: not known to have started.
+	lastNoticeAt float64 // Time of the last notice, or of the hand-off.
+	notifyAt     float64 // Peers are notified of it at that time if it is still outstanding.
+	peerView     int     // Whether the peers' load was known when it was sent.
+	load         int     // Work items known to be at the worker, this one included.
+	counter      *int    // The worker's counter that includes it: waiting, running, or nil.
 	done         bool
-	provenNotRun bool // known not to have run
-	cancelled    bool // called off by this dispatcher
-	mayStillRun  bool // it has ended here, but may go on at the worker
+	provenNotRun bool // It is known not to have run.
+	cancelled    bool // This dispatcher cancelled it.
+	mayStillRun  bool // It has ended here, but the worker may still run it.
 }
 
-// still tells whether an earlier hand-off may still be at the worker, which gets one of a work item at a time, copies or not.
+// mayBeAt reports whether an earlier hand-off may still be at the worker. A worker gets one hand-off of a
+// work item at a time, even where second copies are allowed.
 func (it *item) mayBeAt(w *worker) bool {
 	return slices.ContainsFunc(it.handOffs, func(h handoff) bool { return h.worker == w && (!h.done || h.mayStillRun) })
 }
 
-// to moves the hand-off from the count that it is in to another, or to none.
+// setCounter moves the hand-off from the counter that includes it to another, or to none for nil.
 func (h *handoff) setCounter(counter *int) {
 	if h.counter != nil {
 		*h.counter--
@@ -206,91 +215,93 @@
 	}
 }
 
-// An item is a work item with its hand-offs.
+// item is a work item with its hand-offs.
 type item struct {
 	WorkItem
 	cat           *Category
 	expiry        float64
-	dueAt         float64 // due time: must end by then to be of use
-	priority      float64 // credit that it earns for each unit of cost
+	dueAt         float64 // Due time: an answer after it is of no use.
+	priority      float64 // Credit that it earns for each unit of cost.
 	handOffs      []handoff
-	outstanding   int  // hand-offs outstanding
-	mayHaveRun    int  // hand-offs not known not to have run
-	answered      bool // has its final answer
+	outstanding   int  // Hand-offs that have not ended.
+	mayHaveRun    int  // Hand-offs not known not to have run.
+	answered      bool // It has its final answer.
 	responding    bool
 	pending       bool
-	examined      bool // was looked at while held
-	overShare     bool // beyond its tenant's share
-	hintGuessed   bool // it has no hint
+	examined      bool // It was examined while pending.
+	overShare     bool // Beyond its tenant's share.
+	hintGuessed   bool // It came without a hint; Hint is a guess.
 	keyHash       uint64
-	failedOn      *worker // where it failed first
-	failsAnywhere bool    // it is taken to fail anywhere
+	failedOn      *worker // The worker on which it failed first.
+	failsAnywhere bool    // Assumed to fail on any worker.
 }
 
-// Dispatcher decides for one submitter. Not for use from several goroutines at once.
+// Dispatcher is the Decider of this project. It must not be used by several goroutines at once.
 type Dispatcher struct {
-	params            parameters
-	now               float64
-	out               Executor
-	rngState          uint64
-	workers           []*worker
-	candidates        []*worker // those that it uses: its share, or all if none of these is up
-	sharers           int       // dispatchers that share a worker
-	minNoticeShare    float64   // of the mean running time: what is shorter is not worth telling so many
-	byID              map[string]*worker
-	kinds             []kind // one more than named, for workers of no known kind
-	items             map[uint64]*item
-	open              []*item // in order of arrival
-	pending           []*item // by rank, then arrival
-	maxTimeLeft       []float64
-	recentHints       []float64 // hints, a ring
-	recentKeys        []uint64  // of the last work items, a ring
-	workersByKey      map[uint64]*keyWorkers
-	costs             []categoryCost // of each category
-	anyHint           bool           // some work item had a hint
-	keysTotal         int
-	hintsTotal        int
-	peerView          int // are siblings seen?
-	sortedHints       []float64
-	cutoff            float64
-	medianHint        float64
-	meanHint          float64
-	resetAt           float64
-	leak              float64
-	leakAt            float64
-	nextSweepAt       float64
-	sweepInterval     float64
-	subscribed        bool
-	askedAt           float64 // time of the last call to discovery
-	meanAskWait       float64 // mean wait after the next failed call
-	askWait           float64 // drawn wait after the last one
-	lastPeerMessage   float64 // last word of any sibling
-	msgBuf            []byte
-	noticesLeft       int          // messages that siblings may still be sent
-	arrivals          []slidingSum // of each tenant
-	noticesReceived   slidingSum   // messages of siblings
-	noticesSent       slidingSum   // tellings of its own
-	eligible          []*worker
-	pools             []pool               // of part
-	candidatesByTag   map[uint16][]*worker // of part, by what messages say of one; nil: not made since it changed
-	recheckPending    bool                 // held work may find room that it did not find before
-	newArrivals       bool
-	minCredit         credit    // likely once no worker has sure credit
-	anySuspected      bool      // some worker is suspected
-	minStartGapByZone []float64 // least time to a start notice from each zone, the first from no known one
-	failureRate       float64   // share of first hand-offs answered as failed, smoothed
-	lostAnswerRate    float64   // share of work started whose answer never came, smoothed
-	refailRate        float64   // share of second ones elsewhere that fail as well
-	replaced          bool      // another process has taken this one's place
-}
-
-// chance draws from [0, 1) by multiply-with-carry.
+	params          parameters
+	now             float64 // Time of the current round.
+	out             Executor
+	rngState        uint64
+	workers         []*worker
+	candidates      []*worker // Workers that it uses: those that it shares, or all if none of these is up.
+	sharers         int       // Number of dispatchers that share a worker.
+	minNoticeShare  float64   // Hand-offs shorter than this share of the mean running time are not worth a notice.
+	byID            map[string]*worker
+	kinds           []kind // One for each kind, and a last one for workers of unknown kind.
+	items           map[uint64]*item
+	open            []*item   // In order of arrival.
+	pending         []*item   // By priority, then arrival.
+	maxTimeLeft     []float64 // Longest TimeLeft seen of each category.
+	recentHints     []float64 // Ring buffer of the last hints.
+	recentKeys      []uint64  // Ring buffer of the last work items' key hashes.
+	workersByKey    map[uint64]*keyWorkers
+	costs           []categoryCost // Of each category.
+	anyHint         bool           // Some work item had a hint.
+	keysTotal       int            // Number of keys so far.
+	hintsTotal      int            // Number of hints so far.
+	peerView        int            // Whether the peers' load is known: informed or blind.
+	sortedHints     []float64
+	cutoff          float64 // Work with a hint of at least this goes to the slow lane.
+	medianHint      float64
+	meanHint        float64
+	resetAt         float64 // Time of the next recomputation of the cutoff.
+	leak            float64 // Probability that large work goes to the fast lane, as of leakAt.
+	leakAt          float64
+	nextSweepAt     float64
+	sweepInterval   float64
+	subscribed      bool    // The last call to discovery succeeded.
+	askedAt         float64 // Time of the last call to discovery; below 0: none.
+	meanAskWait     float64 // Mean wait after the next failed call.
+	askWait         float64 // Random wait after the last failed call.
+	lastPeerMessage float64 // Time of the last message from any peer.
+	msgBuf          []byte
+	noticesLeft     int          // Messages that may still be sent to peers.
+	arrivals        []slidingSum // Of each tenant.
+	noticesReceived slidingSum   // Notices from peers.
+	noticesSent     slidingSum   // Own notices.
+	eligible        []*worker    // Workers in the current draw.
+	pools           []pool       // Of the candidates.
+	// Candidates by the ID hash bits in notices; nil: not built since the candidates changed.
+	candidatesByTag map[uint16][]*worker
+	recheckPending  bool // Pending work may find room that it did not find before.
+	newArrivals     bool
+	minCredit       credit // creditLikely once no worker has sure credit.
+	anySuspected    bool   // Some worker is suspected.
+	// Least time to a start notice from each zone; the first is for workers of unknown zone.
+	minStartGapByZone []float64
+	failureRate       float64 // Share of first hand-offs answered as failed, smoothed.
+	lostAnswerRate    float64 // Share of started work whose answer never came, smoothed.
+	refailRate        float64 // Share of second hand-offs, at another worker after a failure, that fail too.
+	replaced          bool    // Another process has taken this one's place.
+}
+
+// random returns a pseudo-random number in [0, 1), by multiply-with-carry.
 func (d *Dispatcher) random() float64 {
 	d.rngState = 4294957665*(d.rngState&math.MaxUint32) + d.rngState>>32
 	return float64(uint32(d.rngState)) / (1 << 32)
 }
 
-// New makes a dispatcher that knows nothing yet.
+// New returns a dispatcher that has learned nothing yet.
 func New(s Settings) *Dispatcher {
 	params := derive(s)
 	d := &Dispatcher{params: params, meanAskWait: params.firstAskWait, byID: map[string]*worker{}, items: map[uint64]*item{},
@@ -305,21 +316,23 @@
 	return d
 }
 
-// Change has it decide by other settings from now on, between two rounds. What it keeps account of by position stays: the
-// lists of categories, tenants, kinds and siblings must be as they were.
+// Change applies other settings from now on. It must be called between two rounds. State that is indexed by
+// position stays, so the lists of categories, tenants, kinds and dispatchers must be the same as before.
 func (d *Dispatcher) Change(s Settings) {
 	d.params = derive(s)
 	d.rebuildPools()
 }
 
-// GiveUp gives the final answer to a work item that nothing is out for: the process may hand off no more.
+// GiveUp gives the final answer to a work item without outstanding hand-offs: the process may not hand off
+// any more.
 func (d *Dispatcher) GiveUp(wi uint64) {
 	if it := d.items[wi]; it != nil && it.outstanding == 0 {
 		d.giveUp(it)
 	}
 }
 
-// End has what is open answered within the time: the process ends then. What cannot end by then is given up at once.
+// End has all open work answered within the given time, after which the process ends. Work that cannot end by
+// then is given up at once.
 func (d *Dispatcher) End(within float64) {
 	for _, it := range d.open {
 		it.expiry = min(it.expiry, d.now+within)
@@ -328,13 +341,13 @@
 	d.recheckPending = true
 }
 
-// load is what is known to be at a worker: own hand-offs and those that siblings told of.
+// knownLoad is the number of work items known to be at a worker: own hand-offs and those that peers reported.
 func (d *Dispatcher) knownLoad(w *worker) int {
 	w.peerLeases = slices.DeleteFunc(w.peerLeases, func(l lease) bool { return d.now >= l.until })
 	return w.waiting + w.running + len(w.peerLeases)
 }
 
-// meanLoad is the mean of it over the workers in the draw.
+// meanLoad is the mean known load of the workers in the draw.
 func (d *Dispatcher) meanLoad() (mean float64) {
 	for _, w := range d.eligible {
 		mean += float64(d.knownLoad(w))
@@ -342,14 +355,16 @@
 	return mean / float64(len(d.eligible))
 }
 
-// Streaming marks an item whose answer has begun: it is the client's now and has no expiry.
+// ResponseStarted marks an item whose response to the client has begun: it no longer expires, and
+// its hand-offs are not cancelled.
 func (d *Dispatcher) ResponseStarted(wi uint64, _ int) {
 	if it := d.items[wi]; it != nil {
 		it.responding = true
 	}
 }
 
-// Pool tells how many workers are listed, and how many of those that are up this dispatcher avoids now.
+// Pool returns how many workers are listed, and how many of those that are up this dispatcher avoids at
+// present.
 func (d *Dispatcher) Pool() (listed, avoided int) {
 	for _, w := range d.workers {
 		if w.State != Gone && !w.unlisted {
@@ -362,16 +377,19 @@
 	return listed, avoided
 }
 
-// Succeed has another process in this one's place from now on, with what Learned told: cold workers are its.
+// Succeed records that another process, which has been given the result of Learned, takes this one's place.
+// From then on only that process sends to cold workers.
 func (d *Dispatcher) Succeed() { d.replaced = true }
 
+// currentLeak is the probability that large work goes to the fast lane at present.
 func (d *Dispatcher) currentLeak() float64 { return d.leak * math.Exp2((d.leakAt-d.now)/leakHalfLife) }
 
+// workerLogSlow is the logarithm of the worker's slowness relative to its kind, decayed until now.
 func (d *Dispatcher) workerLogSlow(w *worker) float64 {
 	return w.logSlow * math.Exp((w.logSlowAt-d.now)/slownessDecay)
 }
 
-// meet enters a worker that no list named before.
+// addWorker adds a worker that no earlier listing contained.
 func (d *Dispatcher) addWorker(id string) *worker {
 	w := &worker{minStartGap: math.Inf(1), lastHandOff: math.Inf(-1), idHash: hash(id)}
 	w.sharers = d.chooseSharers(w.idHash)
@@ -383,7 +401,7 @@
 	return w
 }
 
-// remember enters a hint or key in its ring of the last ones.
+// remember adds a hint or a key to its ring buffer.
 func remember[T any](recent *[]T, total *int, x T) {
 	if len(*recent) < sampleSize {
 		*recent = append(*recent, x)
@@ -392,7 +410,7 @@
 	*total++
 }
 
-// tally keeps how often work fails at its first worker, and again at a second.
+// recordFailure updates how often work fails at its first worker, and how often again at a second one.
 func (d *Dispatcher) recordFailure(it *item, w *worker, failed float64) {
 	rate := &d.failureRate
 	if it.failedOn != nil {
@@ -403,14 +421,15 @@
 	*rate += (failed - *rate) * failureSmoothing
 }
 
-// ejected: failures in a row keep it out of the draw for now.
+// ejected reports whether failures in a row keep the worker out of the draw at present.
 func (d *Dispatcher) ejected(w *worker) bool { return d.now < w.ejectedUntil }
 
-// suspected: it failed work, so it is drawn last for now.
+// suspected reports whether the worker is drawn last at present, as it failed work.
 func (d *Dispatcher) suspected(w *worker) bool { return d.now < w.suspectedUntil }
 
-// guess stands in for the hint of a work item that has none: the middle of those that others have; where nobody has one,
-// what its category's answers cost, faded back to half its due time, so that too high a guess keeps nothing out for good.
+// guessHint stands in for a missing hint: the median of recent hints. Where no work has hints, it is the
+// learned cost of the category, which decays to half the category's due time, so that too high a guess
+// excludes no work for good.
 func (d *Dispatcher) guessHint(category int) float64 {
 	halfDue, c := max(d.params.categories[category].DueTime/2, 1), &d.costs[category]
 	switch {
@@ -422,7 +441,7 @@
 	return halfDue * math.Pow(c.meanTime/halfDue, math.Exp((c.updatedAt-d.now)/slownessDecay))
 }
 
-// unlearn is called with the first hint: what was learned before rests on guesses.
+// discardGuesses is called with the first hint: everything learned before it rests on guesses.
 func (d *Dispatcher) discardGuesses() {
 	for k := range d.kinds {
 		d.kinds[k].speedKnown, d.kinds[k].answers = false, 0
@@ -431,8 +450,9 @@
 	d.anyHint, d.recentHints, d.hintsTotal, d.medianHint = true, d.recentHints[:0], 0, 0
 }
 
-// teach learns from the running time, as if warm, of a work item without a hint: what its category costs, and how fast the
-// kind and the worker are beside others. Guesses have no scale of their own, so a kind counts as fast as most at first.
+// learnWithoutHint learns from the running time, scaled as if the worker were warm, of a work item without a
+// hint: the cost of its category, and the speed of the kind and the worker relative to others. Guesses have
+// no scale of their own, so a kind is assumed to have average speed at first.
 func (d *Dispatcher) learnWithoutHint(it *item, w *worker, runTime float64) {
 	if d.anyHint {
 		return
@@ -447,17 +467,18 @@
 	if c.answers == 1 {
 		c.logTime = math.Log(runTime) - k.logSlow
 	}
-	deviation := math.Log(runTime) - k.logSlow - c.logTime // beside what was expected
+	deviation := math.Log(runTime) - k.logSlow - c.logTime // Relative to what was expected.
 	w.logSlow, w.logSlowAt = d.workerLogSlow(w)*(1-workerSmoothing)+deviation*workerSmoothing, d.now
-	k.logSlow += deviation * kindSmoothing * math.Floor(d.warmFraction(w)) // cold ones tell nothing of their kind
+	// Cold workers say nothing about their kind's speed.
+	k.logSlow += deviation * kindSmoothing * math.Floor(d.warmFraction(w))
 	c.logTime += deviation * smoothing
 	c.meanTime += (runTime*math.Exp(-k.logSlow) - c.meanTime) * smoothing
 	c.updatedAt = d.now
 }
 
-// grace is how long a start notice may take from a worker with room: twice the least seen from it, as it is near. From where
-// even the least of all workers takes longer than a beat it may be four times that: a new connection takes up to three more
-// trips there and back.
+// startAllowance is how long a start notice may take from a worker with room: twice the least time seen from
+// it, which is close to the round trip. In a zone where even the least time of all workers exceeds the sweep
+// interval, it is four times that: a new connection takes up to three more round trips.
 func (d *Dispatcher) startAllowance(w *worker) float64 {
 	if zone := w.Zone + 1; zone < len(d.minStartGapByZone) && d.minStartGapByZone[zone] > d.sweepInterval && !math.IsInf(d.minStartGapByZone[zone], 0) {
 		return 4*d.minStartGapByZone[zone] + d.params.twoRounds
@@ -465,7 +486,7 @@
 	return 2*min(w.minStartGap, d.sweepInterval) + d.params.twoRounds
 }
 
-// reached takes the time from a hand-off to its start notice.
+// recordStartGap records the time from a hand-off to its start notice.
 func (d *Dispatcher) recordStartGap(w *worker, gap float64) {
 	w.minStartGap = min(w.minStartGap, gap)
 	for len(d.minStartGapByZone) < w.Zone+2 {
@@ -474,15 +495,17 @@
 	d.minStartGapByZone[w.Zone+1] = min(d.minStartGapByZone[w.Zone+1], gap)
 }
 
-// span is the running time of a work item of mean cost on the worker.
+// avgRun is the running time of a work item of mean cost on the worker.
 func (d *Dispatcher) avgRun(w *worker) float64 { return d.meanHint * math.Exp(d.kinds[w.Kind].logSlow) }
 
-// queue is how long a hand-off to the kind waits, by those that started; twice that must fit.
+// expectedQueue is how long a hand-off to the kind waits, by the hand-offs that started. Twice that must fit
+// before the due time.
 func (d *Dispatcher) expectedQueue(k *kind) float64 {
-	return k.queueWait * math.Exp2((k.queueWaitAt-d.now)/queueHalfLife) * float64(d.peerView) // none where seen
+	// 0 where the peers' load is known.
+	return k.queueWait * math.Exp2((k.queueWaitAt-d.now)/queueHalfLife) * float64(d.peerView)
 }
 
-// forget drops workers that are gone and have nothing out.
+// removeGoneWorkers removes workers that are gone and have no hand-off outstanding.
 func (d *Dispatcher) removeGoneWorkers() {
 	d.workers = slices.DeleteFunc(d.workers, func(w *worker) bool {
 		done := w.State == Gone && w.waiting+w.running == 0
