--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -11,21 +11,21 @@
 	"weldmast/internal/kept"
 )
 
-// trace drives one dispatcher and prints what it decides. Timers are left out.
+// trace drives one dispatcher and records its decisions as text, except for timers.
 type trace struct {
 	t        *testing.T
 	d        *Dispatcher
 	now      float64
 	inbox    func(d *Dispatcher)
 	log      strings.Builder
-	handOffs map[string]int // hand-offs of each worker
+	handOffs map[string]int // Number of hand-offs to each worker.
 }
 
 func newTrace(t *testing.T, s Settings) *trace {
 	return &trace{t: t, d: New(s), handOffs: map[string]int{}}
 }
 
-// plain are settings with nothing special: two kinds, a rerunnable and an exclusive category.
+// baseSettings returns settings without anything special: two kinds, a rerunnable and an exclusive category.
 func baseSettings() Settings {
 	return Settings{Seed: 7, RoundInterval: 1, Dispatchers: 1, Kinds: 2, StartNotices: true, ProgressInterval: 1000,
 		MayCancel: true, MayAdviseRetryAfter: true, MaxRetryAfter: 2000, MaxHandOffs: 3, AnswerSlack: 20, DiscoveryAskWithin: 10000,
@@ -38,10 +38,10 @@
 	fmt.Fprintf(&tr.log, "%6.0f  "+format+"\n", append([]any{tr.now}, a...)...)
 }
 
-// say puts a line of explanation into the trace.
+// comment puts a line of explanation into the trace.
 func (tr *trace) comment(text string) { fmt.Fprintf(&tr.log, "%s\n", text) }
 
-// at runs a round at a time with what comes in then; beats before it run on their own.
+// at runs a round at the given time with the given events. Rounds in between, every 5 ms, run without events.
 func (tr *trace) at(now float64, in func(d *Dispatcher)) {
 	for tr.now+5 < now && tr.now > 0 {
 		tr.now += 5
@@ -52,7 +52,7 @@
 	tr.d.Round(now, tr, tr)
 }
 
-// up lists workers that have been up for long, named by kind and number: f1 is of kind 0, s1 of kind 1.
+// listUp lists workers that have been up for long, named by kind and number: f1 is of kind 0, s1 of kind 1.
 func (tr *trace) listUp(names ...string) {
 	tr.at(tr.now+1, func(d *Dispatcher) {
 		var list []Entry
@@ -63,7 +63,7 @@
 	})
 }
 
-// run hands in an item of the category, lets it start at once and end after the given running time.
+// runItem submits an item of the category, starts it at once and ends it after the given running time.
 func (tr *trace) runItem(id uint64, category int, hint, running float64) {
 	tr.at(tr.now+5, func(d *Dispatcher) {
 		d.Arrived(WorkItem{ID: id, Category: category, Tenant: -1, TimeLeft: 5000, Hint: hint})
@@ -82,7 +82,7 @@
 	})
 }
 
-// check compares the trace with the one kept.
+// checkGolden compares the trace with the stored one.
 func (tr *trace) checkGolden(name string) {
 	tr.t.Helper()
 	kept.Check(tr.t, name, tr.log.String())
@@ -190,7 +190,7 @@
 	tr.checkGolden("discovery")
 }
 
-// learn runs small and large work until the speeds of both kinds and the cutoff are known.
+// learnSpeeds runs small and large work until the speeds of both kinds and the cutoff are known.
 func (tr *trace) learnSpeeds() {
 	tr.listUp("f1", "f2", "s1", "s2")
 	for id := uint64(100); id < 160; id++ {
@@ -243,7 +243,7 @@
 		tr.runItem(id, 0, 100, 100)
 	}
 	tr.log.Reset()
-	runAgain := func(id uint64) { // the first hand-off is called off, the second runs
+	runAgain := func(id uint64) { // The first hand-off is cancelled, the second runs.
 		tr.at(tr.now+1, func(*Dispatcher) { tr.end(id, 0, Cancelled) })
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 1, true, 0) })
 		tr.at(tr.now+100, func(*Dispatcher) { tr.end(id, 1, Finished) })
@@ -363,7 +363,8 @@
 	return &worker{idHash: hash(id)}
 }
 
-// TestDeal looks at many siblings: each computes the same deal by itself.
+// TestSharersAgreeAcrossDispatchers has many dispatchers compute the sharers of workers: each finds the same
+// by itself.
 func TestSharersAgreeAcrossDispatchers(t *testing.T) {
 	s := baseSettings()
 	s.Dispatchers, s.MayNotifyPeers = 577, true
@@ -425,8 +426,9 @@
 	tr.checkGolden("deal")
 }
 
-// TestShares gives dispatchers of one fleet lists of different lengths, as they have while it changes. Each takes a
-// share by its own list; who may warm a worker must not depend on it, or more than its budget allows for would.
+// TestWarmersIndependentOfWorkerList gives dispatchers of one fleet lists of different lengths, as they have
+// while the fleet changes. Each computes its sharing from its own list. Who may warm a worker must not depend
+// on the list, or more dispatchers than the worker's budget allows for would send to it.
 func TestWarmersIndependentOfWorkerList(t *testing.T) {
 	s := baseSettings()
 	s.Dispatchers, s.MayNotifyPeers = 80, true
@@ -456,17 +458,17 @@
 	tr.checkGolden("shares")
 }
 
-// caller is a dispatcher's call to the service of TestAsking.
+// discoveryClient is a dispatcher that calls the simulated discovery of TestDiscoveryRetriesOfWholeFleet.
 type discoveryClient struct {
 	trace
-	calledAt float64 // below 0: none is out
+	calledAt float64 // Below 0: no call is outstanding.
 	calls    int
 }
 
 func (c *discoveryClient) WatchDiscovery(bool) { c.calledAt, c.calls = c.now, c.calls+1 }
 
-// TestAsking starts a whole fleet at once before a discovery that serves a call in 62.5 ms, in turn. One that has waited
-// for 2 s has failed, and takes its turn all the same.
+// TestDiscoveryRetriesOfWholeFleet starts a whole fleet at once with a discovery that serves one call after
+// another, in 62.5 ms each. A call that has waited for 2 s has failed, but is still served in its turn.
 func TestDiscoveryRetriesOfWholeFleet(t *testing.T) {
 	s := baseSettings()
 	s.Dispatchers, s.DiscoveryOnRequest = 80, true
@@ -476,7 +478,7 @@
 		s.Seed += 77777
 		all = append(all, &discoveryClient{trace: trace{t: t, d: New(s)}, calledAt: -1})
 	}
-	free, heard, calls := 0.0, 0, 0 // the service is free then
+	free, heard, calls := 0.0, 0, 0 // free is the time at which the service becomes free.
 	for tr.now = 5; tr.now < 30000 && heard < len(all); tr.now += 5 {
 		for _, c := range all {
 			before := c.calls
@@ -501,8 +503,9 @@
 	tr.checkGolden("asking")
 }
 
-// TestSuspicion: a worker that fails, or that a sibling says failed, is drawn last for a while. Words that are cut short,
-// of another kind or from nobody who shares it change nothing; a wrong one costs a turn at most.
+// TestSuspicion: a worker that fails, or that a peer reports as failing, is drawn last for a while. Messages
+// that are cut short, of another type or from a dispatcher that does not share the worker change nothing. A
+// wrong suspicion only delays the worker's turn.
 func TestSuspicion(t *testing.T) {
 	s := baseSettings()
 	s.Dispatchers, s.MayNotifyPeers = 3, true
@@ -562,7 +565,7 @@
 		tr.arrive(id, 1, 400)
 	}
 	tr.at(4900, func(*Dispatcher) {})
-	tr.log.Reset() // the tellings themselves are many
+	tr.log.Reset() // The notices themselves are many.
 	tr.comment("each arrival pays for one telling to those that share a worker, no more")
 	tr.note("messages left to send after three hand-offs that lasted long: %d", tr.d.noticesLeft)
 	tr.comment("two workers whose names collide, one of them dealt to the sender: only that one counts as loaded")
@@ -629,9 +632,10 @@
 	tr.checkGolden("pressed")
 }
 
-// TestWorkWithoutHint: short work without a hint makes its kind look no faster once others have hints, whether it came
-// before the first hint or after. It guards against a cold worker's budget many times too large: random worlds of
-// weldlab found one sent 1,300 ms of work where 1,043 were its most.
+// TestWorkWithoutHint: short work without a hint does not make its kind look faster once other work has
+// hints, whether it came before the first hint or after. It guards against a cold worker's budget that is
+// many times too large: random worlds of weldlab found a worker that was sent 1,300 ms of work where 1,043
+// were the most allowed.
 func TestWorkWithoutHint(t *testing.T) {
 	tr := newTrace(t, baseSettings())
 	tr.listUp("f1")
@@ -650,8 +654,8 @@
 	tr.checkGolden("hintless")
 }
 
-// TestSureCapacity: the cold budget counts half of what a kind's first answers promise, and one slot where starts are
-// not told.
+// TestReliableCapacity: the cold budget counts on half the capacity that a kind's first answers indicate, and
+// on one slot where there are no start notices.
 func TestReliableCapacity(t *testing.T) {
 	for _, startNotices := range []bool{true, false} {
 		s := baseSettings()
--- a/internal/dispatch/failing_work_test.go
+++ b/internal/dispatch/failing_work_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestFailsAnywhere: of three workers' work every third work item fails wherever it goes: a few hand-offs tell, then each costs
-// one, no worker is taken out for long and good work goes on; a worker that fails everything is taken out all the same.
+// TestWorkThatFailsAnywhere: on three workers every third work item fails wherever it goes. After a few
+// hand-offs this is known, and then each such item costs one hand-off, no worker is ejected for long, and
+// good work goes on. A worker that fails everything is ejected all the same.
 func TestWorkThatFailsAnywhere(t *testing.T) {
 	s := baseSettings()
 	s.Categories[0].DueTime = 5000
@@ -14,7 +15,8 @@
 		tr.arrive(id, 0, 50)
 		for range 4 {
 			it := tr.d.items[id]
-			for n := 0; n < 200 && it != nil && !it.answered && it.outstanding == 0; n++ { // held: all are out
+			// Pending: all workers are ejected.
+			for n := 0; n < 200 && it != nil && !it.answered && it.outstanding == 0; n++ {
 				tr.at(tr.now+20, func(*Dispatcher) {})
 			}
 			if it == nil || it.answered || it.outstanding == 0 {
--- a/internal/dispatch/learned_test.go
+++ b/internal/dispatch/learned_test.go
@@ -10,7 +10,8 @@
 	"weldmast/internal/kept"
 )
 
-// succeed is a newer process's dispatcher with the same list, told what the older one knows by the form of the link.
+// successor returns the new process's dispatcher with the same list. It imports what the old one learned, as
+// JSON.
 func (tr *trace) successor(t *testing.T, s Settings, list []Entry) *trace {
 	text, err := json.Marshal(tr.d.Learned())
 	if err != nil {
@@ -27,8 +28,8 @@
 	return next
 }
 
-// TestLearned: what one process knows the next one knows, hand-offs that are out as leases; a worker that started anew
-// meanwhile is another.
+// TestLearnedSurvivesHandover: the next process knows what the previous one learned, with outstanding
+// hand-offs as leases. A worker that restarted in between counts as a new one.
 func TestLearnedSurvivesHandover(t *testing.T) {
 	s := baseSettings()
 	s.Dispatchers, s.Tenants, s.KeyAffinity, s.LiveWeights = 3, []Tenant{{AllowancePerSec: 100}}, true, true
@@ -61,8 +62,8 @@
 	}
 }
 
-// TestSucceeded: two processes of a dispatcher keep one budget of a cold worker; a job that goes over is not sent twice,
-// and moved if it may be.
+// TestReplacedProcess: two processes of one dispatcher share one budget of a cold worker. A job that is
+// handed over is not sent twice, and is moved to another worker where that is allowed.
 func TestReplacedProcess(t *testing.T) {
 	s := baseSettings()
 	s.Dispatchers, s.Categories[0].DueTime = 4, 5000
@@ -99,8 +100,9 @@
 	kept.Check(t, "succeeded", tr.log.String()+adopter.log.String())
 }
 
-// TestManyAtOnce: a worker that starts each at once is found to take as many as MostFit, and no more than are started at once
-// where it starts fewer. A process that learned from one with fewer or more places takes over what it has room for.
+// TestLearnedConcurrency: a worker that starts all work at once is found to take up to MaxConcurrency items,
+// and one that starts fewer at once no more than those. A process that imports limits with fewer or more
+// entries takes over as much as it has room for.
 func TestLearnedConcurrency(t *testing.T) {
 	for _, slots := range []int{5, 17, MaxConcurrency} {
 		s := baseSettings()
@@ -116,7 +118,7 @@
 		if got := tr.d.kinds[0].slots(); got != slots {
 			t.Errorf("%d slots are taken for %d", slots, got)
 		}
-		for _, places := range []int{16, MaxConcurrency + 1, 200} { // of the process that learned
+		for _, places := range []int{16, MaxConcurrency + 1, 200} { // In the exporting process.
 			l := tr.d.Learned()
 			want := min(slots, places-1)
 			for k := range l.Kinds[0].Rooms {
--- a/internal/dispatch/no_hint_test.go
+++ b/internal/dispatch/no_hint_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestCategoryCosts: where nobody gives hints, work that takes far longer than its due time is not taken to be late: its
-// category's cost is learned, and what it may take grows with it. Each category has its own.
+// TestCategoryCosts: where no work has hints, work that takes far longer than its due time is not rejected as
+// too late. The category's cost is learned, and the time allowed grows with it. Each category has its own
+// cost.
 func TestCategoryCosts(t *testing.T) {
 	s := baseSettings()
 	s.Categories = []Category{{DueTime: 100, DueStretch: 2.5, Expiry: 5000, Credit: 5, Kind: -1},
@@ -11,7 +12,7 @@
 	tr := newTrace(t, s)
 	tr.listUp("f1", "f2", "s1")
 	takes := [2]float64{365, 90}
-	var took, expected [2]float64 // of the last of each
+	var took, expected [2]float64 // Of the last item of each category.
 	for id := uint64(1); id <= 60; id++ {
 		c := int(id % 2)
 		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: id, Category: c, Tenant: -1, TimeLeft: 5000}) })
@@ -34,7 +35,8 @@
 	}
 }
 
-// TestCostFades: work that was once far too long for its time is tried again: else nothing could tell otherwise.
+// TestLearnedCostDecays: work that once took far too long is tried again. Otherwise nothing could show that
+// it has become faster.
 func TestLearnedCostDecays(t *testing.T) {
 	s := baseSettings()
 	s.Categories[0] = Category{DueTime: 100, Expiry: 5000, Credit: 1, Kind: -1}
@@ -52,7 +54,7 @@
 	}
 }
 
-// TestFirstHint: with the first hint, what was learned without any is given up.
+// TestFirstHintDiscardsGuesses: the first hint discards what was learned without hints.
 func TestFirstHintDiscardsGuesses(t *testing.T) {
 	tr := newTrace(t, baseSettings())
 	tr.listUp("f1")
@@ -65,8 +67,9 @@
 	}
 }
 
-// TestFarZone: where even the nearest start of a zone takes longer than a beat, a start that takes as long as a new connection
-// there is not late: the work is not called off to be sent on by yet another new connection. Nearby nothing changes.
+// TestSlowStartInFarZone: where even the fastest start notice of a zone takes longer than the sweep interval,
+// a start that takes as long as opening a connection to that zone is not overdue. The work is not cancelled
+// and sent over yet another new connection. In a near zone nothing changes.
 func TestSlowStartInFarZone(t *testing.T) {
 	for zone, gap := range []float64{2, 35} {
 		s := baseSettings()
@@ -81,7 +84,7 @@
 			tr.at(tr.now+100, func(d *Dispatcher) { tr.end(id, 0, Finished) })
 		}
 		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: 20, Tenant: -1, TimeLeft: 5000, Hint: 100}) })
-		tr.at(tr.now+gap+3*gap, func(*Dispatcher) {}) // a new connection: three trips more
+		tr.at(tr.now+gap+3*gap, func(*Dispatcher) {}) // A new connection takes three more round trips.
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(20, 0, true, 0) })
 		if n := len(tr.d.items[20].handOffs); n != 1 {
 			t.Errorf("zone %d: %d hand-offs", zone, n)
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// TestLastHandOffIsKept: a start that is late is no failure. Where siblings are unseen another worker only looks free, and
-// the last hand-off is kept for what is lost: a worker may run what was called off, and nothing is left for it then.
+// TestLastHandOffReserved: a delayed start is no failure. Where the peers' load is unknown, another worker
+// may only look free, and the last hand-off is reserved for lost work. Otherwise a worker could run what was
+// cancelled, with no hand-off left afterwards.
 func TestLastHandOffReserved(t *testing.T) {
 	for allowed, moves := range map[int]int{2: 0, 3: 1} {
 		s := baseSettings()
@@ -27,8 +28,9 @@
 	}
 }
 
-// keyed runs a pool of dispatchers that have no word of one another, with as many workers as do; each key is asked for in
-// turn at each of them. It tells at how many workers each key's work ran, the most of them and on the mean.
+// workersPerKey runs 40 dispatchers that receive nothing from each other, with 40 workers; each key is
+// requested in turn at each dispatcher. It returns at how many workers a key's work ran, at most and on
+// average.
 func workersPerKey(t *testing.T, keyed bool, keys int) (most int, mean float64) {
 	at := map[string]map[string]bool{}
 	for number := range 40 {
@@ -60,8 +62,9 @@
 	return most, mean
 }
 
-// TestKeysHaveHomes: all dispatchers send a key's work to the same few workers, which keep what it stands for; where keys
-// cost nothing each draws among its own share. A key that is all of the traffic is not kept to a few.
+// TestKeyAffinity: all dispatchers send a key's work to the same few workers, which cache its data. Without
+// key affinity each draws among the workers that it shares. A key that makes up all of the traffic is not
+// limited to a few workers.
 func TestKeyAffinity(t *testing.T) {
 	if most, mean := workersPerKey(t, true, 40); mean > 4 || most > 8 {
 		t.Errorf("40 keys: each at %.1f of 40 workers, the widest at %d", mean, most)
@@ -74,8 +77,9 @@
 	}
 }
 
-// TestKeyMovesOn: while its first worker is busy a key's work goes to the next in its order, and back when it is free. While
-// both are busy it waits, though six others are idle: anywhere else it would be one more fetch.
+// TestBusyPreferredWorker: while a key's first worker is busy its work goes to the next in the key's order,
+// and back when the first is free. While both are busy it waits, though six others are idle: anywhere else it
+// would cost another fetch.
 func TestBusyPreferredWorker(t *testing.T) {
 	s := baseSettings()
 	s.KeyAffinity, s.Categories[0].DueTime = true, 5000
@@ -92,7 +96,7 @@
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		tr.at(tr.now+50, func(*Dispatcher) { tr.end(id, 0, Finished) })
 	}
-	for id := uint64(100); id < 180; id++ { // the keys of this one are one in eight of all
+	for id := uint64(100); id < 180; id++ { // Each of the eight keys is one in eight of the traffic.
 		send(id, "key"+strconv.Itoa(int(id%8)))
 		end(id)
 	}
@@ -112,8 +116,9 @@
 	}
 }
 
-// TestAnswersLost: work starts and runs, yet many answers never come. What is overdue leaves the books, and rerunnable work
-// is sent once more while the first may still run; exclusive work never is. Once answers come again nothing is copied.
+// TestLostAnswers: work starts and runs, but many answers never come. Overdue work no longer counts as load,
+// and rerunnable work is sent once more while the first hand-off may still run; exclusive work never is. Once
+// answers come again nothing is copied.
 func TestLostAnswers(t *testing.T) {
 	s := baseSettings()
 	s.SecondCopies, s.MaxHandOffs = true, 2
@@ -133,7 +138,7 @@
 	if n, _ := runSilent(1, 0, 700); n != 1 {
 		t.Errorf("before anything is known: %d hand-offs", n)
 	}
-	tr.at(tr.now+3000, func(*Dispatcher) {}) // it stands still
+	tr.at(tr.now+3000, func(*Dispatcher) {}) // The hand-off stalls.
 	for id := uint64(2); id < 6; id++ {
 		runSilent(id, 0, 2700)
 		for k := range tr.d.items[id].handOffs {
@@ -155,9 +160,10 @@
 	}
 }
 
-// TestOneAtATime: a worker gets one hand-off of a work item at a time. Where the first may still be there, as it is silent, its
-// connection broke or it was called off, and a second one elsewhere was turned away, the third never goes to the first's worker,
-// though nobody else has room; where the first ended for certain it does.
+// TestOneHandOffPerWorkerAtATime: a worker gets one hand-off of a work item at a time. The first may still be
+// there if it is silent, its connection broke, or it was cancelled. If a second one elsewhere is then
+// refused, the third never goes to the first's worker, even if no other worker has room. If the first has
+// ended for certain, it does.
 func TestOneHandOffPerWorkerAtATime(t *testing.T) {
 	for _, first := range []Outcome{-1, ConnReset, Cancelled, TimedOut, Failed, Full} {
 		s := baseSettings()
@@ -167,7 +173,7 @@
 		for id := uint64(100); id < 130; id++ {
 			tr.runItem(id, 0, 100, 100)
 		}
-		tr.d.lostAnswerRate = 0.9 // answers vanish: work is copied
+		tr.d.lostAnswerRate = 0.9 // Answers are lost, so work is copied.
 		tr.arrive(1, 0, 400)
 		it := tr.d.items[1]
 		w := it.handOffs[0].worker
@@ -181,13 +187,13 @@
 		if len(it.handOffs) < 2 || it.handOffs[1].worker == w {
 			t.Fatalf("%v: no second hand-off elsewhere: %d", first, len(it.handOffs))
 		}
-		for range 3 { // turned away, again and again
+		for range 3 { // Refused, again and again.
 			k := len(it.handOffs) - 1
 			if it.handOffs[k].done {
 				break
 			}
 			tr.at(tr.now+1, func(*Dispatcher) { tr.end(1, k, Full) })
-			for _, x := range tr.d.workers { // all others have room at once
+			for _, x := range tr.d.workers { // All other workers have room at once.
 				x.failures, x.ejectedUntil, x.fullUntil, x.suspectedUntil = 0, 0, 0, 0
 			}
 			tr.at(tr.now+5, func(*Dispatcher) { tr.d.recheckPending = true })
@@ -203,9 +209,10 @@
 	}
 }
 
-// TestSilentWorker: a worker that falls silent is convicted by the work that it started, else it would get all that comes,
-// one after another. Where a fifth of all answers vanish that takes two in a row: most that lose one are well. Where work may
-// be fetching, silence tells nothing of answers: it is a failure each time.
+// TestSilentWorker: a worker that falls silent is detected by the work that it started; otherwise it would
+// get all work, one item after another. Where a fifth of all answers are lost, detection takes two in a row,
+// as most workers that lose one answer are healthy. Where work may be fetching, silence says nothing about
+// lost answers and counts as a failure each time.
 func TestSilentWorker(t *testing.T) {
 	for _, c := range []struct {
 		silent         float64
@@ -236,8 +243,8 @@
 	}
 }
 
-// TestLiveWeights: where the list's weights fall with what a worker holds, one that is far behind gets no work that would
-// come late there. Such a list is no change of the fleet.
+// TestLiveWeights: where listed weights fall with a worker's load, a worker that is far behind gets no work
+// that would come too late there. A list that changes only weights does not count as a change of the fleet.
 func TestLiveWeights(t *testing.T) {
 	for _, live := range []bool{true, false} {
 		s := baseSettings()
@@ -257,7 +264,7 @@
 			tr.runItem(id, 0, 100, 100)
 		}
 		resetBefore := tr.d.resetAt
-		list(0.5, 8) // fifteen for each core
+		list(0.5, 8) // Fifteen work items for each core.
 		if live && tr.d.resetAt != resetBefore {
 			t.Error("weights alone had the lanes learned anew")
 		}
@@ -279,7 +286,8 @@
 	}
 }
 
-// TestFetchesApart: a fetch adds the same to small work and large; it must not pass for slowness of the kind.
+// TestFetchTimeSeparateFromSpeed: a fetch adds the same time to small and to large work. It must not be taken
+// for a slow kind.
 func TestFetchTimeSeparateFromSpeed(t *testing.T) {
 	s := baseSettings()
 	s.KeyAffinity, s.Categories[0].DueTime = true, 5000
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// wide starts a dispatcher that knows so many workers of each kind, listed kind by kind, every fourth in its own zone.
+// newLargePool starts a dispatcher that knows the given number of workers of each kind, listed kind by kind,
+// every fourth of them in its own zone.
 func newLargePool(t *testing.T, s Settings, counts ...int) *trace {
 	t.Helper()
 	tr := newTrace(t, s)
@@ -24,8 +25,8 @@
 	return tr
 }
 
-// TestManyNoneMissed: with more workers than a draw looks at, work finds one exactly if any of them all may take it, whatever
-// they are busy with, and none that may not.
+// TestLargePoolFindsEligibleWorker: with more workers than a draw examines, work is placed exactly if any of
+// all workers may take it, whatever they are busy with, and never at one that may not.
 func TestLargePoolFindsEligibleWorker(t *testing.T) {
 	found, missed := 0, 0
 	for seed := range uint64(400) {
@@ -40,7 +41,9 @@
 			d.kinds[k].limit[informed].likely, d.kinds[k].limit[informed].sure = 2, 1
 			d.kinds[k].limit[informed].nextProbeAt = math.Inf(1)
 		}
-		for _, w := range d.candidates { // most are taken, or each has credit and is too slow for the time; which stand out differs
+		// In most cases all workers are busy; in a quarter they have credit but are too slow. The exceptions
+		// vary.
+		for _, w := range d.candidates {
 			if w.waiting = 1; seed%4 == 0 {
 				w.waiting, w.logSlow, w.logSlowAt = 0, 5, d.now
 			}
@@ -88,8 +91,8 @@
 	}
 }
 
-// TestManyEven: of more workers than a draw looks at each is drawn as often, wherever it stands in the list, near or far, as
-// where all are looked at.
+// TestLargePoolDrawsEvenly: with more workers than a draw examines, each is drawn equally often, wherever it
+// is in the list and in whichever zone, as if all were examined.
 func TestLargePoolDrawsEvenly(t *testing.T) {
 	s := baseSettings()
 	s.Categories[0].DueTime = 5000
@@ -106,7 +109,8 @@
 		}
 		chi += (float64(n) - items/workers) * (float64(n) - items/workers) / (items / workers)
 	}
-	if share := float64(near) / items; share < 0.24 || share > 0.26 { // looked at in two pools; counted by what was looked at alone: 0.5
+	// Own zone and others are two pools. With weights by examined workers alone the share would be 0.5.
+	if share := float64(near) / items; share < 0.24 || share > 0.26 {
 		t.Errorf("the quarter of the workers that is near got %.3f of the work", share)
 	}
 	if z := (chi - (workers - 1)) / math.Sqrt(2*(workers-1)); z > 4 {
@@ -114,8 +118,8 @@
 	}
 }
 
-// TestManyLooked: while most workers have credit a round looks at as many as it needs, however many there are; of a batch
-// that comes at once each goes to another.
+// TestLargePoolExaminesFewWorkers: while most workers have credit a round examines as many as it needs,
+// however many there are. The items of a batch that arrives at once go to different workers.
 func TestLargePoolExaminesFewWorkers(t *testing.T) {
 	maxExamined := func(n int) (most int) {
 		tr := newLargePool(t, baseSettings(), n, n)
@@ -134,7 +138,7 @@
 		if len(tr.handOffs) != 200 {
 			t.Errorf("%d workers: 200 work items went to %d of them", 2*n, len(tr.handOffs))
 		}
-		racks := map[int]bool{} // of the list's first kind, by tens: neighbours there stand side by side
+		racks := map[int]bool{} // Twenty groups of neighbours, in list order, of the first kind.
 		tr.at(tr.now+5, func(d *Dispatcher) {
 			for k := range uint64(100) {
 				d.Arrived(WorkItem{ID: 1000 + k, Tenant: -1, TimeLeft: 5000, Hint: 20})
@@ -156,7 +160,7 @@
 	}
 }
 
-// TestNearest: the first of a key's order are the same however they are found.
+// TestNearest: the first workers in a key's order are the same whichever way they are found.
 func TestNearest(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for _, n := range []int{0, 1, 2, 5, 40, 300} {
@@ -177,7 +181,8 @@
 	}
 }
 
-// TestManyNear: where crossing to another zone has a price, of many workers the near ones are drawn first.
+// TestLargePoolPrefersOwnZone: where crossing to another zone has a price, workers of the own zone are drawn
+// first even among many.
 func TestLargePoolPrefersOwnZone(t *testing.T) {
 	s := baseSettings()
 	s.PreferOwnZone = true
@@ -193,7 +198,7 @@
 	}
 }
 
-// TestNamed: a message is understood of workers that came after others were named.
+// TestNoticeForNewWorker: notices about workers listed after earlier notices are recognised.
 func TestNoticeForNewWorker(t *testing.T) {
 	s := baseSettings()
 	s.Dispatchers, s.MayNotifyPeers = 2, true
@@ -210,10 +215,11 @@
 	if n := notify("new"); n != 1 {
 		t.Errorf("%d hand-offs were heard of at a worker that came later", n)
 	}
-	tr.at(tr.now+5, func(d *Dispatcher) { d.PeerMessageReceived(1, nil) }) // nothing to be named
+	tr.at(tr.now+5, func(d *Dispatcher) { d.PeerMessageReceived(1, nil) }) // Names no worker.
 }
 
-// TestManySome: where a look at some is enough, these are others each time, and in the end all.
+// TestSomeCandidatesCoverAll: where examining some candidates is enough, they differ each time, and all are
+// examined in the end.
 func TestSomeCandidatesCoverAll(t *testing.T) {
 	tr := newLargePool(t, baseSettings(), 1000)
 	met := map[*worker]bool{}
@@ -226,7 +232,7 @@
 			met[w] = true
 		}
 	}
-	if len(met) != 1000 { // the first and the last are in one look of 745
+	if len(met) != 1000 { // The first and the last are in one of 745 samples each.
 		t.Errorf("20,000 looks met %d of 1,000 workers", len(met))
 	}
 	if few := newLargePool(t, baseSettings(), scanLimit); len(few.d.someCandidates()) != scanLimit {
--- a/internal/dispatch/worker_list_test.go
+++ b/internal/dispatch/worker_list_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestWrongList: where only draining binds, workers that the list drops go on being used by steps, one that is gone indeed
-// costs a few hand-offs that never ran, one seen as draining stays bound, one that no list named is never sent to.
+// TestListWithoutLiveWorkers: where only draining binds, workers that the list omits stay in use with a
+// changing weight. One that is really gone costs a few hand-offs that never ran. One last listed as draining
+// stays excluded, and one that was only ever listed as gone never gets work.
 func TestListWithoutLiveWorkers(t *testing.T) {
 	s := baseSettings()
 	s.OnlyDrainingBinds, s.Categories[0].DueTime = true, 5000
