--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -667,7 +667,7 @@
 		d.kinds[0].answers = minReliableAnswers
 		want := map[bool][2]float64{true: {3, 6}, false: {1, 2}}[startNotices]
 		if then := d.reliableCapacity(&d.kinds[0]); math.Abs(first-want[0]) > 1e-9 || math.Abs(then-want[1]) > 1e-9 {
-			t.Errorf("starts told %v: %v, then %v, wanted %v", startNotices, first, then, want)
+			t.Errorf("start notices %v: capacity %v, then %v; want %v", startNotices, first, then, want)
 		}
 	}
 }
--- a/internal/dispatch/failing_work_test.go
+++ b/internal/dispatch/failing_work_test.go
@@ -47,14 +47,14 @@
 	}
 	everyThird := func(id uint64, _ string) bool { return id%3 == 0 }
 	if n, good, bad := run90(100, everyThird); n > 2*bad || good < 60 {
-		t.Errorf("at first: %d hand-offs for %d bad items, %d good ones", n, bad, good)
+		t.Errorf("at first: %d failed hand-offs for %d failing items, %d items finished", n, bad, good)
 	}
 	if n, good, bad := run90(200, everyThird); n > bad*13/10 || good < 60 {
-		t.Errorf("once it is known: %d hand-offs for %d bad items, %d good ones", n, bad, good)
+		t.Errorf("once the failure rate is known: %d failed hand-offs for %d failing items, %d items finished", n, bad, good)
 	}
 	run90(300, func(uint64, string) bool { return false })
 	tr.at(tr.now+20000, func(*Dispatcher) {})
 	if n, good, _ := run90(400, func(_ uint64, w string) bool { return w == "f1" }); n < 1 || n > 8 || good < 85 {
-		t.Errorf("one worker that fails: %d failed there, %d finished elsewhere", n, good)
+		t.Errorf("one failing worker: %d items failed there, %d finished elsewhere", n, good)
 	}
 }
--- a/internal/dispatch/learned_test.go
+++ b/internal/dispatch/learned_test.go
@@ -49,15 +49,15 @@
 	next := tr.successor(t, s, list)
 	was, is := tr.d.Learned(), next.d.Learned()
 	if len(was.Workers) != 4 || was.Sampled == 0 || len(was.Keys) == 0 || len(was.Workers[2].Out)+len(was.Workers[3].Out) < 2 {
-		t.Fatalf("little was learned: %+v", was)
+		t.Fatalf("state for the handover is incomplete: %+v", was)
 	}
 	if diff := cmp.Diff(was, is, cmpopts.EquateApprox(0, 2), cmpopts.SortSlices(func(a, b Lease) bool { return a.Till < b.Till })); diff != "" {
-		t.Errorf("the next knows otherwise (-was +is):\n%s", diff)
+		t.Errorf("the next process has different state (-old +new):\n%s", diff)
 	}
 	list[0].Since = tr.now
 	for _, w := range tr.successor(t, s, list).d.Learned().Workers {
 		if w.Worker == list[0].Worker && (w.MinGap != 0 || w.Slow != 0 || w.Sent.Epoch != 0) {
-			t.Errorf("a new process counts as its forerunner: %+v", w)
+			t.Errorf("a restarted worker kept the state of its previous process: %+v", w)
 		}
 	}
 }
@@ -113,10 +113,10 @@
 			tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
 		}
 		if got := tr.handOffs["f1"]; got != slots {
-			t.Errorf("of %d that start at once %d were handed off", slots, got)
+			t.Errorf("of %d work items that start at once %d were handed off", slots, got)
 		}
 		if got := tr.d.kinds[0].slots(); got != slots {
-			t.Errorf("%d slots are taken for %d", slots, got)
+			t.Errorf("estimated %d slots for a worker with %d", slots, got)
 		}
 		for _, places := range []int{16, MaxConcurrency + 1, 200} { // In the exporting process.
 			l := tr.d.Learned()
@@ -134,7 +134,7 @@
 			next := newTrace(t, s)
 			next.at(1, func(d *Dispatcher) { d.Recall(l) })
 			if got := next.d.kinds[0].slots(); got != want {
-				t.Errorf("%d slots, recalled with %d places: %d, wanted %d", slots, places, got, want)
+				t.Errorf("%d slots, imported with %d entries: %d slots, want %d", slots, places, got, want)
 			}
 		}
 	}
--- a/internal/dispatch/no_hint_test.go
+++ b/internal/dispatch/no_hint_test.go
@@ -18,7 +18,7 @@
 		tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: id, Category: c, Tenant: -1, TimeLeft: 5000}) })
 		it := tr.d.items[id]
 		if it == nil || len(it.handOffs) == 0 {
-			t.Fatalf("work item %d of category %d was given up, with every worker free", id, c)
+			t.Fatalf("work item %d of category %d was given up although all workers were free", id, c)
 		}
 		run := takes[c]
 		if it.handOffs[0].worker.Kind == 1 {
@@ -30,7 +30,7 @@
 	}
 	for c, want := range took {
 		if got := expected[c]; got < want*0.8 || got > want*1.25 {
-			t.Errorf("category %d is expected to take %.0f, and takes %.0f", c, got, want)
+			t.Errorf("category %d: expected time %.0f ms, running time %.0f ms", c, got, want)
 		}
 	}
 }
@@ -45,12 +45,12 @@
 	tr.runItem(1, 0, 0, 900)
 	tr.arrive(2, 0, 0)
 	if it := tr.d.items[2]; it != nil && len(it.handOffs) > 0 {
-		t.Fatal("what is sure to come late was handed off")
+		t.Fatal("work that cannot end by its due time was handed off")
 	}
 	tr.at(tr.now+40000, func(*Dispatcher) {})
 	tr.arrive(3, 0, 0)
 	if it := tr.d.items[3]; it == nil || len(it.handOffs) == 0 {
-		t.Error("it is not tried again")
+		t.Error("work of the category was not tried again after 40 s")
 	}
 }
 
@@ -63,7 +63,7 @@
 	}
 	tr.runItem(10, 0, 100, 100)
 	if d := tr.d; !d.anyHint || d.guessHint(0) != 100 || d.hintsTotal != 1 {
-		t.Errorf("hinted %v, guess %.0f, %d hints", d.anyHint, d.guessHint(0), d.hintsTotal)
+		t.Errorf("after the first hint: anyHint %v, guess %.0f, %d hints", d.anyHint, d.guessHint(0), d.hintsTotal)
 	}
 }
 
@@ -87,11 +87,11 @@
 		tr.at(tr.now+gap+3*gap, func(*Dispatcher) {}) // A new connection takes three more round trips.
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(20, 0, true, 0) })
 		if n := len(tr.d.items[20].handOffs); n != 1 {
-			t.Errorf("zone %d: %d hand-offs", zone, n)
+			t.Errorf("zone %d: %d hand-offs, want 1", zone, n)
 		}
 		w := tr.d.byID["f1"]
 		if far := tr.d.startAllowance(w) > 4*gap; far != (zone == 1) {
-			t.Errorf("zone %d: a start may take %.0f", zone, tr.d.startAllowance(w))
+			t.Errorf("zone %d: start allowance %.0f ms", zone, tr.d.startAllowance(w))
 		}
 	}
 }
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -23,7 +23,7 @@
 		tr.arrive(1, 0, 100)
 		tr.at(tr.now+150, func(*Dispatcher) {})
 		if n := strings.Count(tr.log.String(), "cancel"); n != moves {
-			t.Errorf("%d hand-offs allowed: %d moves, want %d\n%s", allowed, n, moves, tr.log.String())
+			t.Errorf("%d hand-offs allowed: moved %d times, want %d\n%s", allowed, n, moves, tr.log.String())
 		}
 	}
 }
@@ -67,13 +67,13 @@
 // limited to a few workers.
 func TestKeyAffinity(t *testing.T) {
 	if most, mean := workersPerKey(t, true, 40); mean > 4 || most > 8 {
-		t.Errorf("40 keys: each at %.1f of 40 workers, the widest at %d", mean, most)
+		t.Errorf("40 keys: each ran at %.1f of 40 workers on average, one at %d", mean, most)
 	}
 	if _, mean := workersPerKey(t, false, 40); mean < 30 {
-		t.Errorf("40 keys that cost nothing: each at %.1f of 40 workers", mean)
+		t.Errorf("40 keys without key affinity: each ran at %.1f of 40 workers on average", mean)
 	}
 	if most, _ := workersPerKey(t, true, 1); most < 30 {
-		t.Errorf("one key for all: at %d of 40 workers", most)
+		t.Errorf("a single key ran at %d of 40 workers", most)
 	}
 }
 
@@ -105,14 +105,14 @@
 	send(2, "key1")
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Arrived(WorkItem{ID: 4, Tenant: -1, TimeLeft: 5000, Hint: 50, Key: "key1"}) })
 	if n := len(tr.d.items[4].handOffs); n != 0 {
-		t.Errorf("sent to a third worker, %s", tr.d.items[4].handOffs[0].worker.Worker)
+		t.Errorf("third item sent to worker %s, want it pending", tr.d.items[4].handOffs[0].worker.Worker)
 	}
 	end(1)
 	end(2)
 	end(4)
 	send(3, "key1")
 	if where[1] == where[2] || where[1] != where[3] {
-		t.Errorf("sent to %s, while that was busy to %s, then to %s", where[1], where[2], where[3])
+		t.Errorf("sent to %s, while that worker was busy to %s, then to %s", where[1], where[2], where[3])
 	}
 }
 
@@ -136,7 +136,7 @@
 		return len(it.handOffs), w.running
 	}
 	if n, _ := runSilent(1, 0, 700); n != 1 {
-		t.Errorf("before anything is known: %d hand-offs", n)
+		t.Errorf("before any answer was lost: %d hand-offs, want 1", n)
 	}
 	tr.at(tr.now+3000, func(*Dispatcher) {}) // The hand-off stalls.
 	for id := uint64(2); id < 6; id++ {
@@ -146,17 +146,17 @@
 		}
 	}
 	if n, running := runSilent(6, 0, 700); n != 2 || running != 0 {
-		t.Errorf("where answers vanish: %d hand-offs, %d in the books of the first worker", n, running)
+		t.Errorf("while answers are lost: %d hand-offs, %d running at the first worker; want 2 and 0", n, running)
 	}
 	tr.at(tr.now+1, func(*Dispatcher) { tr.end(6, 1, Finished) })
 	if n, running := runSilent(7, 1, 700); n != 1 || running != 0 {
-		t.Errorf("exclusive: %d hand-offs, %d in the books", n, running)
+		t.Errorf("exclusive work: %d hand-offs, %d running; want 1 and 0", n, running)
 	}
 	for id := uint64(200); id < 260; id++ {
 		tr.runItem(id, 0, 100, 100)
 	}
 	if n, running := runSilent(8, 0, 700); n != 1 || running != 1 {
-		t.Errorf("answers come again: %d hand-offs, %d in the books", n, running)
+		t.Errorf("once answers come again: %d hand-offs, %d running; want 1 and 1", n, running)
 	}
 }
 
@@ -185,7 +185,7 @@
 			tr.at(tr.now+5, func(*Dispatcher) {})
 		}
 		if len(it.handOffs) < 2 || it.handOffs[1].worker == w {
-			t.Fatalf("%v: no second hand-off elsewhere: %d", first, len(it.handOffs))
+			t.Fatalf("first outcome %v: no second hand-off at another worker, %d hand-offs", first, len(it.handOffs))
 		}
 		for range 3 { // Refused, again and again.
 			k := len(it.handOffs) - 1
@@ -204,7 +204,7 @@
 			again = again || k > 0 && h.worker == w
 		}
 		if may := first == Failed || first == Full; again != may {
-			t.Errorf("first ended as %d: handed off to its worker again %v, wanted %v", first, again, may)
+			t.Errorf("first outcome %d: handed off to the same worker again %v, want %v", first, again, may)
 		}
 	}
 }
@@ -238,7 +238,7 @@
 			}
 		}
 		if avoided != c.avoided {
-			t.Errorf("%d answers in a row lost where %.1f of all are: %d workers avoided, want %d", c.first, c.silent, avoided, c.avoided)
+			t.Errorf("%d answers lost in a row at a lost-answer rate of %.1f: %d workers avoided, want %d", c.first, c.silent, avoided, c.avoided)
 		}
 	}
 }
@@ -266,14 +266,14 @@
 		resetBefore := tr.d.resetAt
 		list(0.5, 8) // Fifteen work items for each core.
 		if live && tr.d.resetAt != resetBefore {
-			t.Error("weights alone had the lanes learned anew")
+			t.Error("a change of weights alone triggered a recomputation of the lanes")
 		}
 		clear(tr.handOffs)
 		for id := uint64(200); id < 230; id++ {
 			tr.runItem(id, 0, 100, 100)
 		}
 		if sent := tr.handOffs["f1"] > 0; sent == live {
-			t.Errorf("live weights %v: %d of 30 to the one that is far behind", live, tr.handOffs["f1"])
+			t.Errorf("live weights %v: %d of 30 items went to the worker that is far behind", live, tr.handOffs["f1"])
 		}
 		list(8, 8)
 		clear(tr.handOffs)
@@ -281,7 +281,7 @@
 			tr.runItem(id, 0, 100, 100)
 		}
 		if tr.handOffs["f1"] == 0 {
-			t.Errorf("live weights %v: nothing to f1 once it is free", live)
+			t.Errorf("live weights %v: f1 got no work once it was free", live)
 		}
 	}
 }
@@ -302,11 +302,11 @@
 	}
 	k := &tr.d.kinds[0]
 	if slow := math.Exp(k.logSlow); slow < 0.45 || slow > 0.56 || k.fetchTime < 70 || k.fetchTime > 130 {
-		t.Errorf("%.2f of the hint and %.0f ms, want 0.5 and 100", slow, k.fetchTime)
+		t.Errorf("running time %.2f of the hint and fetch time %.0f ms, want 0.5 and 100", slow, k.fetchTime)
 	}
 	tr = newTrace(t, s)
 	tr.learnSpeeds()
 	if !tr.d.kinds[0].speedKnown || !tr.d.kinds[1].speedKnown {
-		t.Error("a kind that got small work alone learned no speed")
+		t.Error("a kind that got only small work learned no speed")
 	}
 }
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -78,7 +78,7 @@
 		}
 		d.beginScan()
 		if got := d.placeItem(it); got != (len(eligible) > 0) || got && !slices.Contains(eligible, it.handOffs[0].worker) {
-			t.Fatalf("seed %d: sent on %v, %d workers may take it, %v", seed, got, len(eligible), it.handOffs)
+			t.Fatalf("seed %d: placed %v with %d eligible workers, hand-offs %v", seed, got, len(eligible), it.handOffs)
 		}
 		if len(eligible) > 0 {
 			found++
@@ -87,7 +87,7 @@
 		}
 	}
 	if found < 50 || missed < 50 {
-		t.Errorf("of the cases %d had a worker and %d had none: too few of one", found, missed)
+		t.Errorf("%d cases with an eligible worker and %d without: want at least 50 of each", found, missed)
 	}
 }
 
@@ -111,10 +111,10 @@
 	}
 	// Own zone and others are two pools. With weights by examined workers alone the share would be 0.5.
 	if share := float64(near) / items; share < 0.24 || share > 0.26 {
-		t.Errorf("the quarter of the workers that is near got %.3f of the work", share)
+		t.Errorf("the quarter of the workers in the own zone got %.3f of the work", share)
 	}
 	if z := (chi - (workers - 1)) / math.Sqrt(2*(workers-1)); z > 4 {
-		t.Errorf("%.1f deviations from even", z)
+		t.Errorf("distribution is %.1f standard deviations from uniform, want at most 4", z)
 	}
 }
 
@@ -156,7 +156,7 @@
 	}
 	few, lots := maxExamined(1000), maxExamined(9000)
 	if bound := 4 * (scanLimit + 200); few > bound || lots > bound {
-		t.Errorf("a round looked at %d of 2,000 workers, and at %d of 18,000; no more than %d were wanted", few, lots, bound)
+		t.Errorf("a round examined %d of 2,000 workers, and %d of 18,000; want at most %d", few, lots, bound)
 	}
 }
 
@@ -176,7 +176,7 @@
 			return 1
 		})
 		if got := nearest(of, n); !slices.Equal(got, all[:n]) {
-			t.Errorf("the first %d of 300 are not those in order", n)
+			t.Errorf("nearest returned other workers than the first %d of 300 in order", n)
 		}
 	}
 }
@@ -193,7 +193,7 @@
 	for name := range tr.handOffs {
 		var number int
 		if fmt.Sscanf(name[1:], "%d", &number); number%4 != 0 {
-			t.Errorf("%s of another zone got work while all near ones were free", name)
+			t.Errorf("worker %s of another zone got work while all workers of the own zone were free", name)
 		}
 	}
 }
@@ -209,11 +209,11 @@
 		return len(w.peerLeases)
 	}
 	if n := notify("a7"); n != 1 {
-		t.Errorf("%d hand-offs were heard of at a worker", n)
+		t.Errorf("%d peer leases at a worker, want 1", n)
 	}
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "new"}}) })
 	if n := notify("new"); n != 1 {
-		t.Errorf("%d hand-offs were heard of at a worker that came later", n)
+		t.Errorf("%d peer leases at a worker listed later, want 1", n)
 	}
 	tr.at(tr.now+5, func(d *Dispatcher) { d.PeerMessageReceived(1, nil) }) // Names no worker.
 }
@@ -226,16 +226,16 @@
 	for range 20000 {
 		some := tr.d.someCandidates()
 		if len(some) != scanLimit {
-			t.Fatalf("%d workers are some", len(some))
+			t.Fatalf("someCandidates returned %d workers", len(some))
 		}
 		for _, w := range some {
 			met[w] = true
 		}
 	}
 	if len(met) != 1000 { // The first and the last are in one of 745 samples each.
-		t.Errorf("20,000 looks met %d of 1,000 workers", len(met))
+		t.Errorf("20,000 samples contained %d of 1,000 workers", len(met))
 	}
 	if few := newLargePool(t, baseSettings(), scanLimit); len(few.d.someCandidates()) != scanLimit {
-		t.Error("of few workers not all are some")
+		t.Error("someCandidates does not return all of a few workers")
 	}
 }
