--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -38,13 +38,13 @@
 
 // Times of a council, in milliseconds.
 const (
-	HeartbeatInterval = 50  // of the leader
-	electionLeast     = 400 // without a leader's word; drawn up to twice that
-	retryStore        = 1000
-	keepRecent        = 1024 // entries of the history that are kept for who is behind
-	readEvery         = 25   // readings are begun no closer together: all beats that came meanwhile share one
-	compactEvery      = 512
-	compactKeep       = 128
+	HeartbeatInterval  = 50  // of the leader
+	minElectionTimeout = 400 // without a leader's word; drawn up to twice that
+	storeRetryInterval = 1000
+	retainedEntries    = 1024 // entries of the history that are kept for who is behind
+	readInterval       = 25   // readings are begun no closer together: all beats that came meanwhile share one
+	compactThreshold   = 512
+	compactRetained    = 128
 )
 
 // What a caller is told.
@@ -84,186 +84,186 @@
 	To         uint64
 	Data       []byte
 	IsSnapshot bool // SnapshotSent is to be told of it
-	lead       bool // it is a leader's word
+	fromLeader bool // it is a leader's word
 }
 
 // beat is one that waits for the word that this voter still leads; or a reading that does.
-type beat struct {
-	b        fleet.Heartbeat
-	received float64
-	answer   func(fleet.LeaseRenewal, error)
-	read     func(error) // in place of the others
+type queuedRead struct {
+	heartbeat   fleet.Heartbeat
+	receivedAt  float64
+	reply       func(fleet.LeaseRenewal, error)
+	onConfirmed func(error) // in place of the others
 }
 
-type command struct {
-	c    fleet.Command
-	done func(fleet.Result, error)
+type proposal struct {
+	command fleet.Command
+	done    func(fleet.Result, error)
 }
 
 // Core is one voter. Not for use from several goroutines at once.
 type Core struct {
-	f        fleet.Timing
-	id       uint64
-	rn       *raft.RawNode
-	mem      *raft.MemoryStorage
-	store    Store
-	rnd      *rand.Rand
-	state    *fleet.State
-	conf     *pb.ConfState
-	applied  uint64
-	saved    uint64 // index of the last snapshot
-	recent   []fleet.Entry
-	before   fleet.Digest        // of the history before the first of them
-	book     *fleet.LeaseManager // the leader's; nil: it does not lead
-	lead     uint64
-	deadline float64 // without a leader's word by then, it campaigns
-	heard    float64 // the leader's last word
-	hushed   float64 // as a leader it has heard no majority since then
-	voices   map[uint64]float64
-	tickAt   float64
-	pending  map[string][]command
-	waiting  []beat // not yet asked for
-	asked    []beat // by the read that is under way
-	askedAt  float64
-	reads    uint64
-	confirm  uint64 // index that must be applied before those asked are answered; 0: not confirmed
-	held     *raft.Ready
-	retryAt  float64
-	fault    error // why it does not vote at the moment
-	dead     bool  // for good
-	out      []Message
-	moved    bool // the history went on
+	timing           fleet.Timing
+	id               uint64
+	rawNode          *raft.RawNode
+	storage          *raft.MemoryStorage
+	store            Store
+	rng              *rand.Rand
+	state            *fleet.State
+	confState        *pb.ConfState
+	appliedIndex     uint64
+	snapshotIndex    uint64 // index of the last snapshot
+	recentEntries    []fleet.Entry
+	digestBefore     fleet.Digest        // of the history before the first of them
+	leases           *fleet.LeaseManager // the leader's; nil: it does not lead
+	leader           uint64
+	electionDeadline float64 // without a leader's word by then, it campaigns
+	leaderContact    float64 // the leader's last word
+	quorumContact    float64 // as a leader it has heard no majority since then
+	peerContact      map[uint64]float64
+	nextTick         float64
+	proposals        map[string][]proposal
+	queuedReads      []queuedRead // not yet asked for
+	activeReads      []queuedRead // by the read that is under way
+	readStartedAt    float64
+	readSeq          uint64
+	confirmedIndex   uint64 // index that must be applied before those asked are answered; 0: not confirmed
+	unsavedReady     *raft.Ready
+	storeRetryAt     float64
+	fault            error // why it does not vote at the moment
+	stopped          bool  // for good
+	outbox           []Message
+	historyChanged   bool // the history went on
 }
 
 // quiet keeps raft's own lines out of the log but for what is fatal to it, which the core turns into a fault.
-type quiet struct{}
-
-func (quiet) Debug(...any)            {}
-func (quiet) Debugf(string, ...any)   {}
-func (quiet) Error(...any)            {}
-func (quiet) Errorf(string, ...any)   {}
-func (quiet) Info(...any)             {}
-func (quiet) Infof(string, ...any)    {}
-func (quiet) Warning(...any)          {}
-func (quiet) Warningf(string, ...any) {}
-func (quiet) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(f string, v ...any) {
+type raftLogger struct{}
+
+func (raftLogger) Debug(...any)            {}
+func (raftLogger) Debugf(string, ...any)   {}
+func (raftLogger) Error(...any)            {}
+func (raftLogger) Errorf(string, ...any)   {}
+func (raftLogger) Info(...any)             {}
+func (raftLogger) Infof(string, ...any)    {}
+func (raftLogger) Warning(...any)          {}
+func (raftLogger) Warningf(string, ...any) {}
+func (raftLogger) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
+func (raftLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
-func (quiet) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (raftLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (raftLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
 // NewCore takes up what the store had kept.
-func NewCore(f fleet.Timing, id uint64, kept PersistedState, store Store, seed uint64, now float64) (c *Core, err error) {
-	c = &Core{f: f, id: id, mem: raft.NewMemoryStorage(), store: store, rnd: rand.New(rand.NewPCG(seed, id)),
-		voices: map[uint64]float64{}, pending: map[string][]command{}, heard: now - 10*electionLeast}
-	defer c.guard(&err)
-	if c.state, err = fleet.Restore(kept.Snapshot.GetData()); err != nil {
+func NewCore(timing fleet.Timing, id uint64, persisted PersistedState, store Store, seed uint64, now float64) (c *Core, err error) {
+	c = &Core{timing: timing, id: id, storage: raft.NewMemoryStorage(), store: store, rng: rand.New(rand.NewPCG(seed, id)),
+		peerContact: map[uint64]float64{}, proposals: map[string][]proposal{}, leaderContact: now - 10*minElectionTimeout}
+	defer c.recoverPanic(&err)
+	if c.state, err = fleet.Restore(persisted.Snapshot.GetData()); err != nil {
 		return nil, err
 	}
-	c.before = c.state.Digest()
-	if !raft.IsEmptySnap(kept.Snapshot) {
-		if err = c.mem.ApplySnapshot(kept.Snapshot); err != nil {
+	c.digestBefore = c.state.Digest()
+	if !raft.IsEmptySnap(persisted.Snapshot) {
+		if err = c.storage.ApplySnapshot(persisted.Snapshot); err != nil {
 			return nil, fmt.Errorf("voter's snapshot: %w", err)
 		}
 	}
-	if err = c.mem.SetHardState(kept.HardState); err != nil {
+	if err = c.storage.SetHardState(persisted.HardState); err != nil {
 		return nil, fmt.Errorf("voter's promise: %w", err)
 	}
-	if err = c.mem.Append(kept.Entries); err != nil {
+	if err = c.storage.Append(persisted.Entries); err != nil {
 		return nil, fmt.Errorf("voter's entries: %w", err)
 	}
-	c.conf = pb.EnsureConfState(kept.Snapshot.GetMetadata().GetConfState())
-	c.applied = kept.Snapshot.GetMetadata().GetIndex()
-	c.saved = c.applied
-	c.rn, err = raft.NewRawNode(&raft.Config{ID: id, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: c.mem, Applied: c.applied,
+	c.confState = pb.EnsureConfState(persisted.Snapshot.GetMetadata().GetConfState())
+	c.appliedIndex = persisted.Snapshot.GetMetadata().GetIndex()
+	c.snapshotIndex = c.appliedIndex
+	c.rawNode, err = raft.NewRawNode(&raft.Config{ID: id, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: c.storage, Applied: c.appliedIndex,
 		MaxSizePerMsg: 256 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 8 << 20, PreVote: true,
-		DisableProposalForwarding: true, Logger: quiet{}})
+		DisableProposalForwarding: true, Logger: raftLogger{}})
 	if err != nil {
 		return nil, fmt.Errorf("voter: %w", err)
 	}
-	c.deadline = now + c.draw()
-	c.run(now)
+	c.electionDeadline = now + c.randomElectionTimeout()
+	c.processReady(now)
 	return c, c.fault
 }
 
 // guard turns raft's panics into a fault. It guards against a folder that is older than what this voter has promised
 // and that nobody caught: raft panics then, and the dispatcher must not end with it.
-func (c *Core) guard(err *error) {
+func (c *Core) recoverPanic(err *error) {
 	if v := recover(); v != nil {
-		c.dead = true
+		c.stopped = true
 		c.fault = fmt.Errorf("%w: %v", ErrVoterFailed, v)
-		c.drop()
+		c.failPending()
 		if err != nil {
 			*err = c.fault
 		}
 	}
 }
 
-func (c *Core) draw() float64 { return electionLeast * (1 + c.rnd.Float64()) }
+func (c *Core) randomElectionTimeout() float64 { return minElectionTimeout * (1 + c.rng.Float64()) }
 
 // leads tells whether it leads, as far as it knows.
-func (c *Core) leads() bool { return c.book != nil }
+func (c *Core) isLeader() bool { return c.leases != nil }
 
 // Step does what is due and returns the time by which it must be called again.
 func (c *Core) Tick(now float64) float64 {
-	defer c.guard(nil)
-	if c.dead {
-		return now + retryStore
+	defer c.recoverPanic(nil)
+	if c.stopped {
+		return now + storeRetryInterval
 	}
-	if c.held != nil && now < c.retryAt {
-		return c.retryAt
+	if c.unsavedReady != nil && now < c.storeRetryAt {
+		return c.storeRetryAt
 	}
-	c.run(now)
-	if c.held != nil {
-		return c.retryAt
+	c.processReady(now)
+	if c.unsavedReady != nil {
+		return c.storeRetryAt
 	}
 	switch {
-	case c.leads() && now >= c.tickAt:
-		c.tickAt = now + HeartbeatInterval
-		c.rn.Tick()
-		c.seat()
-	case !c.leads() && now >= c.deadline:
-		c.deadline = now + c.draw()
-		_ = c.rn.Campaign() // one that cannot campaign now does so later
-	}
-	if c.leads() && len(c.asked) > 0 && now > c.askedAt+c.f.Lease {
-		c.refuse(c.asked)
-		c.asked = nil
-	}
-	c.run(now)
-	c.ask(now)
-	c.run(now)
+	case c.isLeader() && now >= c.nextTick:
+		c.nextTick = now + HeartbeatInterval
+		c.rawNode.Tick()
+		c.reconcileVoters()
+	case !c.isLeader() && now >= c.electionDeadline:
+		c.electionDeadline = now + c.randomElectionTimeout()
+		_ = c.rawNode.Campaign() // one that cannot campaign now does so later
+	}
+	if c.isLeader() && len(c.activeReads) > 0 && now > c.readStartedAt+c.timing.Lease {
+		c.rejectReads(c.activeReads)
+		c.activeReads = nil
+	}
+	c.processReady(now)
+	c.startRead(now)
+	c.processReady(now)
 	switch {
-	case c.leads() && len(c.waiting) > 0 && len(c.asked) == 0:
-		return min(c.tickAt, max(c.askedAt+readEvery, now))
-	case c.leads():
-		return c.tickAt
+	case c.isLeader() && len(c.queuedReads) > 0 && len(c.activeReads) == 0:
+		return min(c.nextTick, max(c.readStartedAt+readInterval, now))
+	case c.isLeader():
+		return c.nextTick
 	}
-	return c.deadline
+	return c.electionDeadline
 }
 
 // seat brings the consensus one step nearer to the voters that the history seats: one is added before another goes. Any
 // leader goes on where the last one stopped.
-func (c *Core) seat() {
-	if !c.leads() || c.held != nil {
+func (c *Core) reconcileVoters() {
+	if !c.isLeader() || c.unsavedReady != nil {
 		return
 	}
 	wanted := map[uint64]bool{}
 	for _, v := range c.state.Voters() {
 		wanted[v.RaftID] = true
-		if !slices.Contains(c.conf.GetVoters(), v.RaftID) {
-			_ = c.rn.ProposeConfChange(&pb.ConfChange{Type: pb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(v.RaftID)}) // or with the next tick
+		if !slices.Contains(c.confState.GetVoters(), v.RaftID) {
+			_ = c.rawNode.ProposeConfChange(&pb.ConfChange{Type: pb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(v.RaftID)}) // or with the next tick
 			return
 		}
 	}
-	for _, id := range c.conf.GetVoters() {
+	for _, id := range c.confState.GetVoters() {
 		if !wanted[id] && id == c.id {
-			c.rn.TransferLeader(c.state.Voters()[0].RaftID) // who then removes this one
+			c.rawNode.TransferLeader(c.state.Voters()[0].RaftID) // who then removes this one
 			return
 		}
 		if !wanted[id] {
-			_ = c.rn.ProposeConfChange(&pb.ConfChange{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(id)})
+			_ = c.rawNode.ProposeConfChange(&pb.ConfChange{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(id)})
 			return
 		}
 	}
@@ -271,256 +271,256 @@
 
 // ask has a majority say that this voter leads, for all beats that have come so far. Each such reading costs a message to each
 // voter and one back; begun for each beat, the leader's time went into these and grew with the members.
-func (c *Core) ask(now float64) {
-	if !c.leads() || len(c.waiting) == 0 || len(c.asked) > 0 || c.held != nil || now < c.askedAt+readEvery {
+func (c *Core) startRead(now float64) {
+	if !c.isLeader() || len(c.queuedReads) == 0 || len(c.activeReads) > 0 || c.unsavedReady != nil || now < c.readStartedAt+readInterval {
 		return
 	}
-	c.asked, c.waiting = c.waiting, nil
-	c.askedAt, c.confirm = now, 0
-	c.reads++
-	c.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, c.reads))
+	c.activeReads, c.queuedReads = c.queuedReads, nil
+	c.readStartedAt, c.confirmedIndex = now, 0
+	c.readSeq++
+	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, c.readSeq))
 }
 
 // Receive takes another voter's message.
 func (c *Core) Receive(now float64, data []byte) {
-	defer c.guard(nil)
+	defer c.recoverPanic(nil)
 	var m pb.Message
-	if c.dead || c.held != nil || proto.Unmarshal(data, &m) != nil || m.GetTo() != c.id || raft.IsLocalMsg(m.GetType()) {
+	if c.stopped || c.unsavedReady != nil || proto.Unmarshal(data, &m) != nil || m.GetTo() != c.id || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
 	if t := m.GetType(); (t == pb.MsgPreVote || t == pb.MsgVote) && string(m.GetContext()) != "CampaignTransfer" {
 		// Who hears a leader helps no other to its place; this guards against a voter that is cut one way and campaigns
 		// for ever.
-		if c.leads() && c.majority(now, electionLeast) && len(c.conf.GetVoters()) > 1 || !c.leads() && c.lead != 0 && now < c.heard+electionLeast {
+		if c.isLeader() && c.hasQuorum(now, minElectionTimeout) && len(c.confState.GetVoters()) > 1 || !c.isLeader() && c.leader != 0 && now < c.leaderContact+minElectionTimeout {
 			return
 		}
 	}
-	if err := c.rn.Step(&m); err != nil {
+	if err := c.rawNode.Step(&m); err != nil {
 		return // of no voter of ours, or older than what is known
 	}
-	s := c.rn.BasicStatus()
+	s := c.rawNode.BasicStatus()
 	switch m.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
 		if s.Lead == m.GetFrom() {
-			c.heard, c.deadline = now, now+c.draw()
+			c.leaderContact, c.electionDeadline = now, now+c.randomElectionTimeout()
 		}
 	case pb.MsgVote:
 		if s.HardState.GetVote() == m.GetFrom() {
-			c.deadline = now + c.draw()
+			c.electionDeadline = now + c.randomElectionTimeout()
 		}
 	default:
 		if m.GetTerm() == s.HardState.GetTerm() {
-			c.voices[m.GetFrom()] = now
+			c.peerContact[m.GetFrom()] = now
 		}
 	}
-	c.run(now)
+	c.processReady(now)
 }
 
 // majority tells whether so many voters were heard of within the span, itself among them.
-func (c *Core) majority(now, span float64) bool {
-	heard := 0
-	for _, id := range c.conf.GetVoters() {
-		if at, ok := c.voices[id]; id == c.id || ok && now <= at+span {
-			heard++
+func (c *Core) hasQuorum(now, window float64) bool {
+	count := 0
+	for _, id := range c.confState.GetVoters() {
+		if at, ok := c.peerContact[id]; id == c.id || ok && now <= at+window {
+			count++
 		}
 	}
-	return 2*heard > len(c.conf.GetVoters())
+	return 2*count > len(c.confState.GetVoters())
 }
 
 // SnapshotSent tells what became of a message with a snapshot.
 func (c *Core) ReportSnapshot(now float64, to uint64, ok bool) {
-	defer c.guard(nil)
-	if c.dead || c.held != nil {
+	defer c.recoverPanic(nil)
+	if c.stopped || c.unsavedReady != nil {
 		return
 	}
-	how := raft.SnapshotFinish
+	status := raft.SnapshotFinish
 	if !ok {
-		how = raft.SnapshotFailure
+		status = raft.SnapshotFailure
 	}
-	c.rn.ReportSnapshot(to, how)
-	c.run(now)
+	c.rawNode.ReportSnapshot(to, status)
+	c.processReady(now)
 }
 
 // Propose wants a command in the history. Done is called once.
-func (c *Core) Propose(now float64, x fleet.Command, done func(fleet.Result, error)) {
-	defer c.guard(nil)
+func (c *Core) Propose(now float64, cmd fleet.Command, done func(fleet.Result, error)) {
+	defer c.recoverPanic(nil)
 	switch {
-	case c.dead || c.held != nil:
+	case c.stopped || c.unsavedReady != nil:
 		done(fleet.Result{}, c.fault)
 		return
-	case !c.leads():
+	case !c.isLeader():
 		done(fleet.Result{}, ErrNotLeader)
 		return
-	case x.RequestID == "":
+	case cmd.RequestID == "":
 		done(fleet.Result{}, fmt.Errorf("%w: a request needs a number", fleet.ErrRefused))
 		return
 	}
-	if err := c.rn.Propose(fleet.Encode(x)); err != nil {
+	if err := c.rawNode.Propose(fleet.Encode(cmd)); err != nil {
 		done(fleet.Result{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
 		return
 	}
-	c.pending[x.RequestID] = append(c.pending[x.RequestID], command{x, done})
-	c.run(now)
+	c.proposals[cmd.RequestID] = append(c.proposals[cmd.RequestID], proposal{cmd, done})
+	c.processReady(now)
 }
 
 // Beat takes a member's. Answer is called once, after a majority has said that this voter leads.
-func (c *Core) Heartbeat(now float64, b fleet.Heartbeat, answer func(fleet.LeaseRenewal, error)) {
-	if c.dead || !c.leads() {
-		answer(fleet.LeaseRenewal{}, ErrNotLeader)
+func (c *Core) Heartbeat(now float64, hb fleet.Heartbeat, reply func(fleet.LeaseRenewal, error)) {
+	if c.stopped || !c.isLeader() {
+		reply(fleet.LeaseRenewal{}, ErrNotLeader)
 		return
 	}
-	c.waiting = append(c.waiting, beat{b: b, received: now, answer: answer})
+	c.queuedReads = append(c.queuedReads, queuedRead{heartbeat: hb, receivedAt: now, reply: reply})
 }
 
 // Read has something done once a majority has said that this voter leads, so that it sees all that was answered before.
-func (c *Core) ReadIndex(now float64, read func(error)) {
-	if c.dead || !c.leads() {
-		read(ErrNotLeader)
+func (c *Core) ReadIndex(now float64, onConfirmed func(error)) {
+	if c.stopped || !c.isLeader() {
+		onConfirmed(ErrNotLeader)
 		return
 	}
-	c.waiting = append(c.waiting, beat{received: now, read: read})
+	c.queuedReads = append(c.queuedReads, queuedRead{receivedAt: now, onConfirmed: onConfirmed})
 }
 
 // Take gives the messages to be sent. A leader that hears no majority says nothing as one for a while: so others find another
 // one, even where they hear it. It answers them still: with other voters down, theirs may be the last votes that make a majority.
 func (c *Core) TakeMessages(now float64) (out []Message) {
-	out, c.out = c.out, nil
-	if c.dead {
+	out, c.outbox = c.outbox, nil
+	if c.stopped {
 		return nil
 	}
-	if !c.leads() || c.majority(now, 2*electionLeast) {
-		c.hushed = now
+	if !c.isLeader() || c.hasQuorum(now, 2*minElectionTimeout) {
+		c.quorumContact = now
 		return out
 	}
 	// By turns: others have the time to find another leader, and if its log is the longest and nobody else can lead, it goes on.
-	if math.Mod(now-c.hushed, 5*electionLeast) < 3*electionLeast {
-		out = slices.DeleteFunc(out, func(m Message) bool { return m.lead })
+	if math.Mod(now-c.quorumContact, 5*minElectionTimeout) < 3*minElectionTimeout {
+		out = slices.DeleteFunc(out, func(m Message) bool { return m.fromLeader })
 	}
 	return out
 }
 
 // Moved tells, once, whether the history went on.
 func (c *Core) HistoryChanged() (moved bool) {
-	moved, c.moved = c.moved, false
+	moved, c.historyChanged = c.historyChanged, false
 	return moved
 }
 
 // run works off what raft wants done. What cannot be saved is held, and nothing else goes on until it is.
-func (c *Core) run(now float64) {
-	for c.held != nil || c.rn.HasReady() {
-		if c.held == nil {
-			rd := c.rn.Ready()
-			c.held = &rd
+func (c *Core) processReady(now float64) {
+	for c.unsavedReady != nil || c.rawNode.HasReady() {
+		if c.unsavedReady == nil {
+			rd := c.rawNode.Ready()
+			c.unsavedReady = &rd
 		}
-		rd := c.held
+		rd := c.unsavedReady
 		if rd.HardState != nil || len(rd.Entries) > 0 || !raft.IsEmptySnap(rd.Snapshot) {
 			if err := c.store.Save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
-				c.fault, c.retryAt = fmt.Errorf("%w: %w", ErrVoterFailed, err), now+retryStore
-				c.drop()
+				c.fault, c.storeRetryAt = fmt.Errorf("%w: %w", ErrVoterFailed, err), now+storeRetryInterval
+				c.failPending()
 				return
 			}
 		}
-		c.held, c.fault = nil, nil
-		c.ready(now, rd)
+		c.unsavedReady, c.fault = nil, nil
+		c.handleReady(now, rd)
 	}
 }
 
-func (c *Core) ready(now float64, rd *raft.Ready) {
+func (c *Core) handleReady(now float64, rd *raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		state, err := fleet.Restore(rd.Snapshot.GetData())
 		if err != nil {
 			panic(err) // another voter's history is not ours
 		}
-		if err := c.mem.ApplySnapshot(rd.Snapshot); err != nil {
+		if err := c.storage.ApplySnapshot(rd.Snapshot); err != nil {
 			panic(err)
 		}
-		c.state, c.recent, c.before, c.moved = state, nil, state.Digest(), true
-		c.conf = rd.Snapshot.GetMetadata().GetConfState()
-		c.applied = rd.Snapshot.GetMetadata().GetIndex()
-		c.saved = c.applied
+		c.state, c.recentEntries, c.digestBefore, c.historyChanged = state, nil, state.Digest(), true
+		c.confState = rd.Snapshot.GetMetadata().GetConfState()
+		c.appliedIndex = rd.Snapshot.GetMetadata().GetIndex()
+		c.snapshotIndex = c.appliedIndex
 	}
 	if rd.HardState != nil {
-		if err := c.mem.SetHardState(rd.HardState); err != nil {
+		if err := c.storage.SetHardState(rd.HardState); err != nil {
 			panic(err)
 		}
 	}
-	if err := c.mem.Append(rd.Entries); err != nil {
+	if err := c.storage.Append(rd.Entries); err != nil {
 		panic(err)
 	}
 	if rd.SoftState != nil {
-		c.stands(now, rd.SoftState)
+		c.updateRole(now, rd.SoftState)
 	}
 	for _, m := range rd.Messages {
 		data, err := proto.Marshal(m)
 		if err != nil {
 			panic(err) // of its own
 		}
-		c.out = append(c.out, Message{To: m.GetTo(), Data: data, IsSnapshot: m.GetType() == pb.MsgSnap,
-			lead: slices.Contains([]pb.MessageType{pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap}, m.GetType())})
+		c.outbox = append(c.outbox, Message{To: m.GetTo(), Data: data, IsSnapshot: m.GetType() == pb.MsgSnap,
+			fromLeader: slices.Contains([]pb.MessageType{pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap}, m.GetType())})
 	}
 	for _, e := range rd.CommittedEntries {
-		c.apply(e)
+		c.applyEntry(e)
 	}
 	for _, r := range rd.ReadStates {
-		if len(r.RequestCtx) == 8 && binary.BigEndian.Uint64(r.RequestCtx) == c.reads && len(c.asked) > 0 {
-			c.confirm = max(r.Index, 1)
+		if len(r.RequestCtx) == 8 && binary.BigEndian.Uint64(r.RequestCtx) == c.readSeq && len(c.activeReads) > 0 {
+			c.confirmedIndex = max(r.Index, 1)
 		}
 	}
-	c.rn.Advance(*rd)
-	c.answer()
-	if c.applied >= c.saved+compactEvery {
+	c.rawNode.Advance(*rd)
+	c.completeReads()
+	if c.appliedIndex >= c.snapshotIndex+compactThreshold {
 		c.compact()
 	}
 }
 
 // stands notes who leads.
-func (c *Core) stands(now float64, s *raft.SoftState) {
-	c.lead = s.Lead
+func (c *Core) updateRole(now float64, s *raft.SoftState) {
+	c.leader = s.Lead
 	leads := s.RaftState == raft.StateLeader
 	switch {
-	case leads && c.book == nil:
-		c.book, c.tickAt = fleet.NewLeaseManager(c.f, now), now
-		for _, id := range c.conf.GetVoters() {
-			c.voices[id] = now
+	case leads && c.leases == nil:
+		c.leases, c.nextTick = fleet.NewLeaseManager(c.timing, now), now
+		for _, id := range c.confState.GetVoters() {
+			c.peerContact[id] = now
 		}
-	case !leads && c.book != nil:
-		c.book, c.deadline = nil, now+c.draw()
-		c.drop()
+	case !leads && c.leases != nil:
+		c.leases, c.electionDeadline = nil, now+c.randomElectionTimeout()
+		c.failPending()
 	}
 }
 
 // drop ends what waits for this voter as a leader.
-func (c *Core) drop() {
-	pending := c.pending
-	c.pending = map[string][]command{}
-	for _, request := range sorted(pending) {
-		for _, x := range pending[request] {
+func (c *Core) failPending() {
+	proposals := c.proposals
+	c.proposals = map[string][]proposal{}
+	for _, request := range sortedKeys(proposals) {
+		for _, x := range proposals[request] {
 			x.done(fleet.Result{}, ErrOutcomeUnknown)
 		}
 	}
-	c.refuse(c.asked)
-	c.refuse(c.waiting)
-	c.asked, c.waiting = nil, nil
+	c.rejectReads(c.activeReads)
+	c.rejectReads(c.queuedReads)
+	c.activeReads, c.queuedReads = nil, nil
 }
 
-func (c *Core) refuse(beats []beat) {
-	for _, b := range beats {
-		if b.read != nil {
-			b.read(ErrNotLeader)
+func (c *Core) rejectReads(reads []queuedRead) {
+	for _, b := range reads {
+		if b.onConfirmed != nil {
+			b.onConfirmed(ErrNotLeader)
 			continue
 		}
-		b.answer(fleet.LeaseRenewal{}, ErrNotLeader)
+		b.reply(fleet.LeaseRenewal{}, ErrNotLeader)
 	}
 }
 
-func (c *Core) apply(e *pb.Entry) {
-	c.applied = e.GetIndex()
+func (c *Core) applyEntry(e *pb.Entry) {
+	c.appliedIndex = e.GetIndex()
 	if e.GetType() == pb.EntryConfChange {
 		var x pb.ConfChange
 		if err := proto.Unmarshal(e.GetData(), &x); err != nil {
 			panic(err)
 		}
-		c.conf = c.rn.ApplyConfChange(&x)
+		c.confState = c.rawNode.ApplyConfChange(&x)
 		return
 	}
 	if e.GetType() != pb.EntryNormal || len(e.GetData()) == 0 {
@@ -530,107 +530,107 @@
 	if err := fleet.Decode(e.GetData(), &x); err != nil {
 		panic(err) // a newer program's: this voter must not guess
 	}
-	was := c.state.Digest()
+	digestBefore := c.state.Digest()
 	result, entry, err := c.state.Apply(x)
 	if entry != nil {
-		if len(c.recent) == 0 {
-			c.before = was
+		if len(c.recentEntries) == 0 {
+			c.digestBefore = digestBefore
 		}
-		c.moved = true
-		if c.recent = append(c.recent, *entry); len(c.recent) > 2*keepRecent {
-			c.recent = slices.Clone(c.recent[keepRecent:])
-			c.before = c.recent[0].PrevDigest
+		c.historyChanged = true
+		if c.recentEntries = append(c.recentEntries, *entry); len(c.recentEntries) > 2*retainedEntries {
+			c.recentEntries = slices.Clone(c.recentEntries[retainedEntries:])
+			c.digestBefore = c.recentEntries[0].PrevDigest
 		}
 	}
-	for _, p := range c.pending[x.RequestID] {
+	for _, p := range c.proposals[x.RequestID] {
 		p.done(result, err)
 	}
-	delete(c.pending, x.RequestID)
+	delete(c.proposals, x.RequestID)
 }
 
 // answer answers the beats that were asked for, once a majority has confirmed and all before that is applied.
-func (c *Core) answer() {
-	if c.confirm == 0 || c.applied < c.confirm || !c.leads() {
+func (c *Core) completeReads() {
+	if c.confirmedIndex == 0 || c.appliedIndex < c.confirmedIndex || !c.isLeader() {
 		return
 	}
-	beats := c.asked
-	c.asked, c.confirm = nil, 0
-	for _, b := range beats {
-		if b.read != nil {
-			b.read(nil)
+	reads := c.activeReads
+	c.activeReads, c.confirmedIndex = nil, 0
+	for _, b := range reads {
+		if b.onConfirmed != nil {
+			b.onConfirmed(nil)
 			continue
 		}
-		r, unknown := c.book.Heartbeat(b.received, b.b, c.state)
+		r, unknown := c.leases.Heartbeat(b.receivedAt, b.heartbeat, c.state)
 		if unknown {
-			c.admit(b)
+			c.admitMember(b)
 			continue
 		}
-		b.answer(r, nil)
+		b.reply(r, nil)
 	}
 }
 
 // admit has a member in the history before it can have a lease; it is to beat again.
-func (c *Core) admit(b beat) {
-	x := fleet.Command{Kind: fleet.AdmitMember, RequestID: "admit " + b.b.RunID + " " + b.b.Address, RequestedBy: b.b.Member, Member: b.b.Member, Address: b.b.Address, IsolationPolicy: b.b.IsolationPolicy, RunID: b.b.RunID}
-	if k := len(b.b.Runs) - 1; k >= 0 {
-		x.IssuedAt, x.RunStartedAt = b.b.Runs[k].KnownUntil, b.b.Runs[k].StartedAt
-	}
-	if len(c.pending[x.RequestID]) == 0 {
-		if c.rn.Propose(fleet.Encode(x)) == nil {
-			c.pending[x.RequestID] = []command{{x, func(fleet.Result, error) {}}}
+func (c *Core) admitMember(read queuedRead) {
+	cmd := fleet.Command{Kind: fleet.AdmitMember, RequestID: "admit " + read.heartbeat.RunID + " " + read.heartbeat.Address, RequestedBy: read.heartbeat.Member, Member: read.heartbeat.Member, Address: read.heartbeat.Address, IsolationPolicy: read.heartbeat.IsolationPolicy, RunID: read.heartbeat.RunID}
+	if k := len(read.heartbeat.Runs) - 1; k >= 0 {
+		cmd.IssuedAt, cmd.RunStartedAt = read.heartbeat.Runs[k].KnownUntil, read.heartbeat.Runs[k].StartedAt
+	}
+	if len(c.proposals[cmd.RequestID]) == 0 {
+		if c.rawNode.Propose(fleet.Encode(cmd)) == nil {
+			c.proposals[cmd.RequestID] = []proposal{{cmd, func(fleet.Result, error) {}}}
 		}
 	}
-	b.answer(fleet.LeaseRenewal{NewestVersion: c.state.NewestVersion(), FencedVersion: c.state.FencedVersion(), Reason: "being admitted", RetryAfter: HeartbeatInterval}, nil)
+	read.reply(fleet.LeaseRenewal{NewestVersion: c.state.NewestVersion(), FencedVersion: c.state.FencedVersion(), Reason: "being admitted", RetryAfter: HeartbeatInterval}, nil)
 }
 
 // compact keeps a snapshot in place of old entries.
 func (c *Core) compact() {
-	snap, err := c.mem.CreateSnapshot(c.applied, c.conf, c.state.Snapshot())
+	snap, err := c.storage.CreateSnapshot(c.appliedIndex, c.confState, c.state.Snapshot())
 	if err != nil {
 		panic(err)
 	}
-	from := c.applied - compactKeep
+	from := c.appliedIndex - compactRetained
 	if err := c.store.Compact(snap, from); err != nil {
 		return // it is tried again with the next entry
 	}
-	c.saved = c.applied
-	if err := c.mem.Compact(from); err != nil && !errors.Is(err, raft.ErrCompacted) {
+	c.snapshotIndex = c.appliedIndex
+	if err := c.storage.Compact(from); err != nil && !errors.Is(err, raft.ErrCompacted) {
 		panic(err)
 	}
 }
 
 // Entries gives what comes after n in the history, or the whole state where that is not kept any longer. Nothing: there
 // is nothing newer. Fork: the digest shows that the asker's history up to n is another one.
-func (c *Core) EntriesAfter(n uint64, digest fleet.Digest) (entries []fleet.Entry, snapshot []byte, fork bool) {
-	first := c.state.LastSeq() - uint64(len(c.recent))
+func (c *Core) EntriesAfter(seq uint64, digest fleet.Digest) (entries []fleet.Entry, snapshot []byte, diverged bool) {
+	first := c.state.LastSeq() - uint64(len(c.recentEntries))
 	switch {
-	case n > c.state.LastSeq(): // this voter is behind itself
+	case seq > c.state.LastSeq(): // this voter is behind itself
 		return nil, nil, false
-	case n == 0 && c.state.LastSeq() == 0:
+	case seq == 0 && c.state.LastSeq() == 0:
 		return nil, nil, false
-	case n < first || n == 0: // one that knows nothing does not know the first voters either
+	case seq < first || seq == 0: // one that knows nothing does not know the first voters either
 		return nil, c.state.Snapshot(), false
 	}
-	at := c.before
-	if n > first {
-		at = c.recent[n-first-1].Digest
+	at := c.digestBefore
+	if seq > first {
+		at = c.recentEntries[seq-first-1].Digest
 	}
-	return c.recent[n-first:], nil, at != digest
+	return c.recentEntries[seq-first:], nil, at != digest
 }
 
 // State is the history as this voter has it; the caller must not change it.
 func (c *Core) State() *fleet.State { return c.state }
 
 // Book is the leader's; nil: this voter does not lead.
-func (c *Core) Leases() *fleet.LeaseManager { return c.book }
+func (c *Core) Leases() *fleet.LeaseManager { return c.leases }
 
 // Lead is the voter that leads as far as is known here, 0 for none.
-func (c *Core) Leader() uint64 { return c.lead }
+func (c *Core) Leader() uint64 { return c.leader }
 
 // Fault is why it does not vote; nil: it does.
 func (c *Core) Fault() error { return c.fault }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -150,7 +150,7 @@
 
 func (p *play) leader() *Core {
 	for _, c := range p.cores {
-		if c != nil && c.leads() && c.majority(p.now, 2*electionLeast) {
+		if c != nil && c.isLeader() && c.hasQuorum(p.now, 2*minElectionTimeout) {
 			return c
 		}
 	}
@@ -298,12 +298,12 @@
 		for end := p.now + 200; p.now < end; {
 			p.step()
 		}
-		if p.leader() != l || answered != sent || late > readEvery+60 {
+		if p.leader() != l || answered != sent || late > readInterval+60 {
 			t.Errorf("%d beats in 5 ms: %d of %d answered, after %.0f ms at most", each, answered, sent, late)
 		}
 	}
 	t.Logf("messages of the leader by beats in 5 ms: %v", told)
-	if told[20] > told[1]*5/4 || told[1] > 4*(1000/readEvery+1000/HeartbeatInterval+5) {
+	if told[20] > told[1]*5/4 || told[1] > 4*(1000/readInterval+1000/HeartbeatInterval+5) {
 		t.Errorf("messages of the leader by beats in 5 ms: %v", told)
 	}
 }
--- a/internal/consensus/disk_store_test.go
+++ b/internal/consensus/disk_store_test.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	big := &pb.Snapshot{Data: bytes.Repeat([]byte("x"), 3*snapshotPart/2), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(3), Term: proto.Uint64(2)}}
+	big := &pb.Snapshot{Data: bytes.Repeat([]byte("x"), 3*snapshotPartBytes/2), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(3), Term: proto.Uint64(2)}}
 	if err := errors.Join(d.Init("v", InitialState("f", []fleet.Voter{{Name: "v", Address: "a", RaftID: 9}})), d.SetRaftID(5),
 		d.Save(&pb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(2)}, []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}, nil),
 		d.Compact(big, 1), d.Save(nil, []*pb.Entry{entry(5, 2, "d")}, nil), d.Close()); err != nil {
@@ -79,7 +79,7 @@
 		if err := d.Save(nil, []*pb.Entry{entry(index, 2, text)}, nil); err != nil {
 			t.Fatal(err)
 		}
-		if index%compactEvery == 0 {
+		if index%compactThreshold == 0 {
 			snap := &pb.Snapshot{Data: []byte("s"), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(index - 1), Term: proto.Uint64(2)}}
 			if err := d.Compact(snap, 1); err != nil {
 				t.Fatal(err)
@@ -93,7 +93,7 @@
 	if err != nil || kept.Entries[len(kept.Entries)-1].GetIndex() != 3999 {
 		t.Fatal(err)
 	}
-	if segments, err := os.ReadDir(filepath.Join(dir, DirName)); err != nil || len(segments) > mostSegments+2 {
+	if segments, err := os.ReadDir(filepath.Join(dir, DirName)); err != nil || len(segments) > maxSegments+2 {
 		t.Errorf("%d files: %v", len(segments), err)
 	}
 	d.Close()
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -34,45 +34,45 @@
 
 // Bounds of a voter's goroutine.
 const (
-	inboxSize     = 4096
-	peerQueue     = 256 // messages that wait for one link; what is beyond is lost, as messages may be
-	voteWithin    = time.Second
-	snapWithin    = 5 * time.Second
-	helloWithin   = 500 * time.Millisecond
-	helloPatience = 2 * time.Second        // for all others; then a majority has to do
-	gather        = 240 * time.Millisecond // while the history moves fast it is told in lots, this far apart, half of it or more
-	fast          = 500 * time.Millisecond // it does while two entries are no further apart, and as long after
-	catchingUp    = 16                     // that get much at once
-	muchEntries   = 64
-	partBytes     = 256 << 10
-	askWithin     = 3 * time.Second
-	probeEvery    = 250.
-	probeWithin   = 300 * time.Millisecond
-	probesMost    = 8
-	passWithin    = 300 * time.Millisecond
+	taskQueueSize   = 4096
+	peerQueueSize   = 256 // messages that wait for one link; what is beyond is lost, as messages may be
+	raftTimeout     = time.Second
+	snapshotTimeout = 5 * time.Second
+	helloTimeout    = 500 * time.Millisecond
+	helloFullWait   = 2 * time.Second        // for all others; then a majority has to do
+	batchInterval   = 240 * time.Millisecond // while the history moves fast it is told in lots, this far apart, half of it or more
+	burstInterval   = 500 * time.Millisecond // it does while two entries are no further apart, and as long after
+	maxCatchUps     = 16                     // that get much at once
+	catchUpEntries  = 64
+	maxPartBytes    = 256 << 10
+	adminTimeout    = 3 * time.Second
+	probeInterval   = 250.
+	probeTimeout    = 300 * time.Millisecond
+	maxProbes       = 8
+	forwardTimeout  = 300 * time.Millisecond
 )
 
 // Council is one voter at work.
 type Node struct {
-	o       Options
-	ctx     context.Context
-	stop    context.CancelFunc
-	inbox   chan func()
-	client  *fleetrpc.Client
-	running sync.WaitGroup
-	disk    *DiskStore // nil: there is none; the goroutine's, but for Seen
-	core    *Core      // nil: it does not vote
-	seat    uint64
-	wants   uint64 // the seat that it asks for
-	peers   map[uint64]*peer
-	wake    chan struct{}   // closed when the history goes on
-	moves   [2]atomic.Int64 // when it last did, and the time before: nanoseconds since the start
-	began   time.Time
-	busy    int // catching up
-	probeAt float64
-	probing int
-	mu      sync.Mutex
-	state   string
+	opts            Options
+	ctx             context.Context
+	cancel          context.CancelFunc
+	tasks           chan func()
+	client          *fleetrpc.Client
+	wg              sync.WaitGroup
+	store           *DiskStore // nil: there is none; the goroutine's, but for Seen
+	core            *Core      // nil: it does not vote
+	raftID          uint64
+	requestedRaftID uint64 // the seat that it asks for
+	peers           map[uint64]*peer
+	historyChanged  chan struct{}   // closed when the history goes on
+	lastChanges     [2]atomic.Int64 // when it last did, and the time before: nanoseconds since the start
+	startedAt       time.Time
+	catchUps        int // catching up
+	nextProbe       float64
+	activeProbes    int
+	mu              sync.Mutex
+	status          string
 }
 
 // peer is the link to another voter.
@@ -82,90 +82,90 @@
 }
 
 // Start takes up the folder and votes as soon as it may.
-func Start(o Options) (*Node, error) {
-	for k, v := range o.Voters {
-		o.Voters[k].RaftID = InitialRaftID(o.Fleet, v.Name)
+func Start(opts Options) (*Node, error) {
+	for k, v := range opts.Voters {
+		opts.Voters[k].RaftID = InitialRaftID(opts.Fleet, v.Name)
 	}
-	c := &Node{o: o, inbox: make(chan func(), inboxSize), client: fleetrpc.NewClient(o.Fleet, o.AddressMap),
-		peers: map[uint64]*peer{}, wake: make(chan struct{}), state: "starting", began: time.Now()}
-	c.ctx, c.stop = context.WithCancel(context.Background())
-	c.running.Go(c.run)
-	return c, nil
+	n := &Node{opts: opts, tasks: make(chan func(), taskQueueSize), client: fleetrpc.NewClient(opts.Fleet, opts.AddressMap),
+		peers: map[uint64]*peer{}, historyChanged: make(chan struct{}), status: "starting", startedAt: time.Now()}
+	n.ctx, n.cancel = context.WithCancel(context.Background())
+	n.wg.Go(n.run)
+	return n, nil
 }
 
 // Close ends it and lets the folder go.
-func (c *Node) Close() {
-	c.stop()
-	c.client.Close()
-	c.running.Wait()
-	if c.disk != nil {
-		c.disk.Close()
+func (n *Node) Close() {
+	n.cancel()
+	n.client.Close()
+	n.wg.Wait()
+	if n.store != nil {
+		n.store.Close()
 	}
 }
 
 // State says how it votes.
-func (c *Node) Status() (string, uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.state, c.wants
+func (n *Node) Status() (string, uint64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.status, n.requestedRaftID
 }
 
-func (c *Node) say(state string) {
-	c.mu.Lock()
-	was := c.state
-	c.state = state
-	c.mu.Unlock()
-	if was != state {
-		slog.Info("voter", "voter", c.o.Name, "state", state)
+func (n *Node) setStatus(status string) {
+	n.mu.Lock()
+	previous := n.status
+	n.status = status
+	n.mu.Unlock()
+	if previous != status {
+		slog.Info("voter", "voter", n.opts.Name, "state", status)
 	}
 }
 
 // do has something done on the goroutine; false: it has ended.
-func (c *Node) do(f func()) bool {
+func (n *Node) post(task func()) bool {
 	select {
-	case c.inbox <- f:
+	case n.tasks <- task:
 		return true
-	case <-c.ctx.Done():
+	case <-n.ctx.Done():
 		return false
 	}
 }
 
-func (c *Node) run() {
-	kept, ok := c.open()
+func (n *Node) run() {
+	persisted, ok := n.openStore()
 	if !ok {
 		for { // it answers that it does not vote
 			select {
-			case <-c.ctx.Done():
+			case <-n.ctx.Done():
 				return
-			case f := <-c.inbox:
-				f()
+			case task := <-n.tasks:
+				task()
 			}
 		}
 	}
-	core, err := NewCore(c.o.Timing, c.seat, kept, c.disk, c.o.Seed, c.o.Clock())
+	core, err := NewCore(n.opts.Timing, n.raftID, persisted, n.store, n.opts.Seed, n.opts.Clock())
 	if err != nil {
-		c.say("does not vote: " + err.Error())
+		n.setStatus("does not vote: " + err.Error())
 	}
-	c.core = core
+	n.core = core
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		now := c.o.Clock()
-		at := now + 1000
-		if c.core != nil {
-			at = c.core.Tick(now)
-			c.after(now)
+		now := n.opts.Clock()
+		wakeAt := now + 1000
+		if n.core != nil {
+			wakeAt = n.core.Tick(now)
+			n.afterTick(now)
 		}
-		timer.Reset(time.Duration(max(at-c.o.Clock(), 1) * 1e6))
+		timer.Reset(time.Duration(max(wakeAt-n.opts.Clock(), 1) * 1e6))
 		select {
-		case <-c.ctx.Done():
+		case <-n.ctx.Done():
 			return
-		case f := <-c.inbox:
-			f()
+		case task := <-n.tasks:
+			task()
 			for more := true; more; {
 				select {
-				case f := <-c.inbox:
-					f()
+				case task := <-n.tasks:
+					task()
 				default:
 					more = false
 				}
@@ -176,52 +176,52 @@
 }
 
 // after sees what a step brought about.
-func (c *Node) after(now float64) {
-	for _, m := range c.core.TakeMessages(now) {
-		c.send(m)
+func (n *Node) afterTick(now float64) {
+	for _, m := range n.core.TakeMessages(now) {
+		n.send(m)
 	}
-	if c.core.HistoryChanged() {
-		c.moves[1].Store(c.moves[0].Load())
-		c.moves[0].Store(int64(time.Since(c.began)))
-		close(c.wake)
-		c.wake = make(chan struct{})
+	if n.core.HistoryChanged() {
+		n.lastChanges[1].Store(n.lastChanges[0].Load())
+		n.lastChanges[0].Store(int64(time.Since(n.startedAt)))
+		close(n.historyChanged)
+		n.historyChanged = make(chan struct{})
 	}
-	switch fault := c.core.Fault(); {
+	switch fault := n.core.Fault(); {
 	case fault != nil:
-		c.say("does not vote: " + fault.Error())
-	case c.core.Leases() != nil:
-		c.say("leads")
-	case c.core.Leader() != 0:
-		c.say("follows a leader")
+		n.setStatus("does not vote: " + fault.Error())
+	case n.core.Leases() != nil:
+		n.setStatus("leads")
+	case n.core.Leader() != 0:
+		n.setStatus("follows a leader")
 	default:
-		c.say("votes, no leader")
+		n.setStatus("votes, no leader")
 	}
-	if b := c.core.Leases(); b != nil && now >= c.probeAt {
-		c.probeAt = now + probeEvery
-		c.probe(b.SilentMembers(now, c.core.State()))
+	if leases := n.core.Leases(); leases != nil && now >= n.nextProbe {
+		n.nextProbe = now + probeInterval
+		n.probeMembers(leases.SilentMembers(now, n.core.State()))
 	}
 }
 
 // probe calls members that should have been heard of, so that a stalled one is told from one that cannot be reached.
-func (c *Node) probe(silent []fleet.Member) {
+func (n *Node) probeMembers(silent []fleet.Member) {
 	for _, m := range silent {
-		if c.probing >= probesMost {
+		if n.activeProbes >= maxProbes {
 			return
 		}
-		c.probing++
-		c.running.Go(func() {
-			connects, err := c.client.Probe(m.Address, probeWithin)
-			what := "its link to the leader, it answers there"
+		n.activeProbes++
+		n.wg.Go(func() {
+			connects, err := n.client.Probe(m.Address, probeTimeout)
+			result := "its link to the leader, it answers there"
 			switch {
 			case err != nil && connects:
-				what = "stalled, or its link swallows: it takes connections and says nothing"
+				result = "stalled, or its link swallows: it takes connections and says nothing"
 			case err != nil:
-				what = "no link, or no process: it cannot be reached"
+				result = "no link, or no process: it cannot be reached"
 			}
-			c.do(func() {
-				c.probing--
-				if c.core != nil && c.core.Leases() != nil {
-					c.core.Leases().RecordProbe(m.Name, what)
+			n.post(func() {
+				n.activeProbes--
+				if n.core != nil && n.core.Leases() != nil {
+					n.core.Leases().RecordProbe(m.Name, result)
 				}
 			})
 		})
@@ -229,50 +229,50 @@
 }
 
 // open takes up the folder and finds out whether it may vote as the one it was. False: it does not.
-func (c *Node) open() (kept PersistedState, ok bool) {
-	var disk *DiskStore
-	var runs uint64
+func (n *Node) openStore() (persisted PersistedState, ok bool) {
+	var store *DiskStore
+	var starts uint64
 	var fresh bool
 	var err error
 	for { // an older process of this member may still have it
-		disk, kept, runs, fresh, err = OpenDiskStore(c.o.Dir, c.o.Name)
+		store, persisted, starts, fresh, err = OpenDiskStore(n.opts.Dir, n.opts.Name)
 		if err == nil || errors.Is(err, ErrCorrupt) {
 			break
 		}
-		c.say("waits for its folder: " + err.Error())
-		if !c.pause(200 * time.Millisecond) {
-			return kept, false
+		n.setStatus("waits for its folder: " + err.Error())
+		if !n.wait(200 * time.Millisecond) {
+			return persisted, false
 		}
 	}
 	if err != nil {
-		c.say("does not vote: " + err.Error())
-		return kept, false
+		n.setStatus("does not vote: " + err.Error())
+		return persisted, false
 	}
-	c.disk = disk
-	if c.seat = disk.RaftID(); c.seat == 0 {
-		c.seat = InitialRaftID(c.o.Fleet, c.o.Name)
+	n.store = store
+	if n.raftID = store.RaftID(); n.raftID == 0 {
+		n.raftID = InitialRaftID(n.opts.Fleet, n.opts.Name)
 	}
 	if fresh {
-		return c.found()
+		return n.initStore()
 	}
-	runs++
-	if err := disk.RecordStart(runs); err != nil {
-		c.say("does not vote: " + err.Error())
-		return kept, false
+	starts++
+	if err := store.RecordStart(starts); err != nil {
+		n.setStatus("does not vote: " + err.Error())
+		return persisted, false
 	}
-	return kept, c.register(runs)
+	return persisted, n.registerStart(starts)
 }
 
 // pause serves the inbox meanwhile; false: it ends.
-func (c *Node) pause(span time.Duration) bool {
-	timer := time.NewTimer(span)
+func (n *Node) wait(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	for {
 		select {
-		case <-c.ctx.Done():
+		case <-n.ctx.Done():
 			return false
-		case f := <-c.inbox:
-			f()
+		case task := <-n.tasks:
+			task()
 		case <-timer.C:
 			return true
 		}
@@ -280,62 +280,62 @@
 }
 
 // heard is another voter's answer to a hello.
-type heard struct {
-	voter  string
-	answer fleetrpc.HelloReply
-	err    error
+type helloResult struct {
+	voter string
+	reply fleetrpc.HelloReply
+	err   error
 }
 
 // hello asks voters once; the answers come by the channel.
-func (c *Node) hello(voters []fleet.Voter, starts uint64) <-chan heard {
-	answers := make(chan heard, len(voters))
+func (n *Node) sendHellos(voters []fleet.Voter, starts uint64) <-chan helloResult {
+	results := make(chan helloResult, len(voters))
 	for _, v := range voters {
-		c.running.Go(func() {
-			a, err := c.client.Hello(v.Address, fleetrpc.Hello{Voter: c.o.Name, Starts: starts, RunID: c.o.RunID}, helloWithin)
+		n.wg.Go(func() {
+			a, err := n.client.Hello(v.Address, fleetrpc.Hello{Voter: n.opts.Name, Starts: starts, RunID: n.opts.RunID}, helloTimeout)
 			if err == nil && a.Error != "" {
 				err = errors.New(a.Error)
 			}
-			answers <- heard{v.Name, a, err}
+			results <- helloResult{v.Name, a, err}
 		})
 	}
-	return answers
+	return results
 }
 
-func (c *Node) others() (all []fleet.Voter) {
-	for _, v := range c.o.Voters {
-		if v.Name != c.o.Name {
-			all = append(all, v)
+func (n *Node) otherVoters() (voters []fleet.Voter) {
+	for _, v := range n.opts.Voters {
+		if v.Name != n.opts.Name {
+			voters = append(voters, v)
 		}
 	}
-	return all
+	return voters
 }
 
 // round asks those that have not answered yet, and serves the inbox meanwhile. False: it ends.
-func (c *Node) round(left map[string]fleet.Voter, starts uint64, each func(heard)) bool {
-	var all []fleet.Voter
-	for _, name := range sorted(left) {
-		all = append(all, left[name])
+func (n *Node) helloRound(unanswered map[string]fleet.Voter, starts uint64, each func(helloResult)) bool {
+	var voters []fleet.Voter
+	for _, name := range sortedKeys(unanswered) {
+		voters = append(voters, unanswered[name])
 	}
-	answers := c.hello(all, starts)
-	for range all {
+	results := n.sendHellos(voters, starts)
+	for range voters {
 		select {
-		case <-c.ctx.Done():
+		case <-n.ctx.Done():
 			return false
-		case f := <-c.inbox:
-			f()
+		case task := <-n.tasks:
+			task()
 			// The answer that this turn was for is still to come.
 			for done := false; !done; {
 				select {
-				case <-c.ctx.Done():
+				case <-n.ctx.Done():
 					return false
-				case f := <-c.inbox:
-					f()
-				case h := <-answers:
+				case task := <-n.tasks:
+					task()
+				case h := <-results:
 					each(h)
 					done = true
 				}
 			}
-		case h := <-answers:
+		case h := <-results:
 			each(h)
 		}
 	}
@@ -344,106 +344,106 @@
 
 // found begins with an empty folder. Only if every other voter says that it never heard of this one it votes as the one
 // it is named to be; else its folder was lost with what it had promised, and it asks for a new seat.
-func (c *Node) found() (PersistedState, bool) {
-	left := map[string]fleet.Voter{}
-	for _, v := range c.others() {
-		left[v.Name] = v
-	}
-	lost := uint64(0)
-	for len(left) > 0 && lost == 0 {
-		c.say(fmt.Sprintf("new: waits for the word of %d other voters", len(left)))
-		if !c.round(left, 0, func(h heard) {
+func (n *Node) initStore() (PersistedState, bool) {
+	unanswered := map[string]fleet.Voter{}
+	for _, v := range n.otherVoters() {
+		unanswered[v.Name] = v
+	}
+	knownStarts := uint64(0)
+	for len(unanswered) > 0 && knownStarts == 0 {
+		n.setStatus(fmt.Sprintf("new: waits for the word of %d other voters", len(unanswered)))
+		if !n.helloRound(unanswered, 0, func(h helloResult) {
 			if h.err == nil {
-				delete(left, h.voter)
-				lost = max(lost, h.answer.KnownStarts)
+				delete(unanswered, h.voter)
+				knownStarts = max(knownStarts, h.reply.KnownStarts)
 			}
-		}) || len(left) > 0 && lost == 0 && !c.pause(200*time.Millisecond) {
+		}) || len(unanswered) > 0 && knownStarts == 0 && !n.wait(200*time.Millisecond) {
 			return PersistedState{}, false
 		}
 	}
-	first := InitialState(c.o.Fleet, c.o.Voters)
-	if lost > 0 {
-		first = EmptyState(c.o.Fleet)
+	first := InitialState(n.opts.Fleet, n.opts.Voters)
+	if knownStarts > 0 {
+		first = EmptyState(n.opts.Fleet)
 	}
-	err := c.disk.Init(c.o.Name, first)
-	if err == nil && lost > 0 {
-		c.seat = InitialRaftID(c.o.Fleet, c.o.Name+" "+c.o.RunID)
-		err = c.disk.SetRaftID(c.seat)
+	err := n.store.Init(n.opts.Name, first)
+	if err == nil && knownStarts > 0 {
+		n.raftID = InitialRaftID(n.opts.Fleet, n.opts.Name+" "+n.opts.RunID)
+		err = n.store.SetRaftID(n.raftID)
 	}
 	if err == nil {
-		err = c.disk.RecordStart(1)
+		err = n.store.RecordStart(1)
 	}
 	if err != nil {
-		c.say("does not vote: " + err.Error())
+		n.setStatus("does not vote: " + err.Error())
 		return PersistedState{}, false
 	}
-	if lost > 0 {
-		c.mu.Lock()
-		c.wants = c.seat
-		c.mu.Unlock()
-		c.say("lost its folder: asks for a new seat")
+	if knownStarts > 0 {
+		n.mu.Lock()
+		n.requestedRaftID = n.raftID
+		n.mu.Unlock()
+		n.setStatus("lost its folder: asks for a new seat")
 		return first, true
 	}
-	return first, c.register(1)
+	return first, n.registerStart(1)
 }
 
 // register tells the others of this start. One that knows of as many shows that the folder is older than what this
 // voter has promised.
-func (c *Node) register(runs uint64) bool {
-	left := map[string]fleet.Voter{}
-	for _, v := range c.others() {
-		left[v.Name] = v
-	}
-	need := len(c.o.Voters) / 2 // with itself a majority
-	answered, refused := 0, ""
-	take := func(h heard) {
+func (n *Node) registerStart(starts uint64) bool {
+	unanswered := map[string]fleet.Voter{}
+	for _, v := range n.otherVoters() {
+		unanswered[v.Name] = v
+	}
+	need := len(n.opts.Voters) / 2 // with itself a majority
+	answered, refusedBy := 0, ""
+	take := func(h helloResult) {
 		switch {
 		case h.err != nil:
-		case h.answer.KnownStarts >= runs:
-			refused = h.voter
+		case h.reply.KnownStarts >= starts:
+			refusedBy = h.voter
 		default:
 			answered++
-			delete(left, h.voter)
+			delete(unanswered, h.voter)
 		}
 	}
-	for began := time.Now(); len(left) > 0 && refused == ""; {
-		if answered >= need && time.Since(began) > helloPatience {
+	for began := time.Now(); len(unanswered) > 0 && refusedBy == ""; {
+		if answered >= need && time.Since(began) > helloFullWait {
 			break
 		}
-		c.say(fmt.Sprintf("waits for the word of %d other voters", len(left)))
-		if !c.round(left, runs, take) || len(left) > 0 && refused == "" && !c.pause(100*time.Millisecond) {
+		n.setStatus(fmt.Sprintf("waits for the word of %d other voters", len(unanswered)))
+		if !n.helloRound(unanswered, starts, take) || len(unanswered) > 0 && refusedBy == "" && !n.wait(100*time.Millisecond) {
 			return false
 		}
 	}
-	if refused != "" {
-		c.say("does not vote: its folder is older than what it promised, by the word of " + refused)
+	if refusedBy != "" {
+		n.setStatus("does not vote: its folder is older than what it promised, by the word of " + refusedBy)
 		return false
 	}
-	if len(left) > 0 {
-		c.running.Go(func() { c.late(left, runs) })
+	if len(unanswered) > 0 {
+		n.wg.Go(func() { n.registerRemaining(unanswered, starts) })
 	}
 	return true
 }
 
 // late goes on asking those that did not answer; a word against this voter that comes late still counts.
-func (c *Node) late(left map[string]fleet.Voter, runs uint64) {
-	for len(left) > 0 {
+func (n *Node) registerRemaining(unanswered map[string]fleet.Voter, starts uint64) {
+	for len(unanswered) > 0 {
 		select {
-		case <-c.ctx.Done():
+		case <-n.ctx.Done():
 			return
 		case <-time.After(time.Second):
 		}
-		var all []fleet.Voter
-		for _, name := range sorted(left) {
-			all = append(all, left[name])
-		}
-		answers := c.hello(all, runs)
-		for range all {
-			if h := <-answers; h.err == nil {
-				if delete(left, h.voter); h.answer.KnownStarts >= runs {
-					c.do(func() {
-						c.core = nil
-						c.say("does not vote: its folder is older than what it promised, by the word of " + h.voter)
+		var voters []fleet.Voter
+		for _, name := range sortedKeys(unanswered) {
+			voters = append(voters, unanswered[name])
+		}
+		results := n.sendHellos(voters, starts)
+		for range voters {
+			if h := <-results; h.err == nil {
+				if delete(unanswered, h.voter); h.reply.KnownStarts >= starts {
+					n.post(func() {
+						n.core = nil
+						n.setStatus("does not vote: its folder is older than what it promised, by the word of " + h.voter)
 					})
 					return
 				}
@@ -453,15 +453,15 @@
 }
 
 // Hello answers another voter that starts.
-func (c *Node) HandleHello(h fleetrpc.Hello) (a fleetrpc.HelloReply) {
+func (n *Node) HandleHello(h fleetrpc.Hello) (a fleetrpc.HelloReply) {
 	done := make(chan struct{})
-	if !c.do(func() {
+	if !n.post(func() {
 		defer close(done)
-		if c.disk == nil {
+		if n.store == nil {
 			a.Error = "no folder yet"
 			return
 		}
-		known, err := c.disk.RecordPeerStart(h.Voter, h.Starts, h.RunID)
+		known, err := n.store.RecordPeerStart(h.Voter, h.Starts, h.RunID)
 		if a.KnownStarts = known; err != nil {
 			a.Error = err.Error()
 		}
@@ -471,46 +471,46 @@
 	}
 	select {
 	case <-done:
-	case <-c.ctx.Done():
+	case <-n.ctx.Done():
 		return fleetrpc.HelloReply{Error: "ends"}
 	}
 	return a
 }
 
 // Vote takes another voter's messages.
-func (c *Node) HandleRaftMessages(v fleetrpc.RaftMessages) {
-	c.do(func() {
-		if c.core == nil {
+func (n *Node) HandleRaftMessages(v fleetrpc.RaftMessages) {
+	n.post(func() {
+		if n.core == nil {
 			return
 		}
-		c.link(v.RaftID, v.FromAddress)
+		n.peerFor(v.RaftID, v.FromAddress)
 		for _, m := range v.Messages {
-			c.core.Receive(c.o.Clock(), m)
+			n.core.Receive(n.opts.Clock(), m)
 		}
 	})
 }
 
 // link makes or finds the link to a voter.
-func (c *Node) link(seat uint64, addr string) *peer {
-	p := c.peers[seat]
+func (n *Node) peerFor(raftID uint64, addr string) *peer {
+	p := n.peers[raftID]
 	if p == nil && addr != "" {
-		p = &peer{addr: addr, queue: make(chan Message, peerQueue)}
-		c.peers[seat] = p
-		c.running.Go(func() { c.deliver(p) })
+		p = &peer{addr: addr, queue: make(chan Message, peerQueueSize)}
+		n.peers[raftID] = p
+		n.wg.Go(func() { n.deliverTo(p) })
 	}
 	return p
 }
 
-func (c *Node) send(m Message) {
-	p := c.peers[m.To]
+func (n *Node) send(m Message) {
+	p := n.peers[m.To]
 	if p == nil {
 		addr := ""
-		for _, v := range c.core.State().Voters() {
+		for _, v := range n.core.State().Voters() {
 			if v.RaftID == m.To {
 				addr = v.Address
 			}
 		}
-		if p = c.link(m.To, addr); p == nil {
+		if p = n.peerFor(m.To, addr); p == nil {
 			return // it has no seat any longer
 		}
 	}
@@ -521,17 +521,17 @@
 }
 
 // deliver writes to one voter what waits for it, all at once.
-func (c *Node) deliver(p *peer) {
+func (n *Node) deliverTo(p *peer) {
 	for {
 		var batch []Message
 		select {
-		case <-c.ctx.Done():
+		case <-n.ctx.Done():
 			return
 		case m := <-p.queue:
 			batch = append(batch, m)
 		}
 		size := len(batch[0].Data)
-		for more := true; more && size < partBytes; {
+		for more := true; more && size < maxPartBytes; {
 			select {
 			case m := <-p.queue:
 				batch = append(batch, m)
@@ -540,26 +540,26 @@
 				more = false
 			}
 		}
-		v, within := fleetrpc.RaftMessages{FromAddress: c.o.Address, RaftID: c.seat}, voteWithin
+		v, timeout := fleetrpc.RaftMessages{FromAddress: n.opts.Address, RaftID: n.raftID}, raftTimeout
 		for _, m := range batch {
 			v.Messages = append(v.Messages, m.Data)
 			if m.IsSnapshot {
-				within = snapWithin
+				timeout = snapshotTimeout
 			}
 		}
-		err := c.client.SendRaftMessages(p.addr, v, within)
+		err := n.client.SendRaftMessages(p.addr, v, timeout)
 		for _, m := range batch {
 			if m.IsSnapshot {
-				c.do(func() {
-					if c.core != nil {
-						c.core.ReportSnapshot(c.o.Clock(), m.To, err == nil)
+				n.post(func() {
+					if n.core != nil {
+						n.core.ReportSnapshot(n.opts.Clock(), m.To, err == nil)
 					}
 				})
 			}
 		}
 		if err != nil { // what waits is old by the time that the link is back
 			select {
-			case <-c.ctx.Done():
+			case <-n.ctx.Done():
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
@@ -568,12 +568,12 @@
 }
 
 // leaderAddr is where the leader is found, as far as is known.
-func (c *Node) leaderAddr() string {
-	if c.core == nil {
+func (n *Node) leaderAddr() string {
+	if n.core == nil {
 		return ""
 	}
-	for _, v := range c.core.State().Voters() {
-		if v.RaftID == c.core.Leader() {
+	for _, v := range n.core.State().Voters() {
+		if v.RaftID == n.core.Leader() {
 			return v.Address
 		}
 	}
@@ -582,27 +582,27 @@
 
 // Beat answers a member's beat, once it is sure that this voter leads. One that does not passes it on: a member that is cut
 // from the leader alone keeps its lease, which runs from its own sending in any case.
-func (c *Node) HandleHeartbeat(ctx context.Context, b fleet.Heartbeat, via bool) fleetrpc.HeartbeatReply {
-	a := c.beat(ctx, b)
-	if a.NotLeader && a.LeaderAddress != "" && a.LeaderAddress != c.o.Address && !via {
-		if passed, err := c.client.Heartbeat(a.LeaderAddress, b, true, passWithin); err == nil && !passed.NotLeader {
-			passed.LeaderAddress = a.LeaderAddress
-			return passed
+func (n *Node) HandleHeartbeat(ctx context.Context, hb fleet.Heartbeat, forwarded bool) fleetrpc.HeartbeatReply {
+	a := n.heartbeat(ctx, hb)
+	if a.NotLeader && a.LeaderAddress != "" && a.LeaderAddress != n.opts.Address && !forwarded {
+		if reply, err := n.client.Heartbeat(a.LeaderAddress, hb, true, forwardTimeout); err == nil && !reply.NotLeader {
+			reply.LeaderAddress = a.LeaderAddress
+			return reply
 		}
 	}
 	return a
 }
 
-func (c *Node) beat(ctx context.Context, b fleet.Heartbeat) (a fleetrpc.HeartbeatReply) {
+func (n *Node) heartbeat(ctx context.Context, hb fleet.Heartbeat) (a fleetrpc.HeartbeatReply) {
 	out := make(chan fleetrpc.HeartbeatReply, 1)
-	if !c.do(func() {
-		if c.core == nil {
+	if !n.post(func() {
+		if n.core == nil {
 			out <- fleetrpc.HeartbeatReply{NotLeader: true, Error: "does not vote"}
 			return
 		}
-		c.core.Heartbeat(c.o.Clock(), b, func(r fleet.LeaseRenewal, err error) {
+		n.core.Heartbeat(n.opts.Clock(), hb, func(r fleet.LeaseRenewal, err error) {
 			if err != nil {
-				out <- fleetrpc.HeartbeatReply{NotLeader: true, LeaderAddress: c.leaderAddr()}
+				out <- fleetrpc.HeartbeatReply{NotLeader: true, LeaderAddress: n.leaderAddr()}
 				return
 			}
 			out <- fleetrpc.HeartbeatReply{Renewal: r}
@@ -614,49 +614,49 @@
 	case a = <-out:
 	case <-ctx.Done():
 		a = fleetrpc.HeartbeatReply{NotLeader: true, Error: "ends"}
-	case <-c.ctx.Done():
+	case <-n.ctx.Done():
 		a = fleetrpc.HeartbeatReply{NotLeader: true, Error: "ends"}
 	}
 	return a
 }
 
 // hurried tells whether the history moves fast at the moment.
-func (c *Node) hurried() bool {
-	last, before := time.Duration(c.moves[0].Load()), time.Duration(c.moves[1].Load())
-	return before > 0 && last-before < fast && time.Since(c.began)-last < fast
+func (n *Node) inBurst() bool {
+	last, before := time.Duration(n.lastChanges[0].Load()), time.Duration(n.lastChanges[1].Load())
+	return before > 0 && last-before < burstInterval && time.Since(n.startedAt)-last < burstInterval
 }
 
 // lot waits, while the history moves fast, until there is more to tell at once. This guards against a fleet that starts, whose
 // every admission would be one call of every member: they grew with the square of the members and buried the voters.
-func (c *Node) lot(ctx context.Context) {
-	if !c.hurried() {
+func (n *Node) awaitBatch(ctx context.Context) {
+	if !n.inBurst() {
 		return
 	}
-	t := time.NewTimer(gather/2 + rand.N(gather/2))
+	t := time.NewTimer(batchInterval/2 + rand.N(batchInterval/2))
 	defer t.Stop()
 	select {
 	case <-t.C:
 	case <-ctx.Done():
-	case <-c.ctx.Done():
+	case <-n.ctx.Done():
 	}
 }
 
 // Entries gives what comes after, and waits for it as long as the asker wants to.
-func (c *Node) HandleEntries(ctx context.Context, q fleetrpc.EntriesRequest) fleetrpc.EntriesReply {
+func (n *Node) HandleEntries(ctx context.Context, q fleetrpc.EntriesRequest) fleetrpc.EntriesReply {
 	end := time.NewTimer(min(time.Duration(max(q.Wait, 0)*1e6), fleetrpc.MaxPollWait))
 	defer end.Stop()
 	for {
 		if q.Wait > 0 && q.AfterSeq > 0 { // who knows nothing yet, or asks without waiting, is told at once
-			c.lot(ctx)
+			n.awaitBatch(ctx)
 		}
 		out := make(chan fleetrpc.EntriesReply, 1)
-		var wake chan struct{}
-		if !c.do(func() {
-			if wake = c.wake; c.core == nil {
+		var historyChanged chan struct{}
+		if !n.post(func() {
+			if historyChanged = n.historyChanged; n.core == nil {
 				out <- fleetrpc.EntriesReply{Error: "does not vote"}
 				return
 			}
-			out <- c.batch(q)
+			out <- n.entriesReply(q)
 		}) {
 			return fleetrpc.EntriesReply{Error: "ends"}
 		}
@@ -667,11 +667,11 @@
 			}
 		case <-ctx.Done():
 			return fleetrpc.EntriesReply{Error: "ends"}
-		case <-c.ctx.Done():
+		case <-n.ctx.Done():
 			return fleetrpc.EntriesReply{Error: "ends"}
 		}
 		select {
-		case <-wake:
+		case <-historyChanged:
 		case <-end.C:
 			return fleetrpc.EntriesReply{}
 		case <-ctx.Done():
@@ -681,29 +681,29 @@
 }
 
 // batch is what one call brings. So many get much at once, so that a fleet that comes back does not bury the voters.
-func (c *Node) batch(q fleetrpc.EntriesRequest) (b fleetrpc.EntriesReply) {
-	entries, snapshot, fork := c.core.EntriesAfter(q.AfterSeq, q.Digest)
-	if fork {
+func (n *Node) entriesReply(q fleetrpc.EntriesRequest) (b fleetrpc.EntriesReply) {
+	entries, snapshot, diverged := n.core.EntriesAfter(q.AfterSeq, q.Digest)
+	if diverged {
 		return fleetrpc.EntriesReply{Diverged: true}
 	}
-	if len(entries) > muchEntries || snapshot != nil {
-		if c.busy >= catchingUp {
+	if len(entries) > catchUpEntries || snapshot != nil {
+		if n.catchUps >= maxCatchUps {
 			return fleetrpc.EntriesReply{Busy: true}
 		}
-		c.busy++
-		time.AfterFunc(20*time.Millisecond, func() { c.do(func() { c.busy-- }) }) // about what writing it takes
+		n.catchUps++
+		time.AfterFunc(20*time.Millisecond, func() { n.post(func() { n.catchUps-- }) }) // about what writing it takes
 	}
 	if snapshot != nil {
-		b.SnapshotSize, b.SnapshotSeq = len(snapshot), c.core.State().LastSeq()
+		b.SnapshotSize, b.SnapshotSeq = len(snapshot), n.core.State().LastSeq()
 		if q.SnapshotSeq == b.SnapshotSeq && q.SnapshotOffset > 0 && q.SnapshotOffset < len(snapshot) {
 			b.SnapshotOffset = q.SnapshotOffset
 		}
-		b.SnapshotPart = snapshot[b.SnapshotOffset:min(b.SnapshotOffset+partBytes, len(snapshot))]
+		b.SnapshotPart = snapshot[b.SnapshotOffset:min(b.SnapshotOffset+maxPartBytes, len(snapshot))]
 		return b
 	}
 	size := 0
 	for k := range entries {
-		if size += len(entries[k].Command.Text) + 256; size > partBytes && k > 0 {
+		if size += len(entries[k].Command.Text) + 256; size > maxPartBytes && k > 0 {
 			entries = entries[:k]
 			break
 		}
@@ -713,34 +713,34 @@
 }
 
 // Ask answers an operator as the leader.
-func (c *Node) HandleAdmin(ctx context.Context, q fleetrpc.AdminRequest) (a fleetrpc.AdminReply) {
+func (n *Node) HandleAdmin(ctx context.Context, q fleetrpc.AdminRequest) (a fleetrpc.AdminReply) {
 	out := make(chan fleetrpc.AdminReply, 1)
-	ask := func() {
-		if c.core == nil || c.core.Leases() == nil {
+	task := func() {
+		if n.core == nil || n.core.Leases() == nil {
 			out <- fleetrpc.AdminReply{NoLeader: true}
 			return
 		}
-		x := q.Command
-		if x.Kind == 0 {
-			c.core.ReadIndex(c.o.Clock(), func(err error) {
+		cmd := q.Command
+		if cmd.Kind == 0 {
+			n.core.ReadIndex(n.opts.Clock(), func(err error) {
 				if err != nil {
 					out <- fleetrpc.AdminReply{NoLeader: true}
 					return
 				}
-				out <- c.tell(q, fleet.Result{})
+				out <- n.adminReply(q, fleet.Result{})
 			})
 			return
 		}
-		if x.Kind == fleet.AddVoter && x.RaftID == 0 {
-			if x.RaftID, x.Address = c.core.Leases().RequestedRaftID(x.Member); x.RaftID == 0 {
-				out <- fleetrpc.AdminReply{Error: fmt.Sprintf("%s asks for no seat: it has not lost its folder, or was not heard of", x.Member)}
+		if cmd.Kind == fleet.AddVoter && cmd.RaftID == 0 {
+			if cmd.RaftID, cmd.Address = n.core.Leases().RequestedRaftID(cmd.Member); cmd.RaftID == 0 {
+				out <- fleetrpc.AdminReply{Error: fmt.Sprintf("%s asks for no seat: it has not lost its folder, or was not heard of", cmd.Member)}
 				return
 			}
 		}
-		c.core.Propose(c.o.Clock(), x, func(r fleet.Result, err error) {
+		n.core.Propose(n.opts.Clock(), cmd, func(r fleet.Result, err error) {
 			switch {
 			case err == nil:
-				out <- c.tell(q, r)
+				out <- n.adminReply(q, r)
 			case errors.Is(err, fleet.ErrRefused):
 				out <- fleetrpc.AdminReply{Error: err.Error()}
 			default:
@@ -748,10 +748,10 @@
 			}
 		})
 	}
-	if !c.do(ask) {
+	if !n.post(task) {
 		return fleetrpc.AdminReply{NoLeader: true}
 	}
-	timer := time.NewTimer(askWithin)
+	timer := time.NewTimer(adminTimeout)
 	defer timer.Stop()
 	select {
 	case a = <-out:
@@ -759,37 +759,37 @@
 		a = fleetrpc.AdminReply{NoLeader: true, Error: ErrOutcomeUnknown.Error()}
 	case <-ctx.Done():
 		a = fleetrpc.AdminReply{NoLeader: true}
-	case <-c.ctx.Done():
+	case <-n.ctx.Done():
 		a = fleetrpc.AdminReply{NoLeader: true}
 	}
 	return a
 }
 
 // tell says how the fleet stands, after a majority has confirmed that this voter leads.
-func (c *Node) tell(q fleetrpc.AdminRequest, r fleet.Result) (a fleetrpc.AdminReply) {
-	now, unix, s, b := c.o.Clock(), c.o.UnixTime(), c.core.State(), c.core.Leases()
+func (n *Node) adminReply(q fleetrpc.AdminRequest, r fleet.Result) (a fleetrpc.AdminReply) {
+	now, unixNow, s, leases := n.opts.Clock(), n.opts.UnixTime(), n.core.State(), n.core.Leases()
 	a.Result = r
-	if b == nil { // it was the leader when the command was agreed on
+	if leases == nil { // it was the leader when the command was agreed on
 		return a
 	}
-	st := &fleetrpc.FleetStatus{Fleet: s.Fleet(), LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), FencedVersion: s.FencedVersion(), Leader: c.o.Name,
-		Members: b.MemberStatuses(now, s)}
+	st := &fleetrpc.FleetStatus{Fleet: s.Fleet(), LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), FencedVersion: s.FencedVersion(), Leader: n.opts.Name,
+		Members: leases.MemberStatuses(now, s)}
 	if st.FencedVersion > 0 {
-		st.FenceCompleteAt, st.FenceWaits = b.FenceStatus(now, unix, st.FencedVersion, s)
+		st.FenceCompleteAt, st.FenceWaits = leases.FenceStatus(now, unixNow, st.FencedVersion, s)
 	}
 	for _, v := range s.Voters() {
-		at, ok := c.core.voices[v.RaftID]
-		heard := -1.
-		if v.RaftID == c.seat {
-			heard = 0
+		at, ok := n.core.peerContact[v.RaftID]
+		sinceContact := -1.
+		if v.RaftID == n.raftID {
+			sinceContact = 0
 		} else if ok {
-			heard = now - at
+			sinceContact = now - at
 		}
-		st.Voters = append(st.Voters, fleetrpc.VoterStatus{Name: v.Name, SinceContact: heard})
+		st.Voters = append(st.Voters, fleetrpc.VoterStatus{Name: v.Name, SinceContact: sinceContact})
 	}
 	a.Status = st
 	if q.Audit {
-		audit := b.Audit(now, unix, s, q.AuditVersion, q.AuditSince)
+		audit := leases.Audit(now, unixNow, s, q.AuditVersion, q.AuditSince)
 		a.Audit = &audit
 	}
 	return a
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -53,7 +53,7 @@
 			}
 		}
 	}
-	time.Sleep(2 * fast) // quiet
+	time.Sleep(2 * burstInterval) // quiet
 	const many = 120
 	from := time.Now()
 	go func() {
@@ -63,15 +63,15 @@
 		}
 	}()
 	follow(1 + many)
-	most := int(time.Since(from)/(gather/2)) + 5
+	most := int(time.Since(from)/(batchInterval/2)) + 5
 	if t.Logf("%d entries by %d calls in %v", many, calls, time.Since(from)); calls > most {
 		t.Errorf("%d entries came by %d calls in %v, wanted %d at most", many, calls, time.Since(from), most)
 	}
-	time.Sleep(2 * fast)
+	time.Sleep(2 * burstInterval)
 	from = time.Now()
 	go c.HandleAdmin(context.Background(), fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.PublishVersion, RequestID: "alone", Text: []byte("{}")}})
 	follow(2 + many)
-	if took := time.Since(from); took > gather/2 {
+	if took := time.Since(from); took > batchInterval/2 {
 		t.Errorf("what comes alone is told after %v", took)
 	}
 }
--- a/internal/fleet/actions.go
+++ b/internal/fleet/actions.go
@@ -60,8 +60,8 @@
 }
 
 const (
-	runVersions = 32 // newest versions of which a run remembers its acts
-	keepRuns    = 4  // runs before this one that a member reports
+	maxRunVersions = 32 // newest versions of which a run remembers its acts
+	retainedRuns   = 4  // runs before this one that a member reports
 )
 
 // Since notes that a version is in force from now on.
@@ -70,7 +70,7 @@
 		return
 	}
 	r.Versions = append(r.Versions, VersionActions{Version: version, ActiveSince: now})
-	if over := len(r.Versions) - runVersions; over > 0 {
+	if over := len(r.Versions) - maxRunVersions; over > 0 {
 		r.Versions = slices.Delete(r.Versions, 0, over)
 	}
 }
--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -63,75 +63,75 @@
 }
 
 // Audit says who acted on which version: the given one, or all for 0, those published since the given time.
-func (b *LeaseManager) Audit(now, unix float64, s *State, version uint64, since float64) Audit {
-	a := Audit{LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), Members: b.MemberStatuses(now, s)}
-	all := append([]Version{{}}, s.Versions()...)
-	for k, v := range all {
+func (lm *LeaseManager) Audit(now, unixNow float64, s *State, version uint64, since float64) Audit {
+	a := Audit{LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), Members: lm.MemberStatuses(now, s)}
+	versions := append([]Version{{}}, s.Versions()...)
+	for k, v := range versions {
 		if v.Number == 0 && k > 0 || version != 0 && v.Number != version || v.PublishedAt < since && v.Number > 0 || since > 0 && v.Number == 0 {
 			continue
 		}
-		x := VersionAudit{Version: v.Number, PublishedAt: v.PublishedAt, PublishedBy: v.PublishedBy, Fence: v.Fence}
+		va := VersionAudit{Version: v.Number, PublishedAt: v.PublishedAt, PublishedBy: v.PublishedBy, Fence: v.Fence}
 		if v.Number > 0 {
-			x.TextDigest = v.TextDigest.String()
+			va.TextDigest = v.TextDigest.String()
 		}
 		if v.Fence {
-			x.FenceCompleteAt, x.FenceWaits = b.FenceStatus(now, unix, v.Number, s)
+			va.FenceCompleteAt, va.FenceWaits = lm.FenceStatus(now, unixNow, v.Number, s)
 		}
 		for _, m := range s.Members() {
-			said := len(x.Lines)
-			for _, run := range b.runs[m.Name] {
+			linesBefore := len(va.Lines)
+			for _, run := range lm.runs[m.Name] {
 				for _, acts := range run.Versions {
 					switch last := acts.LastAt(); {
 					case acts.Version == v.Number:
-						x.Lines = append(x.Lines, AuditLine{m.Name, run.ID, acts, EvidenceReported})
-					case acts.Version < v.Number && last > x.LastOlderAction:
-						x.LastOlderAction, x.LastOlderMember = last, m.Name
+						va.Lines = append(va.Lines, AuditLine{m.Name, run.ID, acts, EvidenceReported})
+					case acts.Version < v.Number && last > va.LastOlderAction:
+						va.LastOlderAction, va.LastOlderMember = last, m.Name
 					}
 				}
 			}
-			if len(x.Lines) == said && v.Number > 0 { // it never said that this was in force there
+			if len(va.Lines) == linesBefore && v.Number > 0 { // it never said that this was in force there
 				l := AuditLine{Member: m.Name, Actions: VersionActions{Version: v.Number}, Evidence: EvidenceNone}
-				if x.FenceCompleteAt > 0 && !m.Removed { // a fence waits for nobody who was removed
+				if va.FenceCompleteAt > 0 && !m.Removed { // a fence waits for nobody who was removed
 					l.Evidence = EvidenceLeaseExpired
 				}
-				x.Lines = append(x.Lines, l)
+				va.Lines = append(va.Lines, l)
 			}
 		}
-		a.Versions = append(a.Versions, x)
+		a.Versions = append(a.Versions, va)
 	}
-	a.Gaps = b.gaps(now, s)
+	a.Gaps = lm.gaps(now, s)
 	return a
 }
 
 // gaps are the spans that no report covers: after a run that did not end in order, until the next began, or until now if
 // its member is silent.
-func (b *LeaseManager) gaps(now float64, s *State) (all []ReportGap) {
+func (lm *LeaseManager) gaps(now float64, s *State) (all []ReportGap) {
 	for _, m := range s.Members() {
-		began, reported := slices.Clone(m.Runs), map[string]RunRecord{}
-		for _, run := range b.runs[m.Name] {
+		starts, reported := slices.Clone(m.Runs), map[string]RunRecord{}
+		for _, run := range lm.runs[m.Name] {
 			if reported[run.ID] = run; !m.HasRun(run.ID) {
-				began = append(began, RunStart{run.ID, run.StartedAt})
+				starts = append(starts, RunStart{run.ID, run.StartedAt})
 			}
 		}
-		slices.SortStableFunc(began, func(x, y RunStart) int { return cmp.Compare(x.StartedAt, y.StartedAt) })
+		slices.SortStableFunc(starts, func(x, y RunStart) int { return cmp.Compare(x.StartedAt, y.StartedAt) })
 		switch {
-		case len(began) == 0:
+		case len(starts) == 0:
 			all = append(all, ReportGap{Member: m.Name, Interval: Interval{From: m.FirstAdmittedAt}})
-		case began[0].StartedAt > m.FirstAdmittedAt: // more than are remembered
-			all = append(all, ReportGap{Member: m.Name, Interval: Interval{From: m.FirstAdmittedAt, To: began[0].StartedAt}})
+		case starts[0].StartedAt > m.FirstAdmittedAt: // more than are remembered
+			all = append(all, ReportGap{Member: m.Name, Interval: Interval{From: m.FirstAdmittedAt, To: starts[0].StartedAt}})
 		}
-		for k, x := range began {
-			run, said := reported[x.RunID]
+		for k, x := range starts {
+			run, isReported := reported[x.RunID]
 			g := ReportGap{Member: m.Name, AfterRunID: x.RunID, Interval: Interval{From: max(run.KnownUntil, x.StartedAt)}}
-			p := b.newest(m.Name)
+			p := lm.newestProcess(m.Name)
 			switch {
-			case said && run.CleanExit:
+			case isReported && run.CleanExit:
 				continue
-			case k+1 < len(began):
-				if g.Interval.To = began[k+1].StartedAt; g.Interval.To <= g.Interval.From { // both lived for a while
+			case k+1 < len(starts):
+				if g.Interval.To = starts[k+1].StartedAt; g.Interval.To <= g.Interval.From { // both lived for a while
 					continue
 				}
-			case said && p != nil && p.beat.RunID == x.RunID && now <= p.heard+2*b.f.Beat: // it is there and goes on telling
+			case isReported && p != nil && p.heartbeat.RunID == x.RunID && now <= p.lastContact+2*lm.timing.Beat: // it is there and goes on telling
 				continue
 			}
 			all = append(all, g)
--- a/internal/fleet/lease_holder.go
+++ b/internal/fleet/lease_holder.go
@@ -53,61 +53,63 @@
 
 // Self is one member's own state.
 type LeaseHolder struct {
-	f             Timing
-	alone         IsolationPolicy
-	name          string
-	program       string
-	began         float64
-	state         *State
-	until         float64 // end of the lease
-	fenced        uint64  // as the council last said
-	shut          bool
-	touched       bool // the council has answered this process
-	activeVersion uint64
-	pending       uint64 // handed to the reducer, which has not confirmed it
-	refuses       uint64
-	whyNot        string
+	timing          Timing
+	isolationPolicy IsolationPolicy
+	name            string
+	programVersion  string
+	startedAt       float64
+	state           *State
+	leaseExpiry     float64 // end of the lease
+	fencedVersion   uint64  // as the council last said
+	excluded        bool
+	gotReply        bool // the council has answered this process
+	activeVersion   uint64
+	pendingVersion  uint64 // handed to the reducer, which has not confirmed it
+	refusedVersion  uint64
+	refusalReason   string
 }
 
 // NewSelf is a member whose process has just begun, with the history as its folder had it.
-func NewLeaseHolder(f Timing, name, program string, alone IsolationPolicy, state *State, now float64) *LeaseHolder {
-	return &LeaseHolder{f: f, alone: alone, name: name, program: program, state: state, began: now, until: math.Inf(-1)}
+func NewLeaseHolder(timing Timing, name, programVersion string, policy IsolationPolicy, state *State, now float64) *LeaseHolder {
+	return &LeaseHolder{timing: timing, isolationPolicy: policy, name: name, programVersion: programVersion, state: state, startedAt: now, leaseExpiry: math.Inf(-1)}
 }
 
 // State is the history as far as it is known here.
-func (m *LeaseHolder) State() *State { return m.state }
+func (h *LeaseHolder) State() *State { return h.state }
 
 // InForce is the version in force.
-func (m *LeaseHolder) ActiveVersion() uint64 { return m.activeVersion }
+func (h *LeaseHolder) ActiveVersion() uint64 { return h.activeVersion }
 
 // Refuses tells which version cannot be brought into force, and why.
-func (m *LeaseHolder) RefusedVersion() (version uint64, why string) { return m.refuses, m.whyNot }
+func (h *LeaseHolder) RefusedVersion() (version uint64, reason string) {
+	return h.refusedVersion, h.refusalReason
+}
 
 // Follow takes further entries; those that it has are passed over. An error leaves it where the last good one led.
-func (m *LeaseHolder) ApplyEntries(entries []Entry) error {
-	next := m.state.Clone()
+func (h *LeaseHolder) ApplyEntries(entries []Entry) error {
+	next := h.state.Clone()
 	for _, e := range entries {
 		if e.Seq <= next.LastSeq() {
 			continue
 		}
 		if err := next.ApplyEntry(e); err != nil {
-			m.state = next
+			h.state = next
 			return err
 		}
 	}
-	m.state = next
+	h.state = next
 	return nil
 }
 
 // Replace takes a whole history in place of its own, unless that goes further.
-func (m *LeaseHolder) ReplaceState(s *State) error {
-	if s.Fleet() != m.state.Fleet() {
-		return fmt.Errorf("%w: of the fleet %q, this is %q", ErrDiverged, s.Fleet(), m.state.Fleet())
+func (h *LeaseHolder) ReplaceState(s *State) error {
+	if s.Fleet() != h.state.Fleet() {
+		return fmt.Errorf("%w: of the fleet %q, this is %q", ErrDiverged, s.Fleet(), h.state.Fleet())
 	}
-	if s.LastSeq() < m.state.LastSeq() {
-		return fmt.Errorf("%w: it ends at %d, here at %d", ErrMissingEntries, s.LastSeq(), m.state.LastSeq())
+	if s.LastSeq() < h.state.LastSeq() {
+		return fmt.Errorf("%w: it ends at %d, here at %d", ErrMissingEntries, s.LastSeq(), h.state.LastSeq())
 	}
-	m.state = s
+	h.state = s
 	return nil
 }
 
@@ -116,71 +118,71 @@
 
 // Next is the version to be brought into force now, if any: the newest. Those between are passed over, as each version
 // stands for itself.
-func (m *LeaseHolder) NextVersion() (v Version, ok bool) {
-	newest := m.state.NewestVersion()
-	if newest <= m.activeVersion || m.pending != 0 || newest == m.refuses {
+func (h *LeaseHolder) NextVersion() (v Version, ok bool) {
+	newest := h.state.NewestVersion()
+	if newest <= h.activeVersion || h.pendingVersion != 0 || newest == h.refusedVersion {
 		return v, false
 	}
-	v, ok = m.state.Version(newest)
+	v, ok = h.state.Version(newest)
 	if !ok {
 		return v, false
 	}
-	if !SupportsVersion(m.program, v.MinProgram) {
-		m.RefuseVersion(newest, fmt.Errorf("%w: it is %s, version %d asks for %s", ErrProgramTooOld, m.program, newest, v.MinProgram))
+	if !SupportsVersion(h.programVersion, v.MinProgram) {
+		h.RefuseVersion(newest, fmt.Errorf("%w: it is %s, version %d asks for %s", ErrProgramTooOld, h.programVersion, newest, v.MinProgram))
 		return v, false
 	}
-	m.pending = newest
+	h.pendingVersion = newest
 	return v, true
 }
 
 // Refuse notes that a version cannot be brought into force here.
-func (m *LeaseHolder) RefuseVersion(version uint64, why error) {
-	m.refuses, m.whyNot = version, why.Error()
-	if m.pending == version {
-		m.pending = 0
+func (h *LeaseHolder) RefuseVersion(version uint64, reason error) {
+	h.refusedVersion, h.refusalReason = version, reason.Error()
+	if h.pendingVersion == version {
+		h.pendingVersion = 0
 	}
 }
 
 // Applied notes that a version is in force and that nothing begun under an older one is still to be written.
-func (m *LeaseHolder) VersionApplied(version uint64) {
-	if m.pending == version {
-		m.pending = 0
+func (h *LeaseHolder) VersionApplied(version uint64) {
+	if h.pendingVersion == version {
+		h.pendingVersion = 0
 	}
-	if version > m.activeVersion {
-		m.activeVersion = version
+	if version > h.activeVersion {
+		h.activeVersion = version
 	}
-	if m.refuses != 0 && m.refuses <= version {
-		m.refuses, m.whyNot = 0, ""
+	if h.refusedVersion != 0 && h.refusedVersion <= version {
+		h.refusedVersion, h.refusalReason = 0, ""
 	}
 }
 
 // Renewed takes the council's answer to the beat that was sent at the given time. The lease runs from there, on this
 // clock, less the drift: the answer may have come late.
-func (m *LeaseHolder) HandleRenewal(sent float64, r LeaseRenewal) {
-	m.touched = true
-	m.fenced = max(m.fenced, r.FencedVersion)
-	m.shut = r.Excluded
+func (h *LeaseHolder) HandleRenewal(sentAt float64, r LeaseRenewal) {
+	h.gotReply = true
+	h.fencedVersion = max(h.fencedVersion, r.FencedVersion)
+	h.excluded = r.Excluded
 	if r.Granted > 0 {
-		m.until = max(m.until, sent+r.Granted*(1-m.f.Drift))
+		h.leaseExpiry = max(h.leaseExpiry, sentAt+r.Granted*(1-h.timing.Drift))
 	}
 }
 
 // OpenUntil is until when new work may be taken and handed off: not at all where that is over, infinite where nothing
 // known now ends it. It is to be asked again after each change and each beat.
-func (m *LeaseHolder) AcceptUntil(now float64) float64 {
-	self, known := m.state.Member(m.name)
+func (h *LeaseHolder) AcceptUntil(now float64) float64 {
+	member, known := h.state.Member(h.name)
 	switch {
-	case m.shut || known && (self.Excluded || self.Removed):
+	case h.excluded || known && (member.Excluded || member.Removed):
 		return math.Inf(-1)
-	case m.alone == StopWhenIsolated:
-		return m.until
-	case max(m.fenced, m.state.FencedVersion()) > m.activeVersion: // there is a fence, and this process is behind it
-		return m.until
-	case m.touched || now >= m.began+m.f.Lease:
+	case h.isolationPolicy == StopWhenIsolated:
+		return h.leaseExpiry
+	case max(h.fencedVersion, h.state.FencedVersion()) > h.activeVersion: // there is a fence, and this process is behind it
+		return h.leaseExpiry
+	case h.gotReply || now >= h.startedAt+h.timing.Lease:
 		return math.Inf(1)
 	}
-	return m.until
+	return h.leaseExpiry
 }
 
 // Lease is when the lease ends.
-func (m *LeaseHolder) LeaseExpiry() float64 { return m.until }
+func (h *LeaseHolder) LeaseExpiry() float64 { return h.leaseExpiry }
--- a/internal/fleet/lease_manager.go
+++ b/internal/fleet/lease_manager.go
@@ -11,108 +11,108 @@
 
 // process is one process of a member as the leader knows it.
 type process struct {
-	beat  Heartbeat
-	heard float64 // when its last beat came
-	until float64 // until when it may have a lease
-	told  uint64  // the newest version that it was told of,
-	since float64 // and when
-	began float64 // Unix
+	heartbeat       Heartbeat
+	lastContact     float64 // when its last beat came
+	leaseExpiry     float64 // until when it may have a lease
+	notifiedVersion uint64  // the newest version that it was told of,
+	notifiedAt      float64 // and when
+	startedAt       float64 // Unix
 }
 
 // Book is a leader's, from its election on.
 type LeaseManager struct {
-	f         Timing
-	elected   float64
-	processes map[string][]*process  // of each member, oldest first
-	fences    map[uint64]float64     // when those that are complete were seen to be, Unix
-	probes    map[string]string      // what calling a silent member showed
-	runs      map[string][]RunRecord // as last reported
+	timing          Timing
+	electedAt       float64
+	processes       map[string][]*process  // of each member, oldest first
+	fenceCompleteAt map[uint64]float64     // when those that are complete were seen to be, Unix
+	probeResults    map[string]string      // what calling a silent member showed
+	runs            map[string][]RunRecord // as last reported
 }
 
 // NewBook begins with an election: whoever led before may have granted leases until then.
-func NewLeaseManager(f Timing, now float64) *LeaseManager {
-	return &LeaseManager{f: f, elected: now, processes: map[string][]*process{}, fences: map[uint64]float64{},
-		probes: map[string]string{}, runs: map[string][]RunRecord{}}
+func NewLeaseManager(timing Timing, now float64) *LeaseManager {
+	return &LeaseManager{timing: timing, electedAt: now, processes: map[string][]*process{}, fenceCompleteAt: map[uint64]float64{},
+		probeResults: map[string]string{}, runs: map[string][]RunRecord{}}
 }
 
-const mostProcesses = 4 // of one member that are remembered
+const maxProcesses = 4 // of one member that are remembered
 
 // Beat takes one that came at the given time; since then it was confirmed that this voter leads. Unknown: the member
 // has to be admitted first.
-func (b *LeaseManager) Heartbeat(received float64, t Heartbeat, s *State) (r LeaseRenewal, unknown bool) {
+func (lm *LeaseManager) Heartbeat(receivedAt float64, hb Heartbeat, s *State) (r LeaseRenewal, notAdmitted bool) {
 	r = LeaseRenewal{NewestVersion: s.NewestVersion(), FencedVersion: s.FencedVersion()}
-	m, known := s.Member(t.Member)
+	m, known := s.Member(hb.Member)
 	switch {
-	case t.Fleet != s.Fleet():
-		r.Reason = fmt.Sprintf("this is the fleet %q, not %q", s.Fleet(), t.Fleet)
+	case hb.Fleet != s.Fleet():
+		r.Reason = fmt.Sprintf("this is the fleet %q, not %q", s.Fleet(), hb.Fleet)
 		return r, false
-	case t.Format != FormatVersion:
-		r.Reason = fmt.Sprintf("the council speaks format %d, not %d", FormatVersion, t.Format)
+	case hb.Format != FormatVersion:
+		r.Reason = fmt.Sprintf("the council speaks format %d, not %d", FormatVersion, hb.Format)
 		return r, false
-	case t.Lease != b.f.Lease || t.Drift != b.f.Drift:
-		r.Reason = fmt.Sprintf("the council's lease is %g ms with a drift of %g, not %g with %g", b.f.Lease, b.f.Drift, t.Lease, t.Drift)
+	case hb.Lease != lm.timing.Lease || hb.Drift != lm.timing.Drift:
+		r.Reason = fmt.Sprintf("the council's lease is %g ms with a drift of %g, not %g with %g", lm.timing.Lease, lm.timing.Drift, hb.Lease, hb.Drift)
 		return r, false
-	case t.LastSeq > s.LastSeq():
-		r.Reason = fmt.Sprintf("it has %d entries, the council %d", t.LastSeq, s.LastSeq())
+	case hb.LastSeq > s.LastSeq():
+		r.Reason = fmt.Sprintf("it has %d entries, the council %d", hb.LastSeq, s.LastSeq())
 		return r, false
 	case !known:
 		return r, true
 	}
-	all := b.processes[t.Member]
+	processes := lm.processes[hb.Member]
 	var p *process
-	for _, x := range all {
-		if x.beat.RunID == t.RunID {
+	for _, x := range processes {
+		if x.heartbeat.RunID == hb.RunID {
 			p = x
-		} else if x.beat.Address != t.Address && received < x.heard+b.f.Lease && !x.beat.Leaving {
-			r.Reason = fmt.Sprintf("the name is taken by the process at %s", x.beat.Address)
+		} else if x.heartbeat.Address != hb.Address && receivedAt < x.lastContact+lm.timing.Lease && !x.heartbeat.Leaving {
+			r.Reason = fmt.Sprintf("the name is taken by the process at %s", x.heartbeat.Address)
 			return r, false
 		}
 	}
 	if p == nil {
-		if !m.HasRun(t.RunID) || m.IsolationPolicy != t.IsolationPolicy || m.Address != t.Address {
+		if !m.HasRun(hb.RunID) || m.IsolationPolicy != hb.IsolationPolicy || m.Address != hb.Address {
 			return r, true // what new leaders rest on would not be true any longer
 		}
-		p = &process{until: math.Inf(-1)}
-		if k := len(t.Runs) - 1; k >= 0 {
-			p.began = t.Runs[k].StartedAt
+		p = &process{leaseExpiry: math.Inf(-1)}
+		if k := len(hb.Runs) - 1; k >= 0 {
+			p.startedAt = hb.Runs[k].StartedAt
 		}
 		// In the order of their beginnings: a new leader may hear of a newer one first.
-		at := slices.IndexFunc(all, func(x *process) bool { return x.began > p.began })
+		at := slices.IndexFunc(processes, func(x *process) bool { return x.startedAt > p.startedAt })
 		if at < 0 {
-			at = len(all)
+			at = len(processes)
 		}
-		if all = slices.Insert(all, at, p); len(all) > mostProcesses { // the lease of the one forgotten is waited out with the next
-			all[1].until = max(all[0].until, all[1].until)
-			all = slices.Delete(all, 0, 1)
+		if processes = slices.Insert(processes, at, p); len(processes) > maxProcesses { // the lease of the one forgotten is waited out with the next
+			processes[1].leaseExpiry = max(processes[0].leaseExpiry, processes[1].leaseExpiry)
+			processes = slices.Delete(processes, 0, 1)
 		}
-		b.processes[t.Member] = all
+		lm.processes[hb.Member] = processes
 	}
-	p.beat, p.heard = t, received
-	p.beat.Runs = nil
-	delete(b.probes, t.Member)
-	b.report(t)
-	if p.told < r.NewestVersion {
-		p.told, p.since = r.NewestVersion, received
+	p.heartbeat, p.lastContact = hb, receivedAt
+	p.heartbeat.Runs = nil
+	delete(lm.probeResults, hb.Member)
+	lm.storeRuns(hb)
+	if p.notifiedVersion < r.NewestVersion {
+		p.notifiedVersion, p.notifiedAt = r.NewestVersion, receivedAt
 	}
 	switch {
-	case t.Leaving:
+	case hb.Leaving:
 	case m.Removed:
 		r.Excluded, r.Reason = true, "removed"
 	case m.Excluded:
 		r.Excluded, r.Reason = true, "shut out"
-	case t.ActiveVersion < r.FencedVersion:
-		r.Reason = fmt.Sprintf("version %d is fenced, %d is in force there", r.FencedVersion, t.ActiveVersion)
+	case hb.ActiveVersion < r.FencedVersion:
+		r.Reason = fmt.Sprintf("version %d is fenced, %d is in force there", r.FencedVersion, hb.ActiveVersion)
 	default:
-		r.Granted = b.f.Lease
-		p.until = max(p.until, received+b.f.Lease*(1+b.f.Drift))
+		r.Granted = lm.timing.Lease
+		p.leaseExpiry = max(p.leaseExpiry, receivedAt+lm.timing.Lease*(1+lm.timing.Drift))
 	}
 	return r, false
 }
 
 // report keeps what a member tells of its runs; a later word on a run takes the place of the one before.
-func (b *LeaseManager) report(t Heartbeat) {
-	runs := b.runs[t.Member]
-	for _, run := range t.Runs {
+func (lm *LeaseManager) storeRuns(hb Heartbeat) {
+	runs := lm.runs[hb.Member]
+	for _, run := range hb.Runs {
 		if k := slices.IndexFunc(runs, func(r RunRecord) bool { return r.ID == run.ID }); k >= 0 {
 			if run.KnownUntil >= runs[k].KnownUntil {
 				runs[k] = run
@@ -130,10 +130,10 @@
 		}
 		return 0
 	})
-	if over := len(runs) - keepRuns - mostProcesses; over > 0 {
+	if over := len(runs) - retainedRuns - maxProcesses; over > 0 {
 		runs = slices.Delete(runs, 0, over)
 	}
-	b.runs[t.Member] = runs
+	lm.runs[hb.Member] = runs
 }
 
 // Wait is a member that a fence waits for.
@@ -144,12 +144,12 @@
 }
 
 // waits tells whom the fence of a version waits for.
-func (b *LeaseManager) waits(now float64, version uint64, s *State) (all []FenceWait) {
+func (lm *LeaseManager) fenceWaits(now float64, version uint64, s *State) (all []FenceWait) {
 	for _, m := range s.Members() {
 		if m.Removed {
 			continue
 		}
-		if w, must := b.waitsFor(now, version, m); must {
+		if w, waiting := lm.fenceWait(now, version, m); waiting {
 			w.Member = m.Name
 			all = append(all, w)
 		}
@@ -157,36 +157,36 @@
 	return all
 }
 
-func (b *LeaseManager) waitsFor(now float64, version uint64, m Member) (FenceWait, bool) {
-	lease := func(until float64, why string) (FenceWait, bool) {
-		if now > until {
+func (lm *LeaseManager) fenceWait(now float64, version uint64, m Member) (FenceWait, bool) {
+	waitForLease := func(expiry float64, reason string) (FenceWait, bool) {
+		if now > expiry {
 			return FenceWait{}, false
 		}
-		return FenceWait{Reason: why, Remaining: until - now}, true
+		return FenceWait{Reason: reason, Remaining: expiry - now}, true
 	}
-	before := b.elected + b.f.Lease*(1+b.f.Drift)
-	all := b.processes[m.Name]
+	oldLeaseExpiry := lm.electedAt + lm.timing.Lease*(1+lm.timing.Drift)
+	processes := lm.processes[m.Name]
 	// A process that this leader has not heard of may live, unless one that holds the address is known.
-	if !slices.ContainsFunc(all, func(p *process) bool { return p.beat.OwnsAddress }) {
-		if m.IsolationPolicy != StopWhenIsolated && len(all) == 0 {
+	if !slices.ContainsFunc(processes, func(p *process) bool { return p.heartbeat.OwnsAddress }) {
+		if m.IsolationPolicy != StopWhenIsolated && len(processes) == 0 {
 			return FenceWait{Reason: "not heard of since the leader's election, and it serves alone", Remaining: -1}, true
 		}
-		if w, must := lease(before, "a lease of before the leader's election"); must {
+		if w, waiting := waitForLease(oldLeaseExpiry, "a lease of before the leader's election"); waiting {
 			return w, true
 		}
 	}
-	for k, p := range all {
+	for k, p := range processes {
 		switch {
-		case p.beat.ActiveVersion >= version || p.beat.Leaving:
+		case p.heartbeat.ActiveVersion >= version || p.heartbeat.Leaving:
 			continue
-		case slices.ContainsFunc(all[k+1:], func(x *process) bool { return x.beat.OwnsAddress }): // it is dead, or hands off nothing more
-			if w, must := lease(p.until, "the lease of a process before"); must {
+		case slices.ContainsFunc(processes[k+1:], func(x *process) bool { return x.heartbeat.OwnsAddress }): // it is dead, or hands off nothing more
+			if w, waiting := waitForLease(p.leaseExpiry, "the lease of a process before"); waiting {
 				return w, true
 			}
-		case p.beat.IsolationPolicy != StopWhenIsolated:
-			return FenceWait{Reason: fmt.Sprintf("version %d is in force there, and it serves alone", p.beat.ActiveVersion), Remaining: -1}, true
+		case p.heartbeat.IsolationPolicy != StopWhenIsolated:
+			return FenceWait{Reason: fmt.Sprintf("version %d is in force there, and it serves alone", p.heartbeat.ActiveVersion), Remaining: -1}, true
 		default:
-			if w, must := lease(max(p.until, before), fmt.Sprintf("its lease, with version %d in force", p.beat.ActiveVersion)); must {
+			if w, waiting := waitForLease(max(p.leaseExpiry, oldLeaseExpiry), fmt.Sprintf("its lease, with version %d in force", p.heartbeat.ActiveVersion)); waiting {
 				return w, true
 			}
 		}
@@ -196,15 +196,15 @@
 
 // Fence tells since when nobody acts on versions before the given one, by the Unix time handed in; or whom that waits
 // for. What it has told once stays true.
-func (b *LeaseManager) FenceStatus(now, unix float64, version uint64, s *State) (complete float64, waits []FenceWait) {
-	if at, ok := b.fences[version]; ok {
+func (lm *LeaseManager) FenceStatus(now, unixNow float64, version uint64, s *State) (completeAt float64, waits []FenceWait) {
+	if at, ok := lm.fenceCompleteAt[version]; ok {
 		return at, nil
 	}
-	if waits = b.waits(now, version, s); len(waits) > 0 {
+	if waits = lm.fenceWaits(now, version, s); len(waits) > 0 {
 		return 0, waits
 	}
-	b.fences[version] = unix
-	return unix, nil
+	lm.fenceCompleteAt[version] = unixNow
+	return unixNow, nil
 }
 
 // Standing is how a member stands to the newest version.
@@ -237,9 +237,9 @@
 }
 
 // Silent lists members to call: they should have been heard of.
-func (b *LeaseManager) SilentMembers(now float64, s *State) (all []Member) {
+func (lm *LeaseManager) SilentMembers(now float64, s *State) (all []Member) {
 	for _, m := range s.Members() {
-		if p := b.newest(m.Name); !m.Removed && (p == nil || !p.beat.Leaving && now > p.heard+2*b.f.Beat) {
+		if p := lm.newestProcess(m.Name); !m.Removed && (p == nil || !p.heartbeat.Leaving && now > p.lastContact+2*lm.timing.Beat) {
 			all = append(all, m)
 		}
 	}
@@ -247,81 +247,81 @@
 }
 
 // Seat is the one that a member asks for that has lost its voter's folder; 0: none.
-func (b *LeaseManager) RequestedRaftID(member string) (seat uint64, address string) {
-	if p := b.newest(member); p != nil {
-		return p.beat.RequestedRaftID, p.beat.Address
+func (lm *LeaseManager) RequestedRaftID(member string) (raftID uint64, address string) {
+	if p := lm.newestProcess(member); p != nil {
+		return p.heartbeat.RequestedRaftID, p.heartbeat.Address
 	}
 	return 0, ""
 }
 
 // Probed notes what calling a silent member showed.
-func (b *LeaseManager) RecordProbe(member, what string) { b.probes[member] = what }
+func (lm *LeaseManager) RecordProbe(member, result string) { lm.probeResults[member] = result }
 
-func (b *LeaseManager) newest(member string) *process {
-	all := b.processes[member]
-	if len(all) == 0 {
+func (lm *LeaseManager) newestProcess(member string) *process {
+	processes := lm.processes[member]
+	if len(processes) == 0 {
 		return nil
 	}
-	return all[len(all)-1]
+	return processes[len(processes)-1]
 }
 
 // Members gives all as they stand now.
-func (b *LeaseManager) MemberStatuses(now float64, s *State) (list []MemberStatus) {
+func (lm *LeaseManager) MemberStatuses(now float64, s *State) (list []MemberStatus) {
 	for _, m := range s.Members() {
-		list = append(list, b.status(now, m, s))
+		list = append(list, lm.memberStatus(now, m, s))
 	}
 	return list
 }
 
-func (b *LeaseManager) status(now float64, m Member, s *State) MemberStatus {
-	x := MemberStatus{Member: m.Name, Address: m.Address, IsolationPolicy: m.IsolationPolicy, SinceContact: -1, LeaseRemaining: -1, State: MemberUnknown}
-	p := b.newest(m.Name)
+func (lm *LeaseManager) memberStatus(now float64, m Member, s *State) MemberStatus {
+	st := MemberStatus{Member: m.Name, Address: m.Address, IsolationPolicy: m.IsolationPolicy, SinceContact: -1, LeaseRemaining: -1, State: MemberUnknown}
+	p := lm.newestProcess(m.Name)
 	if p != nil {
-		x.ActiveVersion, x.ProgramVersion, x.PendingRestart, x.RunID, x.VoterState, x.SinceContact = p.beat.ActiveVersion, p.beat.ProgramVersion, p.beat.PendingRestart, p.beat.RunID, p.beat.VoterState, now-p.heard
-		x.LeaseRemaining = max(p.until-now, -1)
+		st.ActiveVersion, st.ProgramVersion, st.PendingRestart, st.RunID, st.VoterState, st.SinceContact = p.heartbeat.ActiveVersion, p.heartbeat.ProgramVersion, p.heartbeat.PendingRestart, p.heartbeat.RunID, p.heartbeat.VoterState, now-p.lastContact
+		st.LeaseRemaining = max(p.leaseExpiry-now, -1)
 	}
-	silent := p == nil || now > p.heard+2*b.f.Beat
+	silent := p == nil || now > p.lastContact+2*lm.timing.Beat
 	switch {
 	case m.Removed:
-		x.State, x.Cause = MemberGone, "removed"
+		st.State, st.Cause = MemberGone, "removed"
 	case m.Excluded:
-		x.State, x.Cause = MemberExcluded, "by an operator"
+		st.State, st.Cause = MemberExcluded, "by an operator"
 	case p == nil:
-		x.Cause = "not heard of since the leader's election"
-	case p.beat.Leaving:
-		x.State, x.Cause = MemberGone, "it ended"
-	case silent && now > p.until && p.beat.ActiveVersion < s.FencedVersion():
-		x.State = MemberExcluded
-	case silent && now > p.until:
-		x.State = MemberGone
+		st.Cause = "not heard of since the leader's election"
+	case p.heartbeat.Leaving:
+		st.State, st.Cause = MemberGone, "it ended"
+	case silent && now > p.leaseExpiry && p.heartbeat.ActiveVersion < s.FencedVersion():
+		st.State = MemberExcluded
+	case silent && now > p.leaseExpiry:
+		st.State = MemberGone
 	case silent:
-		x.State = MemberStraggler
-	case p.beat.ActiveVersion < s.FencedVersion() && now > p.until:
-		x.State = MemberExcluded
-	case p.beat.ActiveVersion == s.NewestVersion():
-		x.State = MemberCurrent
-	case p.beat.RefusedVersion == 0 && now < p.since+2*b.f.Beat:
-		x.State = MemberBehind
+		st.State = MemberStraggler
+	case p.heartbeat.ActiveVersion < s.FencedVersion() && now > p.leaseExpiry:
+		st.State = MemberExcluded
+	case p.heartbeat.ActiveVersion == s.NewestVersion():
+		st.State = MemberCurrent
+	case p.heartbeat.RefusedVersion == 0 && now < p.notifiedAt+2*lm.timing.Beat:
+		st.State = MemberBehind
 	default:
-		x.State = MemberStraggler
+		st.State = MemberStraggler
 	}
 	switch {
-	case x.Cause != "" || x.State == MemberCurrent || x.State == MemberBehind:
+	case st.Cause != "" || st.State == MemberCurrent || st.State == MemberBehind:
 	case silent:
-		if x.Cause = b.probes[m.Name]; x.Cause == "" {
-			x.Cause = "silent"
+		if st.Cause = lm.probeResults[m.Name]; st.Cause == "" {
+			st.Cause = "silent"
 		}
-	case p.beat.RefusedVersion > 0:
-		x.Cause = fmt.Sprintf("refuses version %d: %s", p.beat.RefusedVersion, p.beat.Problem)
-	case p.beat.Problem != "":
-		x.Cause = p.beat.Problem
-	case p.beat.StalledFor > 0:
-		x.Cause = fmt.Sprintf("stalled for %.0f ms", p.beat.StalledFor)
+	case p.heartbeat.RefusedVersion > 0:
+		st.Cause = fmt.Sprintf("refuses version %d: %s", p.heartbeat.RefusedVersion, p.heartbeat.Problem)
+	case p.heartbeat.Problem != "":
+		st.Cause = p.heartbeat.Problem
+	case p.heartbeat.StalledFor > 0:
+		st.Cause = fmt.Sprintf("stalled for %.0f ms", p.heartbeat.StalledFor)
 	default:
-		x.Cause = "catching up"
+		st.Cause = "catching up"
 	}
-	if p != nil && p.beat.RefusedVersion == 0 && p.beat.StalledFor > 0 && x.State == MemberCurrent {
-		x.Cause = fmt.Sprintf("stalled for %.0f ms before its last beat", p.beat.StalledFor)
+	if p != nil && p.heartbeat.RefusedVersion == 0 && p.heartbeat.StalledFor > 0 && st.State == MemberCurrent {
+		st.Cause = fmt.Sprintf("stalled for %.0f ms before its last beat", p.heartbeat.StalledFor)
 	}
-	return x
+	return st
 }
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -72,9 +72,9 @@
 	n      int // members
 }
 
-func (b *LeaseManager) clone() *LeaseManager {
-	c := &LeaseManager{f: b.f, elected: b.elected, processes: map[string][]*process{}, fences: maps.Clone(b.fences), probes: map[string]string{}, runs: map[string][]RunRecord{}}
-	for name, all := range b.processes {
+func (lm *LeaseManager) clone() *LeaseManager {
+	c := &LeaseManager{timing: lm.timing, electedAt: lm.electedAt, processes: map[string][]*process{}, fenceCompleteAt: maps.Clone(lm.fenceCompleteAt), probeResults: map[string]string{}, runs: map[string][]RunRecord{}}
+	for name, all := range lm.processes {
 		for _, p := range all {
 			q := *p
 			c.processes[name] = append(c.processes[name], &q)
@@ -133,10 +133,10 @@
 		}
 		return 0
 	}
-	num(m.now, float64(m.state), float64(m.elected), float64(m.crashes), float64(m.losses), yes(m.told), rel(m.book.elected))
+	num(m.now, float64(m.state), float64(m.elected), float64(m.crashes), float64(m.losses), yes(m.told), rel(m.book.electedAt))
 	for k := range m.members[:c.n] {
 		x := &m.members[k]
-		num(yes(x.up), float64(x.run), rel(x.self.until), float64(x.self.activeVersion), float64(x.self.pending), float64(x.self.state.NewestVersion()), float64(x.self.fenced),
+		num(yes(x.up), float64(x.run), rel(x.self.leaseExpiry), float64(x.self.activeVersion), float64(x.self.pendingVersion), float64(x.self.state.NewestVersion()), float64(x.self.fencedVersion),
 			yes(x.beat.there), yes(x.answer.there))
 		if x.beat.there {
 			num(rel(x.beat.sent), float64(x.beat.b.ActiveVersion))
@@ -146,8 +146,8 @@
 			num(rel(x.answer.sent), x.answer.r.Granted, float64(x.answer.r.FencedVersion))
 		}
 		for _, p := range m.book.processes[modelName(k)] {
-			h.WriteString(p.beat.RunID)
-			num(rel(p.until), rel(p.heard), float64(p.beat.ActiveVersion))
+			h.WriteString(p.heartbeat.RunID)
+			num(rel(p.leaseExpiry), rel(p.lastContact), float64(p.heartbeat.ActiveVersion))
 		}
 	}
 	return h.Sum64()
@@ -238,8 +238,8 @@
 				y.self.NextVersion()
 			})
 		}
-		if x.up && x.self.pending > 0 {
-			do(func(m *model) { m.members[k].self.VersionApplied(m.members[k].self.pending) })
+		if x.up && x.self.pendingVersion > 0 {
+			do(func(m *model) { m.members[k].self.VersionApplied(m.members[k].self.pendingVersion) })
 		}
 		if x.up && m.crashes < 1 {
 			do(func(m *model) { // killed and started anew, its folder as it was or older
@@ -259,7 +259,7 @@
 			m.elected++
 			m.book = NewLeaseManager(modelFigures, m.now)
 			if c.w.noElection {
-				m.book.elected = math.Inf(-1)
+				m.book.electedAt = math.Inf(-1)
 			}
 		})
 	}
@@ -396,7 +396,7 @@
 	if err := Decode(text, &x); err != nil {
 		t.Fatal(err)
 	}
-	x.Content.Members = nil // as if its last entry had not been applied
+	x.State.Members = nil // as if its last entry had not been applied
 	if _, err := Restore(Encode(x)); err == nil {
 		t.Error("a snapshot without what its last entry did was taken")
 	}
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -23,12 +23,12 @@
 
 const (
 	// MostText is how long a version's text may be, in bytes.
-	MaxTextBytes = 64 << 10
-	keepTexts    = 16   // newest versions whose texts a state keeps, for who is behind and for the way back
-	keepVersions = 256  // older ones are forgotten
-	keepRequests = 1024 // numbers of requests that are known again
-	keepBegan    = 16   // processes of a member that are remembered
-	mostName     = 64
+	MaxTextBytes      = 64 << 10
+	retainedTexts     = 16   // newest versions whose texts a state keeps, for who is behind and for the way back
+	retainedVersions  = 256  // older ones are forgotten
+	retainedRequests  = 1024 // numbers of requests that are known again
+	retainedRunStarts = 16   // processes of a member that are remembered
+	maxNameBytes      = 64
 )
 
 // Digest proves a history up to an entry.
@@ -134,29 +134,29 @@
 }
 
 // asked is a request that was carried out.
-type asked struct {
-	Request string `cbor:"1,keyasint"`
-	Entry   uint64 `cbor:"2,keyasint"`
-	Version uint64 `cbor:"3,keyasint,omitempty"`
+type completedRequest struct {
+	RequestID string `cbor:"1,keyasint"`
+	EntrySeq  uint64 `cbor:"2,keyasint"`
+	Version   uint64 `cbor:"3,keyasint,omitempty"`
 }
 
 // content is what entries add up to.
-type content struct {
-	Fleet    string    `cbor:"1,keyasint"`
-	N        uint64    `cbor:"2,keyasint"`
-	Members  []Member  `cbor:"3,keyasint"` // by name
-	Versions []Version `cbor:"4,keyasint"` // by number
-	Newest   uint64    `cbor:"5,keyasint"`
-	Fenced   uint64    `cbor:"6,keyasint"` // the newest that fences
-	Requests []asked   `cbor:"7,keyasint"`
-	Voters   []Voter   `cbor:"8,keyasint"` // by name
+type stateData struct {
+	Fleet         string             `cbor:"1,keyasint"`
+	LastSeq       uint64             `cbor:"2,keyasint"`
+	Members       []Member           `cbor:"3,keyasint"` // by name
+	Versions      []Version          `cbor:"4,keyasint"` // by number
+	NewestVersion uint64             `cbor:"5,keyasint"`
+	FencedVersion uint64             `cbor:"6,keyasint"` // the newest that fences
+	Requests      []completedRequest `cbor:"7,keyasint"`
+	Voters        []Voter            `cbor:"8,keyasint"` // by name
 }
 
 // State is the history up to an entry. Not for use from several goroutines at once.
 type State struct {
-	c      content
-	last   Entry // zero before the first
-	digest Digest
+	data      stateData
+	lastEntry Entry // zero before the first
+	digest    Digest
 }
 
 // What may be wrong.
@@ -167,7 +167,7 @@
 	ErrUnknownFormat  = errors.New("a form that this program does not know")
 )
 
-var encoding = func() cbor.EncMode {
+var encMode = func() cbor.EncMode {
 	m, err := cbor.EncOptions{Sort: cbor.SortCoreDeterministic}.EncMode()
 	if err != nil {
 		panic(err) // of constant options
@@ -177,7 +177,7 @@
 
 // Encode gives the one form of a value of this package.
 func Encode(v any) []byte {
-	b, err := encoding.Marshal(v)
+	b, err := encMode.Marshal(v)
 	if err != nil {
 		panic(err) // of plain structs
 	}
@@ -193,53 +193,53 @@
 }
 
 // mostVoters may have a seat at once; one more while one is replaced.
-const mostVoters = 5
+const maxVoters = 5
 
 // NewState is a fleet without history, with its first voters in the order of their names.
 func NewState(name string, voters ...Voter) *State {
-	s := &State{c: content{Fleet: name, Voters: voters}}
-	s.digest = sha256.Sum256(Encode(s.c))
+	s := &State{data: stateData{Fleet: name, Voters: voters}}
+	s.digest = sha256.Sum256(Encode(s.data))
 	return s
 }
 
 // N is the number of the last entry, 0 for none.
-func (s *State) LastSeq() uint64 { return s.c.N }
+func (s *State) LastSeq() uint64 { return s.data.LastSeq }
 
 // Digest proves the history up to N.
 func (s *State) Digest() Digest { return s.digest }
 
 // Newest is the number of the newest version; Fenced of the newest that fences.
-func (s *State) NewestVersion() uint64 { return s.c.Newest }
+func (s *State) NewestVersion() uint64 { return s.data.NewestVersion }
 
 // Fenced as Newest.
-func (s *State) FencedVersion() uint64 { return s.c.Fenced }
+func (s *State) FencedVersion() uint64 { return s.data.FencedVersion }
 
 // Versions are those that are remembered, oldest first; the caller must not change them.
-func (s *State) Versions() []Version { return s.c.Versions }
+func (s *State) Versions() []Version { return s.data.Versions }
 
 // Version finds one.
 func (s *State) Version(n uint64) (Version, bool) {
-	k, ok := slices.BinarySearchFunc(s.c.Versions, n, func(v Version, n uint64) int { return int(int64(v.Number) - int64(n)) })
+	k, ok := slices.BinarySearchFunc(s.data.Versions, n, func(v Version, n uint64) int { return int(int64(v.Number) - int64(n)) })
 	if !ok {
 		return Version{}, false
 	}
-	return s.c.Versions[k], true
+	return s.data.Versions[k], true
 }
 
 // Members are all that the history knows, by name; the caller must not change them.
-func (s *State) Members() []Member { return s.c.Members }
+func (s *State) Members() []Member { return s.data.Members }
 
 // Member finds one.
 func (s *State) Member(name string) (Member, bool) {
-	k, ok := s.find(name)
+	k, ok := s.memberIndex(name)
 	if !ok {
 		return Member{}, false
 	}
-	return s.c.Members[k], true
+	return s.data.Members[k], true
 }
 
-func (s *State) find(name string) (int, bool) {
-	return slices.BinarySearchFunc(s.c.Members, name, func(m Member, name string) int {
+func (s *State) memberIndex(name string) (int, bool) {
+	return slices.BinarySearchFunc(s.data.Members, name, func(m Member, name string) int {
 		return strings.Compare(m.Name, name)
 	})
 }
@@ -254,53 +254,53 @@
 // Apply carries out a command that the council has agreed on, in its order. A command that is refused, or that was
 // carried out before, makes no entry; this is the same for everybody who applies it.
 func (s *State) Apply(c Command) (Result, *Entry, error) {
-	for _, a := range s.c.Requests {
-		if c.RequestID != "" && a.Request == c.RequestID {
-			return Result{EntrySeq: a.Entry, Version: a.Version, Duplicate: true}, nil, nil
+	for _, a := range s.data.Requests {
+		if c.RequestID != "" && a.RequestID == c.RequestID {
+			return Result{EntrySeq: a.EntrySeq, Version: a.Version, Duplicate: true}, nil, nil
 		}
 	}
-	next, version, err := s.after(c)
+	next, version, err := s.evaluate(c)
 	if err != nil {
 		return Result{}, nil, err
 	}
-	e := Entry{Seq: s.c.N + 1, PrevDigest: s.digest, Command: c}
-	e.Digest = digest(e, next)
-	s.c, s.last, s.digest = next, e, e.Digest
+	e := Entry{Seq: s.data.LastSeq + 1, PrevDigest: s.digest, Command: c}
+	e.Digest = entryDigest(e, next)
+	s.data, s.lastEntry, s.digest = next, e, e.Digest
 	return Result{EntrySeq: e.Seq, Version: version}, &e, nil
 }
 
 // Follow takes the next entry as it was made elsewhere. An error changes nothing.
 func (s *State) ApplyEntry(e Entry) error {
-	if e.Seq != s.c.N+1 {
-		return fmt.Errorf("%w: entry %d after %d", ErrMissingEntries, e.Seq, s.c.N)
+	if e.Seq != s.data.LastSeq+1 {
+		return fmt.Errorf("%w: entry %d after %d", ErrMissingEntries, e.Seq, s.data.LastSeq)
 	}
 	if e.PrevDigest != s.digest {
 		return fmt.Errorf("%w: entry %d follows %s, here is %s", ErrDiverged, e.Seq, e.PrevDigest, s.digest)
 	}
-	next, _, err := s.after(e.Command)
+	next, _, err := s.evaluate(e.Command)
 	if err != nil {
 		return fmt.Errorf("entry %d: %w", e.Seq, err)
 	}
-	if digest(e, next) != e.Digest { // its maker's program applies it otherwise, or it was damaged
+	if entryDigest(e, next) != e.Digest { // its maker's program applies it otherwise, or it was damaged
 		return fmt.Errorf("%w: entry %d leads elsewhere here", ErrDiverged, e.Seq)
 	}
-	s.c, s.last, s.digest = next, e, e.Digest
+	s.data, s.lastEntry, s.digest = next, e, e.Digest
 	return nil
 }
 
-func digest(e Entry, after content) Digest {
+func entryDigest(e Entry, after stateData) Digest {
 	sum := sha256.Sum256(Encode(after))
 	e.Digest = sum
 	return sha256.Sum256(Encode(e))
 }
 
 // after is the state once the command is carried out; s stays as it is.
-func (s *State) after(c Command) (content, uint64, error) {
-	refuse := func(format string, a ...any) (content, uint64, error) {
-		return content{}, 0, fmt.Errorf("%w: %s", ErrRefused, fmt.Sprintf(format, a...))
+func (s *State) evaluate(c Command) (stateData, uint64, error) {
+	refuse := func(format string, a ...any) (stateData, uint64, error) {
+		return stateData{}, 0, fmt.Errorf("%w: %s", ErrRefused, fmt.Sprintf(format, a...))
 	}
-	next := s.c
-	next.N++
+	next := s.data
+	next.LastSeq++
 	version := uint64(0)
 	switch c.Kind {
 	case PublishVersion:
@@ -310,28 +310,28 @@
 		if c.MinProgram != "" && !semver.IsValid("v"+c.MinProgram) {
 			return refuse("least program version %q is no version such as 0.2.0", c.MinProgram)
 		}
-		if c.ExpectedNewestPlus1 > 0 && c.ExpectedNewestPlus1-1 != s.c.Newest {
-			return refuse("the newest version is %d, not %d", s.c.Newest, c.ExpectedNewestPlus1-1)
+		if c.ExpectedNewestPlus1 > 0 && c.ExpectedNewestPlus1-1 != s.data.NewestVersion {
+			return refuse("the newest version is %d, not %d", s.data.NewestVersion, c.ExpectedNewestPlus1-1)
 		}
-		next.Newest++
-		version = next.Newest
-		v := Version{Number: version, EntrySeq: next.N, TextDigest: sha256.Sum256(c.Text), Text: c.Text, MinProgram: c.MinProgram, Fence: c.Fence, PublishedBy: c.RequestedBy, PublishedAt: c.IssuedAt}
-		next.Versions = append(slices.Clone(s.c.Versions), v)
-		if over := len(next.Versions) - keepVersions; over > 0 {
+		next.NewestVersion++
+		version = next.NewestVersion
+		v := Version{Number: version, EntrySeq: next.LastSeq, TextDigest: sha256.Sum256(c.Text), Text: c.Text, MinProgram: c.MinProgram, Fence: c.Fence, PublishedBy: c.RequestedBy, PublishedAt: c.IssuedAt}
+		next.Versions = append(slices.Clone(s.data.Versions), v)
+		if over := len(next.Versions) - retainedVersions; over > 0 {
 			next.Versions = next.Versions[over:]
 		}
-		if old := len(next.Versions) - 1 - keepTexts; old >= 0 {
+		if old := len(next.Versions) - 1 - retainedTexts; old >= 0 {
 			next.Versions[old].Text = nil
 		}
 		if c.Fence {
-			next.Fenced = version
+			next.FencedVersion = version
 		}
 	case AdmitMember, RemoveMember, ExcludeMember:
-		if c.Member == "" || len(c.Member) > mostName {
+		if c.Member == "" || len(c.Member) > maxNameBytes {
 			return refuse("%q is no name of a member", c.Member)
 		}
-		k, known := s.find(c.Member)
-		next.Members = slices.Clone(s.c.Members)
+		k, known := s.memberIndex(c.Member)
+		next.Members = slices.Clone(s.data.Members)
 		if !known {
 			if c.Kind != AdmitMember {
 				return refuse("no member is called %s", c.Member)
@@ -353,7 +353,7 @@
 			}
 			if c.RunID != "" && !m.HasRun(c.RunID) {
 				m.Runs = append(slices.Clone(m.Runs), RunStart{c.RunID, c.RunStartedAt})
-				if over := len(m.Runs) - keepBegan; over > 0 {
+				if over := len(m.Runs) - retainedRunStarts; over > 0 {
 					m.Runs = m.Runs[over:]
 				}
 			}
@@ -363,25 +363,25 @@
 			m.Excluded = true
 		}
 	case AddVoter, RemoveVoter:
-		next.Voters = slices.DeleteFunc(slices.Clone(s.c.Voters), func(v Voter) bool { return v.Name == c.Member })
+		next.Voters = slices.DeleteFunc(slices.Clone(s.data.Voters), func(v Voter) bool { return v.Name == c.Member })
 		if c.Kind == AddVoter {
 			if c.Member == "" || c.Address == "" || c.RaftID == 0 {
 				return refuse("a voter needs a name, an address and a seat")
 			}
 			next.Voters = append(next.Voters, Voter{c.Member, c.Address, c.RaftID})
 			slices.SortFunc(next.Voters, func(x, y Voter) int { return strings.Compare(x.Name, y.Name) })
-		} else if len(next.Voters) == len(s.c.Voters) {
+		} else if len(next.Voters) == len(s.data.Voters) {
 			return refuse("no voter is called %s", c.Member)
 		}
-		if n := len(next.Voters); n == 0 || n > mostVoters {
-			return refuse("%d voters would be left; there have to be 1 to %d", n, mostVoters)
+		if n := len(next.Voters); n == 0 || n > maxVoters {
+			return refuse("%d voters would be left; there have to be 1 to %d", n, maxVoters)
 		}
 	default:
 		return refuse("an entry of kind %d is unknown to this program", c.Kind)
 	}
 	if c.RequestID != "" {
-		next.Requests = append(slices.Clone(s.c.Requests), asked{c.RequestID, next.N, version})
-		if over := len(next.Requests) - keepRequests; over > 0 {
+		next.Requests = append(slices.Clone(s.data.Requests), completedRequest{c.RequestID, next.LastSeq, version})
+		if over := len(next.Requests) - retainedRequests; over > 0 {
 			next.Requests = next.Requests[over:]
 		}
 	}
@@ -390,45 +390,45 @@
 
 // snapshot is a state as it is passed on.
 type snapshot struct {
-	Format  int     `cbor:"1,keyasint"`
-	Content content `cbor:"2,keyasint"`
-	Last    Entry   `cbor:"3,keyasint"`
+	Format    int       `cbor:"1,keyasint"`
+	State     stateData `cbor:"2,keyasint"`
+	LastEntry Entry     `cbor:"3,keyasint"`
 }
 
 // Snapshot is the state as one text.
-func (s *State) Snapshot() []byte { return Encode(snapshot{FormatVersion, s.c, s.last}) }
+func (s *State) Snapshot() []byte { return Encode(snapshot{FormatVersion, s.data, s.lastEntry}) }
 
 // Restore reads a snapshot. One whose content is not what its last entry led to is refused.
 func Restore(b []byte) (*State, error) {
-	var x snapshot
-	if err := Decode(b, &x); err != nil {
+	var snap snapshot
+	if err := Decode(b, &snap); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if x.Format != FormatVersion {
-		return nil, fmt.Errorf("snapshot: %w: format %d", ErrUnknownFormat, x.Format)
+	if snap.Format != FormatVersion {
+		return nil, fmt.Errorf("snapshot: %w: format %d", ErrUnknownFormat, snap.Format)
 	}
-	if x.Content.N == 0 {
-		return NewState(x.Content.Fleet, x.Content.Voters...), nil
+	if snap.State.LastSeq == 0 {
+		return NewState(snap.State.Fleet, snap.State.Voters...), nil
 	}
-	if x.Last.Seq != x.Content.N || digest(x.Last, x.Content) != x.Last.Digest {
-		return nil, fmt.Errorf("snapshot: %w: its content is not what entry %d led to", ErrDiverged, x.Last.Seq)
+	if snap.LastEntry.Seq != snap.State.LastSeq || entryDigest(snap.LastEntry, snap.State) != snap.LastEntry.Digest {
+		return nil, fmt.Errorf("snapshot: %w: its content is not what entry %d led to", ErrDiverged, snap.LastEntry.Seq)
 	}
-	return &State{c: x.Content, last: x.Last, digest: x.Last.Digest}, nil
+	return &State{data: snap.State, lastEntry: snap.LastEntry, digest: snap.LastEntry.Digest}, nil
 }
 
 // Voters are those that have a seat, by name; the caller must not change them.
-func (s *State) Voters() []Voter { return s.c.Voters }
+func (s *State) Voters() []Voter { return s.data.Voters }
 
 // Fleet is the name of the fleet that the history is of.
-func (s *State) Fleet() string { return s.c.Fleet }
+func (s *State) Fleet() string { return s.data.Fleet }
 
 // Clone is a copy that goes on by itself.
 func (s *State) Clone() *State {
-	c := *s
-	return &c // contents are never changed in place
+	clone := *s
+	return &clone // contents are never changed in place
 }
 
 // Understands tells whether a program of the given version understands one that asks for the least.
-func SupportsVersion(program, least string) bool {
-	return least == "" || semver.Compare("v"+program, "v"+least) >= 0
+func SupportsVersion(programVersion, minProgram string) bool {
+	return minProgram == "" || semver.Compare("v"+programVersion, "v"+minProgram) >= 0
 }
--- a/internal/fleetagent/agent.go
+++ b/internal/fleetagent/agent.go
@@ -45,78 +45,78 @@
 
 // Times of a member.
 const (
-	pollWait  = 2 * time.Second // a voter is asked to wait so long for news
-	pollMore  = time.Second     // and has so long more for its answer
-	pauseMost = 300 * time.Millisecond
-	saveEvery = time.Second
-	askWithin = 4 * time.Second
+	pollWait     = 2 * time.Second // a voter is asked to wait so long for news
+	pollGrace    = time.Second     // and has so long more for its answer
+	maxPause     = 300 * time.Millisecond
+	saveInterval = time.Second
+	adminTimeout = 4 * time.Second
 )
 
 // Member is one at work.
 type Agent struct {
-	o       Options
-	ctx     context.Context
-	stop    context.CancelFunc
-	client  *fleetrpc.Client
-	polls   *fleetrpc.Client // its end ends the poll that is under way
-	gate    *LeaseGuard
-	folder  *folder
-	running sync.WaitGroup
+	opts       Options
+	ctx        context.Context
+	cancel     context.CancelFunc
+	client     *fleetrpc.Client
+	pollClient *fleetrpc.Client // its end ends the poll that is under way
+	guard      *LeaseGuard
+	dir        *stateDir
+	wg         sync.WaitGroup
 
-	mu     sync.Mutex // of all below
-	self   *fleet.LeaseHolder
-	rnd    *rand.Rand
-	leader string // address of the voter that last led
-	told   uint64 // the newest version, by the last beat's answer
-	runs   []fleet.RunRecord
-	waits  string
-	fault  string // why it cannot follow
-	lease  string // why the council does not renew the lease
-	said   string // of a version that it refuses
-	part   []byte // of a snapshot that is being fetched
-	upto   uint64
+	mu              sync.Mutex // of all below
+	holder          *fleet.LeaseHolder
+	rng             *rand.Rand
+	leaderAddr      string // address of the voter that last led
+	notifiedVersion uint64 // the newest version, by the last beat's answer
+	runs            []fleet.RunRecord
+	pendingRestart  string
+	followError     string // why it cannot follow
+	leaseRefusal    string // why the council does not renew the lease
+	loggedRefusal   string // of a version that it refuses
+	snapshotPart    []byte // of a snapshot that is being fetched
+	snapshotSeq     uint64
 }
 
 // Start takes up the folder and begins to follow. The first version that the folder knows is brought into force at once.
-func Start(o Options, g *LeaseGuard) *Agent {
-	m := &Agent{o: o, client: fleetrpc.NewClient(o.Fleet, o.AddressMap), polls: fleetrpc.NewClient(o.Fleet, o.AddressMap), gate: g, rnd: rand.New(rand.NewPCG(o.Seed, 0x666c6565))}
-	m.ctx, m.stop = context.WithCancel(context.Background())
-	m.folder = openFolder(o.Dir)
-	state, runs := m.folder.read(o.Fleet)
-	m.runs = runs
-	m.self = fleet.NewLeaseHolder(o.Timing, o.Name, o.ProgramVersion, o.IsolationPolicy, state, o.Clock.Now())
-	m.mu.Lock()
-	m.bring()
-	m.open()
-	m.mu.Unlock()
-	m.running.Go(m.beats)
-	m.running.Go(m.follow)
-	m.running.Go(m.saves)
-	return m
+func Start(opts Options, guard *LeaseGuard) *Agent {
+	a := &Agent{opts: opts, client: fleetrpc.NewClient(opts.Fleet, opts.AddressMap), pollClient: fleetrpc.NewClient(opts.Fleet, opts.AddressMap), guard: guard, rng: rand.New(rand.NewPCG(opts.Seed, 0x666c6565))}
+	a.ctx, a.cancel = context.WithCancel(context.Background())
+	a.dir = openStateDir(opts.Dir)
+	state, runs := a.dir.read(opts.Fleet)
+	a.runs = runs
+	a.holder = fleet.NewLeaseHolder(opts.Timing, opts.Name, opts.ProgramVersion, opts.IsolationPolicy, state, opts.Clock.Now())
+	a.mu.Lock()
+	a.applyNewest()
+	a.updateGuard()
+	a.mu.Unlock()
+	a.wg.Go(a.heartbeatLoop)
+	a.wg.Go(a.followLoop)
+	a.wg.Go(a.saveLoop)
+	return a
 }
 
 // Close ends it, once the dispatcher has ended: the council is told that nothing more will be done.
-func (m *Agent) Close() {
-	m.stop()
-	m.polls.Close()
-	m.running.Wait()
-	m.gate.end()
-	m.beat(true)
-	m.save()
-	m.folder.close()
-	m.client.Close()
+func (a *Agent) Close() {
+	a.cancel()
+	a.pollClient.Close()
+	a.wg.Wait()
+	a.guard.close()
+	a.sendHeartbeat(true)
+	a.save()
+	a.dir.close()
+	a.client.Close()
 }
 
 // Vote tells of the council of this process, which came up later.
-func (m *Agent) SetVoter(c fleetrpc.VoterService) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.o.Voter = c
+func (a *Agent) SetVoter(voter fleetrpc.VoterService) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.opts.Voter = voter
 }
 
 // Traffic counts its calls and the bytes of them.
-func (m *Agent) Traffic() (calls, read, written uint64) {
-	for _, c := range []*fleetrpc.Client{m.client, m.polls} {
+func (a *Agent) Traffic() (calls, read, written uint64) {
+	for _, c := range []*fleetrpc.Client{a.client, a.pollClient} {
 		n, r, w := c.Traffic()
 		calls, read, written = calls+n, read+r, written+w
 	}
@@ -124,59 +124,59 @@
 }
 
 // council is that of this process; nil: none.
-func (m *Agent) council() fleetrpc.VoterService {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.o.Voter
+func (a *Agent) voter() fleetrpc.VoterService {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.opts.Voter
 }
 
 // open sets the gate anew. The lock is held.
-func (m *Agent) open() { m.gate.set(m.self.AcceptUntil(m.o.Clock.Now())) }
+func (a *Agent) updateGuard() { a.guard.setOpenUntil(a.holder.AcceptUntil(a.opts.Clock.Now())) }
 
 // bring has the newest version brought into force. The lock is held.
-func (m *Agent) bring() {
-	v, ok := m.self.NextVersion()
+func (a *Agent) applyNewest() {
+	v, ok := a.holder.NextVersion()
 	if !ok {
-		if n, why := m.self.RefusedVersion(); n > 0 && why != m.said {
-			m.said = why
-			slog.Error("fleet", "fleet", "refuses", "version", n, "err", why)
+		if refused, reason := a.holder.RefusedVersion(); refused > 0 && reason != a.loggedRefusal {
+			a.loggedRefusal = reason
+			slog.Error("fleet", "fleet", "refuses", "version", refused, "err", reason)
 		}
 		return
 	}
-	err := m.o.ApplyVersion(v, func(waits string) {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		m.self.VersionApplied(v.Number)
-		m.waits = waits
-		m.bring() // a newer one may have come meanwhile
-		m.open()
-		slog.Info("fleet", "fleet", "in force", "version", v.Number, "waits_for_a_restart", waits)
+	err := a.opts.ApplyVersion(v, func(pendingRestart string) {
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		a.holder.VersionApplied(v.Number)
+		a.pendingRestart = pendingRestart
+		a.applyNewest() // a newer one may have come meanwhile
+		a.updateGuard()
+		slog.Info("fleet", "fleet", "in force", "version", v.Number, "waits_for_a_restart", pendingRestart)
 	})
 	if err != nil {
-		m.self.RefuseVersion(v.Number, err)
+		a.holder.RefuseVersion(v.Number, err)
 		slog.Error("fleet", "fleet", "refuses", "version", v.Number, "err", err)
 	}
 }
 
 // voters are the addresses at which the council may be found, drawn. The lock is held.
-func (m *Agent) voters() (all []string) {
-	seated := m.self.State().Voters()
-	if len(seated) == 0 {
-		seated = m.o.Voters
+func (a *Agent) voterAddresses() (addrs []string) {
+	voters := a.holder.State().Voters()
+	if len(voters) == 0 {
+		voters = a.opts.Voters
 	}
-	for _, v := range seated {
-		all = append(all, v.Address)
+	for _, v := range voters {
+		addrs = append(addrs, v.Address)
 	}
-	m.rnd.Shuffle(len(all), func(a, b int) { all[a], all[b] = all[b], all[a] })
-	return all
+	a.rng.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
+	return addrs
 }
 
 // sleep waits a span; false: it is over.
-func (m *Agent) sleep(span time.Duration) bool {
-	t := time.NewTimer(span)
+func (a *Agent) sleep(duration time.Duration) bool {
+	t := time.NewTimer(duration)
 	defer t.Stop()
 	select {
-	case <-m.ctx.Done():
+	case <-a.ctx.Done():
 		return false
 	case <-t.C:
 		return true
@@ -184,132 +184,132 @@
 }
 
 // pause is drawn, so that a fleet does not ask again in step.
-func (m *Agent) pause() bool {
-	m.mu.Lock()
-	span := time.Duration((0.2 + 0.8*m.rnd.Float64()) * float64(pauseMost))
-	m.mu.Unlock()
-	return m.sleep(span)
+func (a *Agent) randomPause() bool {
+	a.mu.Lock()
+	duration := time.Duration((0.2 + 0.8*a.rng.Float64()) * float64(maxPause))
+	a.mu.Unlock()
+	return a.sleep(duration)
 }
 
 // beats renews the lease.
-func (m *Agent) beats() {
-	every := m.o.Timing.Beat
-	next := m.o.Clock.Now()
+func (a *Agent) heartbeatLoop() {
+	interval := a.opts.Timing.Beat
+	next := a.opts.Clock.Now()
 	for {
-		if again := m.beat(false); again > 0 {
-			next = m.o.Clock.Now() + again - every
+		if retryAfter := a.sendHeartbeat(false); retryAfter > 0 {
+			next = a.opts.Clock.Now() + retryAfter - interval
 		}
-		next = max(next+every, m.o.Clock.Now())
-		if !m.sleep(time.Duration((next - m.o.Clock.Now()) * 1e6)) {
+		next = max(next+interval, a.opts.Clock.Now())
+		if !a.sleep(time.Duration((next - a.opts.Clock.Now()) * 1e6)) {
 			return
 		}
 		// A process that was stopped or suspended says so.
-		if late := m.o.Clock.Now() - next; late > 2*every {
-			m.mu.Lock()
-			m.gate.stalled = late
-			m.open()
-			m.mu.Unlock()
-			slog.Warn("fleet", "fleet", "stalled", "ms", late)
+		if delay := a.opts.Clock.Now() - next; delay > 2*interval {
+			a.mu.Lock()
+			a.guard.stalledFor = delay
+			a.updateGuard()
+			a.mu.Unlock()
+			slog.Warn("fleet", "fleet", "stalled", "ms", delay)
 		}
 	}
 }
 
 // message is the beat as it is now. The lock is held.
-func (m *Agent) message(leaving bool) fleet.Heartbeat {
-	s := m.self.State()
-	b := fleet.Heartbeat{Fleet: m.o.Fleet, Format: fleet.FormatVersion, Member: m.o.Name, Address: m.o.Address, RunID: m.o.RunID, OwnsAddress: m.o.OwnsAddress(),
-		IsolationPolicy: m.o.IsolationPolicy, ProgramVersion: m.o.ProgramVersion, LastSeq: s.LastSeq(), Digest: s.Digest(), ActiveVersion: m.self.ActiveVersion(), Leaving: leaving,
-		StalledFor: m.gate.stalled, PendingRestart: m.waits, Lease: m.o.Timing.Lease, Drift: m.o.Timing.Drift}
-	b.RefusedVersion, b.Problem = m.self.RefusedVersion()
-	if m.fault != "" && b.RefusedVersion == 0 {
-		b.Problem = m.fault
+func (a *Agent) heartbeat(leaving bool) fleet.Heartbeat {
+	s := a.holder.State()
+	b := fleet.Heartbeat{Fleet: a.opts.Fleet, Format: fleet.FormatVersion, Member: a.opts.Name, Address: a.opts.Address, RunID: a.opts.RunID, OwnsAddress: a.opts.OwnsAddress(),
+		IsolationPolicy: a.opts.IsolationPolicy, ProgramVersion: a.opts.ProgramVersion, LastSeq: s.LastSeq(), Digest: s.Digest(), ActiveVersion: a.holder.ActiveVersion(), Leaving: leaving,
+		StalledFor: a.guard.stalledFor, PendingRestart: a.pendingRestart, Lease: a.opts.Timing.Lease, Drift: a.opts.Timing.Drift}
+	b.RefusedVersion, b.Problem = a.holder.RefusedVersion()
+	if a.followError != "" && b.RefusedVersion == 0 {
+		b.Problem = a.followError
 	}
-	b.Runs = append(slices.Clone(m.runs), m.gate.record())
-	if m.o.Voter != nil {
-		b.VoterState, b.RequestedRaftID = m.o.Voter.Status()
+	b.Runs = append(slices.Clone(a.runs), a.guard.runRecord())
+	if a.opts.Voter != nil {
+		b.VoterState, b.RequestedRaftID = a.opts.Voter.Status()
 	}
 	return b
 }
 
 // beat tells the council once and takes its answer; it gives the time after which to do so again, if that is said.
-func (m *Agent) beat(leaving bool) (again float64) {
-	within := time.Duration(2 * m.o.Timing.Beat * 1e6)
-	m.mu.Lock()
-	b, tries := m.message(leaving), m.voters()
-	trouble := m.leader == "" || b.StalledFor > 0 // the beat before failed, or this process stood still: its poll may hang
-	if m.leader != "" {
-		tries = append([]string{m.leader}, slices.DeleteFunc(tries, func(a string) bool { return a == m.leader })...)
+func (a *Agent) sendHeartbeat(leaving bool) (retryAfter float64) {
+	timeout := time.Duration(2 * a.opts.Timing.Beat * 1e6)
+	a.mu.Lock()
+	hb, addrs := a.heartbeat(leaving), a.voterAddresses()
+	pollMayHang := a.leaderAddr == "" || hb.StalledFor > 0 // the beat before failed, or this process stood still: its poll may hang
+	if a.leaderAddr != "" {
+		addrs = append([]string{a.leaderAddr}, slices.DeleteFunc(addrs, func(reply string) bool { return reply == a.leaderAddr })...)
 	}
-	m.mu.Unlock()
+	a.mu.Unlock()
 	began := time.Now()
-	for _, addr := range tries {
-		if time.Since(began) > within || m.ctx.Err() != nil && !leaving {
+	for _, addr := range addrs {
+		if time.Since(began) > timeout || a.ctx.Err() != nil && !leaving {
 			break
 		}
-		sent := m.o.Clock.Now()
-		a, err := m.client.Heartbeat(addr, b, false, within)
+		sent := a.opts.Clock.Now()
+		reply, err := a.client.Heartbeat(addr, hb, false, timeout)
 		if errors.Is(err, fleetrpc.ErrFleetMismatch) {
-			m.cannot(err.Error())
+			a.setLeaseRefusal(err.Error())
 		}
-		if err != nil || a.NotLeader {
+		if err != nil || reply.NotLeader {
 			continue
 		}
-		m.mu.Lock()
-		m.leader = addr
-		if a.LeaderAddress != "" {
-			m.leader = a.LeaderAddress
+		a.mu.Lock()
+		a.leaderAddr = addr
+		if reply.LeaderAddress != "" {
+			a.leaderAddr = reply.LeaderAddress
 		}
-		m.self.HandleRenewal(sent, a.Renewal)
-		m.gate.stalled = 0
-		m.open()
-		newest := m.told
-		if m.told = a.Renewal.NewestVersion; trouble {
-			newest = m.told
+		a.holder.HandleRenewal(sent, reply.Renewal)
+		a.guard.stalledFor = 0
+		a.updateGuard()
+		newest := a.notifiedVersion
+		if a.notifiedVersion = reply.Renewal.NewestVersion; pollMayHang {
+			newest = a.notifiedVersion
 		}
-		behind := newest > m.self.State().NewestVersion()
-		m.mu.Unlock()
-		if a.Renewal.Granted == 0 && a.Renewal.Reason != "" && a.Renewal.RetryAfter == 0 {
-			m.cannot(a.Renewal.Reason)
+		behind := newest > a.holder.State().NewestVersion()
+		a.mu.Unlock()
+		if reply.Renewal.Granted == 0 && reply.Renewal.Reason != "" && reply.Renewal.RetryAfter == 0 {
+			a.setLeaseRefusal(reply.Renewal.Reason)
 		} else {
-			m.cannot("")
+			a.setLeaseRefusal("")
 		}
 		// For a beat already, or after trouble: the poll that is under way may hang in a link that is cut, but else it is about to
 		// bring what a lot was gathered for.
 		if behind && !leaving {
-			m.fetch(addr, 0)
+			a.fetchEntries(addr, 0)
 		}
-		return a.Renewal.RetryAfter
+		return reply.Renewal.RetryAfter
 	}
-	m.mu.Lock()
-	m.leader = ""
-	m.open()
-	m.mu.Unlock()
+	a.mu.Lock()
+	a.leaderAddr = ""
+	a.updateGuard()
+	a.mu.Unlock()
 	return 0
 }
 
 // cannot notes why the council does not renew the lease.
-func (m *Agent) cannot(why string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if why != m.lease && why != "" {
-		slog.Warn("fleet", "fleet", "no lease", "why", why)
+func (a *Agent) setLeaseRefusal(reason string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if reason != a.leaseRefusal && reason != "" {
+		slog.Warn("fleet", "fleet", "no lease", "why", reason)
 	}
-	m.lease = why
+	a.leaseRefusal = reason
 }
 
 // follow keeps up with the history at any voter.
-func (m *Agent) follow() {
-	for m.ctx.Err() == nil {
-		m.mu.Lock()
-		all := m.voters()
-		m.mu.Unlock()
-		for _, addr := range all {
-			for m.fetch(addr, pollWait) {
-				if m.ctx.Err() != nil {
+func (a *Agent) followLoop() {
+	for a.ctx.Err() == nil {
+		a.mu.Lock()
+		addrs := a.voterAddresses()
+		a.mu.Unlock()
+		for _, addr := range addrs {
+			for a.fetchEntries(addr, pollWait) {
+				if a.ctx.Err() != nil {
 					return
 				}
 			}
-			if !m.pause() {
+			if !a.randomPause() {
 				return
 			}
 		}
@@ -317,127 +317,127 @@
 }
 
 // fetch asks a voter once for what comes after; false: another one is to be asked.
-func (m *Agent) fetch(addr string, wait time.Duration) bool {
-	m.mu.Lock()
-	s := m.self.State()
-	q := fleetrpc.EntriesRequest{AfterSeq: s.LastSeq(), Digest: s.Digest(), Wait: float64(wait) / 1e6, SnapshotOffset: len(m.part), SnapshotSeq: m.upto}
-	m.mu.Unlock()
-	b, err := m.polls.Entries(addr, q, wait+pollMore)
-	if err != nil || b.Error != "" || b.Busy {
+func (a *Agent) fetchEntries(addr string, wait time.Duration) bool {
+	a.mu.Lock()
+	s := a.holder.State()
+	req := fleetrpc.EntriesRequest{AfterSeq: s.LastSeq(), Digest: s.Digest(), Wait: float64(wait) / 1e6, SnapshotOffset: len(a.snapshotPart), SnapshotSeq: a.snapshotSeq}
+	a.mu.Unlock()
+	reply, err := a.pollClient.Entries(addr, req, wait+pollGrace)
+	if err != nil || reply.Error != "" || reply.Busy {
 		return false
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	switch {
-	case b.Diverged:
-		err = fmt.Errorf("%w at entry %d, by the word of %s", fleet.ErrDiverged, q.AfterSeq, addr)
-	case b.SnapshotSize > 0:
-		err = m.snapshot(b)
+	case reply.Diverged:
+		err = fmt.Errorf("%w at entry %d, by the word of %s", fleet.ErrDiverged, req.AfterSeq, addr)
+	case reply.SnapshotSize > 0:
+		err = a.addSnapshotPart(reply)
 	default:
-		err = m.self.ApplyEntries(b.Entries)
+		err = a.holder.ApplyEntries(reply.Entries)
 	}
 	if err != nil {
-		if m.fault != err.Error() {
+		if a.followError != err.Error() {
 			slog.Error("fleet", "fleet", "cannot follow", "err", err)
 		}
-		m.fault = err.Error()
+		a.followError = err.Error()
 		return false
 	}
-	m.fault = ""
-	if len(b.Entries) > 0 || b.SnapshotSize > 0 && m.part == nil {
-		m.bring()
-		m.open()
+	a.followError = ""
+	if len(reply.Entries) > 0 || reply.SnapshotSize > 0 && a.snapshotPart == nil {
+		a.applyNewest()
+		a.updateGuard()
 	}
 	return true
 }
 
 // snapshot takes a part of one; what is there already is kept where the link broke. The lock is held.
-func (m *Agent) snapshot(b fleetrpc.EntriesReply) error {
-	if b.SnapshotOffset == 0 || b.SnapshotSeq != m.upto || b.SnapshotOffset != len(m.part) {
-		if b.SnapshotOffset != 0 {
-			m.part, m.upto = nil, 0
+func (a *Agent) addSnapshotPart(reply fleetrpc.EntriesReply) error {
+	if reply.SnapshotOffset == 0 || reply.SnapshotSeq != a.snapshotSeq || reply.SnapshotOffset != len(a.snapshotPart) {
+		if reply.SnapshotOffset != 0 {
+			a.snapshotPart, a.snapshotSeq = nil, 0
 			return nil
 		}
-		m.part = nil
+		a.snapshotPart = nil
 	}
-	m.part, m.upto = append(m.part, b.SnapshotPart...), b.SnapshotSeq
-	if len(m.part) < b.SnapshotSize {
+	a.snapshotPart, a.snapshotSeq = append(a.snapshotPart, reply.SnapshotPart...), reply.SnapshotSeq
+	if len(a.snapshotPart) < reply.SnapshotSize {
 		return nil
 	}
-	text := m.part
-	m.part, m.upto = nil, 0
+	text := a.snapshotPart
+	a.snapshotPart, a.snapshotSeq = nil, 0
 	s, err := fleet.Restore(text)
 	if err != nil {
 		return err
 	}
-	return m.self.ReplaceState(s)
+	return a.holder.ReplaceState(s)
 }
 
 // saves keeps the record and the history in the folder.
-func (m *Agent) saves() {
-	for m.sleep(saveEvery) {
-		m.save()
+func (a *Agent) saveLoop() {
+	for a.sleep(saveInterval) {
+		a.save()
 	}
 }
 
-func (m *Agent) save() {
-	m.mu.Lock()
-	s, runs := m.self.State(), append(slices.Clone(m.runs), m.gate.record())
-	m.open() // what ends by time alone
-	m.mu.Unlock()
-	m.folder.write(s, runs)
+func (a *Agent) save() {
+	a.mu.Lock()
+	s, runs := a.holder.State(), append(slices.Clone(a.runs), a.guard.runRecord())
+	a.updateGuard() // what ends by time alone
+	a.mu.Unlock()
+	a.dir.write(s, runs)
 }
 
 // Ask answers an operator: by the council, at any voter that leads, or from what this member knows itself.
-func (m *Agent) HandleAdmin(ctx context.Context, q fleetrpc.AdminRequest) (a fleetrpc.AdminReply) {
-	m.mu.Lock()
-	all := m.voters()
-	m.mu.Unlock()
-	if q.Command.Kind == fleet.PublishVersion {
+func (a *Agent) HandleAdmin(ctx context.Context, req fleetrpc.AdminRequest) (reply fleetrpc.AdminReply) {
+	a.mu.Lock()
+	addrs := a.voterAddresses()
+	a.mu.Unlock()
+	if req.Command.Kind == fleet.PublishVersion {
 		// This guards against a version that nobody can read: fenced, it would shut out the whole fleet.
-		if err := m.o.CheckVersion(q.Command.Text); err != nil {
-			a.Error, a.Local = fmt.Sprintf("%s cannot bring it into force: %v", m.o.Name, err), m.LocalStatus()
-			return a
+		if err := a.opts.CheckVersion(req.Command.Text); err != nil {
+			reply.Error, reply.Local = fmt.Sprintf("%s cannot bring it into force: %v", a.opts.Name, err), a.LocalStatus()
+			return reply
 		}
 	}
-	a.NoLeader = true
-	council := m.council()
-	if council != nil {
-		a = council.HandleAdmin(ctx, q)
+	reply.NoLeader = true
+	voter := a.voter()
+	if voter != nil {
+		reply = voter.HandleAdmin(ctx, req)
 	}
-	for began := time.Now(); a.NoLeader && !q.NoForward && time.Since(began) < askWithin && m.ctx.Err() == nil; {
-		for _, addr := range all {
-			if addr == m.o.Address {
-				if council != nil {
-					a = council.HandleAdmin(ctx, q)
+	for began := time.Now(); reply.NoLeader && !req.NoForward && time.Since(began) < adminTimeout && a.ctx.Err() == nil; {
+		for _, addr := range addrs {
+			if addr == a.opts.Address {
+				if voter != nil {
+					reply = voter.HandleAdmin(ctx, req)
 				}
-			} else if at, err := m.client.Admin(addr, fleetrpc.AdminRequest{Command: q.Command, Audit: q.Audit, AuditVersion: q.AuditVersion, AuditSince: q.AuditSince, NoForward: true}, askWithin); err == nil {
-				a = at
+			} else if remote, err := a.client.Admin(addr, fleetrpc.AdminRequest{Command: req.Command, Audit: req.Audit, AuditVersion: req.AuditVersion, AuditSince: req.AuditSince, NoForward: true}, adminTimeout); err == nil {
+				reply = remote
 			}
-			if !a.NoLeader {
+			if !reply.NoLeader {
 				break
 			}
 		}
-		if a.NoLeader && !m.pause() {
+		if reply.NoLeader && !a.randomPause() {
 			break
 		}
 	}
-	a.Local = m.LocalStatus()
-	return a
+	reply.Local = a.LocalStatus()
+	return reply
 }
 
 // Local is what this member knows itself.
-func (m *Agent) LocalStatus() *fleetrpc.LocalStatus {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	s, now := m.self.State(), m.o.Clock.Now()
-	l := &fleetrpc.LocalStatus{Member: m.o.Name, LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), ActiveVersion: m.self.ActiveVersion(),
-		LeaseRemaining: max(m.self.LeaseExpiry()-now, -1), AcceptsWork: m.gate.Allowed(), Problem: cmp.Or(m.fault, m.lease), PendingRestart: m.waits}
-	if n, why := m.self.RefusedVersion(); n > 0 {
-		l.RefusedVersion = fmt.Sprintf("version %d: %s", n, why)
+func (a *Agent) LocalStatus() *fleetrpc.LocalStatus {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	s, now := a.holder.State(), a.opts.Clock.Now()
+	l := &fleetrpc.LocalStatus{Member: a.opts.Name, LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), ActiveVersion: a.holder.ActiveVersion(),
+		LeaseRemaining: max(a.holder.LeaseExpiry()-now, -1), AcceptsWork: a.guard.Open(), Problem: cmp.Or(a.followError, a.leaseRefusal), PendingRestart: a.pendingRestart}
+	if n, reason := a.holder.RefusedVersion(); n > 0 {
+		l.RefusedVersion = fmt.Sprintf("version %d: %s", n, reason)
 	}
-	if m.o.Voter != nil {
-		l.VoterState, _ = m.o.Voter.Status()
+	if a.opts.Voter != nil {
+		l.VoterState, _ = a.opts.Voter.Status()
 	}
 	return l
 }
--- a/internal/fleetagent/agent_test.go
+++ b/internal/fleetagent/agent_test.go
@@ -16,20 +16,20 @@
 		t.Fatal(err)
 	}
 	g := NewLeaseGuard(NewClock(), "run")
-	g.VersionInForce(1)
-	g.RecordAction(fleet.HandedOff)
-	f := openFolder(dir)
-	f.write(s, []fleet.RunRecord{g.record()})
-	other := openFolder(dir)
+	g.InForce(1)
+	g.Act(fleet.HandedOff)
+	f := openStateDir(dir)
+	f.write(s, []fleet.RunRecord{g.runRecord()})
+	other := openStateDir(dir)
 	other.write(fleet.NewState("f"), nil) // the folder is another process's
 	read := func() (uint64, int) {
-		s, runs := openFolder(dir).read("f")
+		s, runs := openStateDir(dir).read("f")
 		return s.LastSeq(), len(runs)
 	}
 	if n, runs := read(); n != 1 || runs != 1 {
 		t.Fatalf("read back: %d entries, %d runs", n, runs)
 	}
-	if s, _ := openFolder(dir).read("g"); s.LastSeq() != 0 {
+	if s, _ := openStateDir(dir).read("g"); s.LastSeq() != 0 {
 		t.Error("another fleet's history is taken")
 	}
 	for _, name := range []string{historyFile, recordFile} {
@@ -66,24 +66,24 @@
 // TestRecord: acts stand under the version in force at their moment.
 func TestRecord(t *testing.T) {
 	g := NewLeaseGuard(NewClock(), "run")
-	g.RecordAction(fleet.Deferred)
-	g.VersionInForce(3)
-	g.VersionInForce(3)
-	g.RecordAction(fleet.HandedOff)
-	g.RecordAction(fleet.HandedOff)
-	r := g.record()
+	g.Act(fleet.Deferred)
+	g.InForce(3)
+	g.InForce(3)
+	g.Act(fleet.HandedOff)
+	g.Act(fleet.HandedOff)
+	r := g.runRecord()
 	if len(r.Versions) != 2 || r.Versions[0].Counts[fleet.Deferred].Count != 1 || r.Versions[1].Version != 3 || r.Versions[1].Counts[fleet.HandedOff].Count != 2 {
 		t.Errorf("%+v", r)
 	}
 	if g.Allowed() {
 		t.Error("a new gate is open")
 	}
-	g.set(g.clock.Now() + 1e6)
-	if !g.Allowed() {
+	g.setOpenUntil(g.clock.Now() + 1e6)
+	if !g.Open() {
 		t.Error("shut")
 	}
-	g.end()
-	if g.Allowed() || !g.record().CleanExit {
+	g.close()
+	if g.Open() || !g.runRecord().CleanExit {
 		t.Error("ended, and open")
 	}
 }
--- a/internal/fleetagent/lease_guard.go
+++ b/internal/fleetagent/lease_guard.go
@@ -18,10 +18,10 @@
 type Clock struct{ unix float64 }
 
 // NewClock begins now.
-func NewClock() Clock { return Clock{unix: float64(time.Now().UnixMicro())/1000 - boot()} }
+func NewClock() Clock { return Clock{unix: float64(time.Now().UnixMicro())/1000 - bootTime()} }
 
 // boot is the time since the machine's start, in milliseconds.
-func boot() float64 {
+func bootTime() float64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(err) // every Linux has it
@@ -30,16 +30,16 @@
 }
 
 // Now is the clock of leases.
-func (c Clock) Now() float64 { return boot() }
+func (c Clock) Now() float64 { return bootTime() }
 
 // Unix is the same as Unix time by the machine's clock at the process's start, for people.
-func (c Clock) UnixTime() float64 { return c.unix + boot() }
+func (c Clock) UnixTime() float64 { return c.unix + bootTime() }
 
 // Gate is asked before each hand-off and told of each act.
 type LeaseGuard struct {
-	clock   Clock
-	until   atomic.Uint64 // bits of the time until which it is open
-	stalled float64       // the member's
+	clock      Clock
+	openUntil  atomic.Uint64 // bits of the time until which it is open
+	stalledFor float64       // the member's
 
 	mu  sync.Mutex
 	run fleet.RunRecord
@@ -49,15 +49,15 @@
 func NewLeaseGuard(c Clock, run string) *LeaseGuard {
 	g := &LeaseGuard{clock: c, run: fleet.RunRecord{ID: run, StartedAt: c.UnixTime()}}
 	g.run.RecordVersion(g.run.StartedAt, 0)
-	g.set(math.Inf(-1))
+	g.setOpenUntil(math.Inf(-1))
 	return g
 }
 
-func (g *LeaseGuard) set(until float64) { g.until.Store(math.Float64bits(until)) }
+func (g *LeaseGuard) setOpenUntil(until float64) { g.openUntil.Store(math.Float64bits(until)) }
 
 // Open tells whether new work may be taken and handed off at this moment.
-func (g *LeaseGuard) Allowed() bool {
-	until := math.Float64frombits(g.until.Load())
+func (g *LeaseGuard) Open() bool {
+	until := math.Float64frombits(g.openUntil.Load())
 	return math.IsInf(until, 1) || !math.IsInf(until, -1) && g.clock.Now() < until
 }
 
@@ -76,7 +76,7 @@
 }
 
 // record is the run up to now.
-func (g *LeaseGuard) record() fleet.RunRecord {
+func (g *LeaseGuard) runRecord() fleet.RunRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.run.KnownUntil = g.clock.UnixTime()
@@ -84,8 +84,8 @@
 }
 
 // end notes that nothing more will be done.
-func (g *LeaseGuard) end() {
-	g.set(math.Inf(-1))
+func (g *LeaseGuard) close() {
+	g.setOpenUntil(math.Inf(-1))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.run.CleanExit = true
--- a/internal/fleetagent/state_dir.go
+++ b/internal/fleetagent/state_dir.go
@@ -20,112 +20,112 @@
 )
 
 const (
-	historyFile = "history"
-	recordFile  = "record"
-	lockFile    = "LOCK"
-	runsKept    = 4
+	historyFile  = "history"
+	recordFile   = "record"
+	lockFile     = "LOCK"
+	retainedRuns = 4
 )
 
-type folder struct {
-	dir   string
-	lock  *flock.Flock
-	held  bool
-	wrote fleet.Digest
-	fault string
+type stateDir struct {
+	path          string
+	lock          *flock.Flock
+	locked        bool
+	writtenDigest fleet.Digest
+	loggedError   string
 }
 
-func openFolder(dir string) *folder {
-	return &folder{dir: dir, lock: flock.New(filepath.Join(dir, lockFile))}
+func openStateDir(path string) *stateDir {
+	return &stateDir{path: path, lock: flock.New(filepath.Join(path, lockFile))}
 }
 
 // read gives what is there, and an empty history where nothing is.
-func (f *folder) read(name string) (*fleet.State, []fleet.RunRecord) {
+func (d *stateDir) read(name string) (*fleet.State, []fleet.RunRecord) {
 	s := fleet.NewState(name)
-	if f.dir == "" {
+	if d.path == "" {
 		return s, nil
 	}
-	if text, err := f.load(historyFile); err == nil {
-		if kept, err := fleet.Restore(text); err != nil || kept.Fleet() != name {
-			f.say(fmt.Errorf("%s: of no use: %w", historyFile, err))
+	if text, err := d.readFile(historyFile); err == nil {
+		if stored, err := fleet.Restore(text); err != nil || stored.Fleet() != name {
+			d.logError(fmt.Errorf("%s: of no use: %w", historyFile, err))
 		} else {
-			s = kept
+			s = stored
 		}
 	} else if !errors.Is(err, os.ErrNotExist) {
-		f.say(err)
+		d.logError(err)
 	}
 	var runs []fleet.RunRecord
-	if text, err := f.load(recordFile); err == nil {
+	if text, err := d.readFile(recordFile); err == nil {
 		if err := fleet.Decode(text, &runs); err != nil {
-			f.say(fmt.Errorf("%s: %w", recordFile, err))
+			d.logError(fmt.Errorf("%s: %w", recordFile, err))
 			runs = nil
 		}
 	} else if !errors.Is(err, os.ErrNotExist) {
-		f.say(err)
+		d.logError(err)
 	}
-	if over := len(runs) - runsKept; over > 0 {
+	if over := len(runs) - retainedRuns; over > 0 {
 		runs = slices.Delete(runs, 0, over)
 	}
 	return s, runs
 }
 
 // write keeps both, if the folder is this process's: an older one of this member may still hold it.
-func (f *folder) write(s *fleet.State, runs []fleet.RunRecord) {
-	if f.dir == "" {
+func (d *stateDir) write(s *fleet.State, runs []fleet.RunRecord) {
+	if d.path == "" {
 		return
 	}
-	if !f.held {
-		held, err := f.lock.TryLock()
-		if f.held = held; !held {
+	if !d.locked {
+		locked, err := d.lock.TryLock()
+		if d.locked = locked; !locked {
 			if err != nil {
-				f.say(err)
+				d.logError(err)
 			}
 			return
 		}
 	}
-	err := f.store(recordFile, fleet.Encode(runs))
-	if err == nil && (s.Digest() != f.wrote || s.LastSeq() == 0) {
-		if err = f.store(historyFile, s.Snapshot()); err == nil {
-			f.wrote = s.Digest()
+	err := d.writeFile(recordFile, fleet.Encode(runs))
+	if err == nil && (s.Digest() != d.writtenDigest || s.LastSeq() == 0) {
+		if err = d.writeFile(historyFile, s.Snapshot()); err == nil {
+			d.writtenDigest = s.Digest()
 		}
 	}
-	f.say(err)
+	d.logError(err)
 }
 
 // say logs a fault once, and its end.
-func (f *folder) say(err error) {
-	what := ""
+func (d *stateDir) logError(err error) {
+	text := ""
 	if err != nil {
-		what = err.Error()
+		text = err.Error()
 	}
-	if what != f.fault {
-		slog.Warn("fleet", "fleet", "folder", "err", what)
+	if text != d.loggedError {
+		slog.Warn("fleet", "fleet", "folder", "err", text)
 	}
-	f.fault = what
+	d.loggedError = text
 }
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-func (f *folder) load(name string) ([]byte, error) {
-	b, err := os.ReadFile(filepath.Join(f.dir, name))
+func (d *stateDir) readFile(name string) ([]byte, error) {
+	b, err := os.ReadFile(filepath.Join(d.path, name))
 	if err != nil {
 		return nil, fmt.Errorf("fleet.folder: %w", err)
 	}
-	if len(b) < 4 || crc32.Checksum(b[4:], table) != binary.BigEndian.Uint32(b) {
+	if len(b) < 4 || crc32.Checksum(b[4:], crcTable) != binary.BigEndian.Uint32(b) {
 		return nil, fmt.Errorf("fleet.folder: %s is not as it was written", name)
 	}
 	return b[4:], nil
 }
 
 // store writes a file whole or leaves the one before.
-func (f *folder) store(name string, text []byte) error {
-	t, err := os.CreateTemp(f.dir, name+".*.new")
+func (d *stateDir) writeFile(name string, text []byte) error {
+	tmp, err := os.CreateTemp(d.path, name+".*.new")
 	if err != nil {
 		return fmt.Errorf("fleet.folder: %w", err)
 	}
-	defer os.Remove(t.Name()) // gone by then if all went well
-	_, err = t.Write(append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(text, table)), text...))
-	if err = errors.Join(err, t.Sync(), t.Close()); err == nil {
-		err = os.Rename(t.Name(), filepath.Join(f.dir, name))
+	defer os.Remove(tmp.Name()) // gone by then if all went well
+	_, err = tmp.Write(append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(text, crcTable)), text...))
+	if err = errors.Join(err, tmp.Sync(), tmp.Close()); err == nil {
+		err = os.Rename(tmp.Name(), filepath.Join(d.path, name))
 	}
 	if err != nil {
 		return fmt.Errorf("fleet.folder: %w", err)
@@ -133,8 +133,8 @@
 	return nil
 }
 
-func (f *folder) close() {
-	if f.held {
-		_ = f.lock.Unlock() // the process ends
+func (d *stateDir) close() {
+	if d.locked {
+		_ = d.lock.Unlock() // the process ends
 	}
 }
--- a/internal/fleetrpc/rpc.go
+++ b/internal/fleetrpc/rpc.go
@@ -21,21 +21,21 @@
 
 // The paths.
 const (
-	pathVote    = "/fleet/vote"    // between voters
-	pathHello   = "/fleet/hello"   // a voter's start
-	pathBeat    = "/fleet/beat"    // a member's, at the leader
-	pathEntries = "/fleet/entries" // what comes after, at any voter; waits for it
-	pathAsk     = "/fleet/ask"     // an operator's, at any member
-	pathThere   = "/fleet/there"   // is anybody there?
+	pathRaft      = "/fleet/vote"    // between voters
+	pathHello     = "/fleet/hello"   // a voter's start
+	pathHeartbeat = "/fleet/beat"    // a member's, at the leader
+	pathEntries   = "/fleet/entries" // what comes after, at any voter; waits for it
+	pathAdmin     = "/fleet/ask"     // an operator's, at any member
+	pathProbe     = "/fleet/there"   // is anybody there?
 )
 
 // Bounds of the link.
 const (
-	bodyMost            = 4 << 20
-	headMost            = 4 << 10
-	readWithin          = 10 * time.Second // a whole message, and until the next one
+	maxBodyBytes        = 4 << 20
+	maxHeaderBytes      = 4 << 10
+	readTimeout         = 10 * time.Second // a whole message, and until the next one
 	MaxPollWait         = 10 * time.Second // a long poll
-	dialWithin          = time.Second
+	dialTimeout         = time.Second
 	ReservedDescriptors = 64 // set aside for a member's link; a voter takes half of what there is, as each member holds two
 )
 
@@ -182,39 +182,39 @@
 
 // Server answers at a member's address.
 type Server struct {
-	head     Header
-	council  VoterService // nil: none
+	header   Header
+	voter    VoterService // nil: none
 	member   MemberService
 	server   *fasthttp.Server
 	listener net.Listener
 	ctx      context.Context
-	stop     context.CancelFunc
-	running  sync.WaitGroup
+	cancel   context.CancelFunc
+	wg       sync.WaitGroup
 }
 
 // Serve answers on a listener until Close, so many calls at once at most.
-func Serve(l net.Listener, name string, most int, council VoterService, member MemberService) *Server {
-	s := &Server{head: Header{name, fleet.FormatVersion}, council: council, member: member, listener: l}
-	s.ctx, s.stop = context.WithCancel(context.Background())
-	s.server = &fasthttp.Server{Handler: s.handle, Concurrency: most, ReadTimeout: readWithin, WriteTimeout: readWithin,
-		IdleTimeout: 3 * readWithin, ReadBufferSize: headMost, MaxRequestBodySize: bodyMost, NoDefaultServerHeader: true, SecureErrorLogMessage: true, Logger: silent{}}
-	s.running.Go(func() { _ = s.server.Serve(l) }) // ends when it is closed
+func Serve(l net.Listener, name string, maxConcurrent int, voter VoterService, member MemberService) *Server {
+	s := &Server{header: Header{name, fleet.FormatVersion}, voter: voter, member: member, listener: l}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.server = &fasthttp.Server{Handler: s.handle, Concurrency: maxConcurrent, ReadTimeout: readTimeout, WriteTimeout: readTimeout,
+		IdleTimeout: 3 * readTimeout, ReadBufferSize: maxHeaderBytes, MaxRequestBodySize: maxBodyBytes, NoDefaultServerHeader: true, SecureErrorLogMessage: true, Logger: silentLogger{}}
+	s.wg.Go(func() { _ = s.server.Serve(l) }) // ends when it is closed
 	return s
 }
 
-type silent struct{}
+type silentLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (silentLogger) Printf(string, ...any) {}
 
 // Close ends all calls.
 func (s *Server) Close() {
-	s.stop()
+	s.cancel()
 	s.listener.Close()
-	_ = s.server.ShutdownWithContext(expired()) // what is under way is cut off
-	s.running.Wait()
+	_ = s.server.ShutdownWithContext(shutdownContext()) // what is under way is cut off
+	s.wg.Wait()
 }
 
-func expired() context.Context {
+func shutdownContext() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	time.AfterFunc(50*time.Millisecond, cancel)
 	return ctx
@@ -227,113 +227,113 @@
 	}
 	body := ctx.PostBody()
 	switch path := string(ctx.Path()); {
-	case path == pathThere:
+	case path == pathProbe:
 		ctx.SetBodyString("there\n")
-	case path == pathAsk:
-		answer(s, ctx, body, func(m AdminRequest) Header { return m.Header }, func(m AdminRequest) any { return s.member.HandleAdmin(s.ctx, m) })
-	case s.council == nil:
+	case path == pathAdmin:
+		serveMessage(s, ctx, body, func(m AdminRequest) Header { return m.Header }, func(m AdminRequest) any { return s.member.HandleAdmin(s.ctx, m) })
+	case s.voter == nil:
 		ctx.Error("no voter\n", fasthttp.StatusNotFound)
-	case path == pathVote:
-		answer(s, ctx, body, func(m RaftMessages) Header { return m.Header }, func(m RaftMessages) any { s.council.HandleRaftMessages(m); return true })
+	case path == pathRaft:
+		serveMessage(s, ctx, body, func(m RaftMessages) Header { return m.Header }, func(m RaftMessages) any { s.voter.HandleRaftMessages(m); return true })
 	case path == pathHello:
-		answer(s, ctx, body, func(m Hello) Header { return m.Header }, func(m Hello) any { return s.council.HandleHello(m) })
-	case path == pathBeat:
-		answer(s, ctx, body, func(m heartbeatRequest) Header { return m.Header }, func(m heartbeatRequest) any { return s.council.HandleHeartbeat(s.ctx, m.Heartbeat, m.Forwarded) })
+		serveMessage(s, ctx, body, func(m Hello) Header { return m.Header }, func(m Hello) any { return s.voter.HandleHello(m) })
+	case path == pathHeartbeat:
+		serveMessage(s, ctx, body, func(m heartbeatRequest) Header { return m.Header }, func(m heartbeatRequest) any { return s.voter.HandleHeartbeat(s.ctx, m.Heartbeat, m.Forwarded) })
 	case path == pathEntries:
-		answer(s, ctx, body, func(m EntriesRequest) Header { return m.Header }, func(m EntriesRequest) any { return s.council.HandleEntries(s.ctx, m) })
+		serveMessage(s, ctx, body, func(m EntriesRequest) Header { return m.Header }, func(m EntriesRequest) any { return s.voter.HandleEntries(s.ctx, m) })
 	default:
 		ctx.Error("no such path\n", fasthttp.StatusNotFound)
 	}
 }
 
-func answer[M any](s *Server, ctx *fasthttp.RequestCtx, body []byte, head func(M) Header, do func(M) any) {
+func serveMessage[M any](s *Server, ctx *fasthttp.RequestCtx, body []byte, header func(M) Header, handle func(M) any) {
 	var m M
 	if err := fleet.Decode(body, &m); err != nil {
 		slog.Warn("fleet", "fleet", "unread", "from", ctx.RemoteAddr(), "err", err)
 		ctx.Error("not read\n", fasthttp.StatusBadRequest)
 		return
 	}
-	if h := head(m); h != s.head {
+	if h := header(m); h != s.header {
 		slog.Warn("fleet", "fleet", "elsewhere", "from", ctx.RemoteAddr(), "of", fmt.Sprintf("%.64q", h.Fleet), "format", h.Format)
-		ctx.Error(fmt.Sprintf("this is the fleet %q, format %d\n", s.head.Fleet, s.head.Format), fasthttp.StatusConflict)
+		ctx.Error(fmt.Sprintf("this is the fleet %q, format %d\n", s.header.Fleet, s.header.Format), fasthttp.StatusConflict)
 		return
 	}
 	// Not copied: the buffer of each connection would keep the size of its largest answer, a part of a snapshot.
-	ctx.Response.SetBodyRaw(fleet.Encode(do(m)))
+	ctx.Response.SetBodyRaw(fleet.Encode(handle(m)))
 }
 
 // Client calls other processes of the fleet. Each call is made once.
 type Client struct {
-	head Header
-	via  map[string]string
-	c    *fasthttp.Client
-	mu   sync.Mutex
-	open map[*dialed]bool
-	over bool
+	header     Header
+	addressMap map[string]string
+	http       *fasthttp.Client
+	mu         sync.Mutex
+	conns      map[*trackedConn]bool
+	closed     bool
 
-	calls, read, written atomic.Uint64
+	calls, readBytes, writtenBytes atomic.Uint64
 }
 
 // Traffic counts the calls that were made and the bytes that were read and written for them, from the first on.
 func (c *Client) Traffic() (calls, read, written uint64) {
-	return c.calls.Load(), c.read.Load(), c.written.Load()
+	return c.calls.Load(), c.readBytes.Load(), c.writtenBytes.Load()
 }
 
 // dialed is a connection that the client's end closes.
-type dialed struct {
+type trackedConn struct {
 	net.Conn
-	c *Client
+	client *Client
 }
 
 // Read counts what comes.
-func (d *dialed) Read(p []byte) (int, error) {
+func (d *trackedConn) Read(p []byte) (int, error) {
 	n, err := d.Conn.Read(p)
-	d.c.read.Add(uint64(n))
+	d.client.readBytes.Add(uint64(n))
 	return n, err
 }
 
 // Write counts what goes.
-func (d *dialed) Write(p []byte) (int, error) {
+func (d *trackedConn) Write(p []byte) (int, error) {
 	n, err := d.Conn.Write(p)
-	d.c.written.Add(uint64(n))
+	d.client.writtenBytes.Add(uint64(n))
 	return n, err
 }
 
 // Close ends it.
-func (d *dialed) Close() error {
-	d.c.mu.Lock()
-	delete(d.c.open, d)
-	d.c.mu.Unlock()
+func (d *trackedConn) Close() error {
+	d.client.mu.Lock()
+	delete(d.client.conns, d)
+	d.client.mu.Unlock()
 	return d.Conn.Close()
 }
 
 // NewClient speaks for the named fleet. Via tells where addresses are found from here; those that it lacks are found where
 // they are.
-func NewClient(name string, via map[string]string) *Client {
-	c := &Client{head: Header{name, fleet.FormatVersion}, via: via, open: map[*dialed]bool{}}
-	c.c = &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
+func NewClient(name string, addressMap map[string]string) *Client {
+	c := &Client{header: Header{name, fleet.FormatVersion}, addressMap: addressMap, conns: map[*trackedConn]bool{}}
+	c.http = &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
 		RetryIfErr:      func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-		MaxConnsPerHost: 64, MaxResponseBodySize: bodyMost, MaxIdleConnDuration: readWithin, StreamResponseBody: false,
-		Dial: func(addr string) (net.Conn, error) { return c.dial(addr, dialWithin) }}
+		MaxConnsPerHost: 64, MaxResponseBodySize: maxBodyBytes, MaxIdleConnDuration: readTimeout, StreamResponseBody: false,
+		Dial: func(addr string) (net.Conn, error) { return c.dial(addr, dialTimeout) }}
 	return c
 }
 
-func (c *Client) dial(addr string, within time.Duration) (net.Conn, error) {
-	if other, ok := c.via[addr]; ok {
-		addr = other
+func (c *Client) dial(addr string, timeout time.Duration) (net.Conn, error) {
+	if mapped, ok := c.addressMap[addr]; ok {
+		addr = mapped
 	}
-	conn, err := net.DialTimeout("tcp4", addr, within)
+	conn, err := net.DialTimeout("tcp4", addr, timeout)
 	if err != nil {
 		return nil, err
 	}
-	d := &dialed{conn, c}
+	d := &trackedConn{conn, c}
 	c.mu.Lock()
-	over := c.over
-	if !over {
-		c.open[d] = true
+	closed := c.closed
+	if !closed {
+		c.conns[d] = true
 	}
 	c.mu.Unlock()
-	if over {
+	if closed {
 		conn.Close()
 		return nil, net.ErrClosed
 	}
@@ -343,82 +343,82 @@
 // Close ends all connections, and with them the calls that are under way; none is made any longer.
 func (c *Client) Close() {
 	c.mu.Lock()
-	c.over = true
-	var all []*dialed
-	for d := range c.open {
-		all = append(all, d)
+	c.closed = true
+	var conns []*trackedConn
+	for d := range c.conns {
+		conns = append(conns, d)
 	}
 	c.mu.Unlock()
-	for _, d := range all {
+	for _, d := range conns {
 		d.Conn.Close()
 	}
 }
 
 // call posts one message and reads its answer, all within a time.
-func call[A any](c *Client, addr, path string, within time.Duration, m any) (a A, err error) {
-	q, r := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(q)
-	defer fasthttp.ReleaseResponse(r)
-	q.SetRequestURI("http://" + addr + path)
-	q.Header.SetMethod(fasthttp.MethodPost)
-	q.SetBodyRaw(fleet.Encode(m))
-	q.SetTimeout(within)
+func call[A any](c *Client, addr, path string, timeout time.Duration, msg any) (reply A, err error) {
+	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(req)
+	defer fasthttp.ReleaseResponse(resp)
+	req.SetRequestURI("http://" + addr + path)
+	req.Header.SetMethod(fasthttp.MethodPost)
+	req.SetBodyRaw(fleet.Encode(msg))
+	req.SetTimeout(timeout)
 	c.calls.Add(1)
-	if err = c.c.Do(q, r); err != nil {
-		return a, fmt.Errorf("%s: %w", addr, err)
+	if err = c.http.Do(req, resp); err != nil {
+		return reply, fmt.Errorf("%s: %w", addr, err)
 	}
-	switch r.StatusCode() {
+	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
 	case fasthttp.StatusConflict:
-		return a, fmt.Errorf("%s: %w: %s", addr, ErrFleetMismatch, r.Body())
+		return reply, fmt.Errorf("%s: %w: %s", addr, ErrFleetMismatch, resp.Body())
 	default:
-		return a, fmt.Errorf("%s: answered %d", addr, r.StatusCode())
+		return reply, fmt.Errorf("%s: answered %d", addr, resp.StatusCode())
 	}
-	if err = fleet.Decode(r.Body(), &a); err != nil {
-		return a, fmt.Errorf("%s: %w", addr, err)
+	if err = fleet.Decode(resp.Body(), &reply); err != nil {
+		return reply, fmt.Errorf("%s: %w", addr, err)
 	}
-	return a, nil
+	return reply, nil
 }
 
 // Vote brings another voter messages.
-func (c *Client) SendRaftMessages(addr string, v RaftMessages, within time.Duration) error {
-	v.Header = c.head
-	_, err := call[bool](c, addr, pathVote, within, v)
+func (c *Client) SendRaftMessages(addr string, msgs RaftMessages, timeout time.Duration) error {
+	msgs.Header = c.header
+	_, err := call[bool](c, addr, pathRaft, timeout, msgs)
 	return err
 }
 
 // Hello asks another voter whether it knows this one.
-func (c *Client) Hello(addr string, h Hello, within time.Duration) (HelloReply, error) {
-	h.Header = c.head
-	return call[HelloReply](c, addr, pathHello, within, h)
+func (c *Client) Hello(addr string, h Hello, timeout time.Duration) (HelloReply, error) {
+	h.Header = c.header
+	return call[HelloReply](c, addr, pathHello, timeout, h)
 }
 
 // Beat brings a member's beat to a voter.
-func (c *Client) Heartbeat(addr string, b fleet.Heartbeat, via bool, within time.Duration) (HeartbeatReply, error) {
-	return call[HeartbeatReply](c, addr, pathBeat, within, heartbeatRequest{c.head, b, via})
+func (c *Client) Heartbeat(addr string, hb fleet.Heartbeat, forwarded bool, timeout time.Duration) (HeartbeatReply, error) {
+	return call[HeartbeatReply](c, addr, pathHeartbeat, timeout, heartbeatRequest{c.header, hb, forwarded})
 }
 
 // Entries asks a voter for what comes after.
-func (c *Client) Entries(addr string, a EntriesRequest, within time.Duration) (EntriesReply, error) {
-	a.Header = c.head
-	return call[EntriesReply](c, addr, pathEntries, within, a)
+func (c *Client) Entries(addr string, req EntriesRequest, timeout time.Duration) (EntriesReply, error) {
+	req.Header = c.header
+	return call[EntriesReply](c, addr, pathEntries, timeout, req)
 }
 
 // Ask asks a member as an operator does.
-func (c *Client) Admin(addr string, a AdminRequest, within time.Duration) (AdminReply, error) {
-	a.Header = c.head
-	return call[AdminReply](c, addr, pathAsk, within, a)
+func (c *Client) Admin(addr string, req AdminRequest, timeout time.Duration) (AdminReply, error) {
+	req.Header = c.header
+	return call[AdminReply](c, addr, pathAdmin, timeout, req)
 }
 
 // There finds out what of a silent member is left: an error tells whether its address or its process is gone.
-func (c *Client) Probe(addr string, within time.Duration) (connects bool, err error) {
-	conn, err := c.dial(addr, within)
+func (c *Client) Probe(addr string, timeout time.Duration) (connects bool, err error) {
+	conn, err := c.dial(addr, timeout)
 	if err != nil {
 		return false, fmt.Errorf("%s: %w", addr, err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(within)) // an error shows in what follows
-	if _, err = io.WriteString(conn, "POST "+pathThere+" HTTP/1.1\r\nHost: fleet\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); err == nil {
+	_ = conn.SetDeadline(time.Now().Add(timeout)) // an error shows in what follows
+	if _, err = io.WriteString(conn, "POST "+pathProbe+" HTTP/1.1\r\nHost: fleet\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); err == nil {
 		_, err = conn.Read(make([]byte, 1))
 	}
 	return true, err
