--- a/internal/fleet/actions.go
+++ b/internal/fleet/actions.go
@@ -1,37 +1,39 @@
-// This file owns the record of acts: what one process did under which version, and when.
+// This file records the actions of one process: what it did under which version, and when.
 
 package fleet
 
 import "slices"
 
-// Act is something that a dispatcher does. The program sends no probes of its own, so none are booked.
+// Action is a kind of dispatcher action. The program sends no probes of its own, so there is no action for
+// them.
 type Action int
 
-// The acts.
+// Kinds of actions.
 const (
 	HandedOff Action = iota
 	Deferred
-	Answered   // any other final answer
+	Answered // any other final answer
 	numActions = iota
 )
 
 func (a Action) String() string { return [...]string{"handed off", "deferred", "answered"}[a] }
 
-// Tally counts the acts of one kind. Times are Unix, 0 where there are none.
+// ActionCount counts the actions of one kind. Times are Unix milliseconds, 0 if there was no action.
 type ActionCount struct {
 	Count uint64  `cbor:"1,keyasint" json:"count"`
 	First float64 `cbor:"2,keyasint" json:"first_ms"`
 	Last  float64 `cbor:"3,keyasint" json:"last_ms"`
 }
 
-// Acts are those under one version.
+// VersionActions counts the actions under one version.
 type VersionActions struct {
 	Version     uint64                  `cbor:"1,keyasint" json:"version"`
-	ActiveSince float64                 `cbor:"2,keyasint" json:"in_force_ms"` // since when it was in force here
-	Counts      [numActions]ActionCount `cbor:"3,keyasint" json:"kinds"`       // handed off, deferred, answered
+	// when the version became active in this process
+	ActiveSince float64                 `cbor:"2,keyasint" json:"in_force_ms"`
+	Counts      [numActions]ActionCount `cbor:"3,keyasint" json:"kinds"` // indexed by Action
 }
 
-// Last is the last act of any kind, 0 for none.
+// LastAt returns the time of the last action of any kind, 0 for none.
 func (a VersionActions) LastAt() (at float64) {
 	for _, t := range a.Counts {
 		at = max(at, t.Last)
@@ -39,7 +41,7 @@
 	return at
 }
 
-// First as Last.
+// FirstAt returns the time of the first action of any kind, 0 for none.
 func (a VersionActions) FirstAt() (at float64) {
 	for _, t := range a.Counts {
 		if t.Count > 0 && (at == 0 || t.First < at) {
@@ -49,8 +51,8 @@
 	return at
 }
 
-// Run is the record of one process of a member. Between Saved and the beginning of the next run nothing is known of it,
-// unless it ended in order.
+// RunRecord is the record of one process (run) of a member. What the process did between KnownUntil and the
+// start of the next run is unknown, unless CleanExit is set.
 type RunRecord struct {
 	ID         string           `cbor:"1,keyasint" json:"run"`
 	StartedAt  float64          `cbor:"2,keyasint" json:"began_ms"`
@@ -60,11 +62,11 @@
 }
 
 const (
-	maxRunVersions = 32 // newest versions of which a run remembers its acts
-	retainedRuns   = 4  // runs before this one that a member reports
+	maxRunVersions = 32 // newest versions whose actions a run record keeps
+	retainedRuns   = 4 // earlier runs that a member reports
 )
 
-// Since notes that a version is in force from now on.
+// RecordVersion records that a version is active from now on.
 func (r *RunRecord) RecordVersion(now float64, version uint64) {
 	if k := len(r.Versions) - 1; k >= 0 && r.Versions[k].Version == version {
 		return
@@ -75,7 +77,7 @@
 	}
 }
 
-// Book counts an act under the version in force.
+// RecordAction counts an action under the active version.
 func (r *RunRecord) RecordAction(now float64, a Action) {
 	t := &r.Versions[len(r.Versions)-1].Counts[a]
 	if t.Count == 0 {
@@ -85,7 +87,7 @@
 	t.Last = now
 }
 
-// Clone is a copy that goes on by itself.
+// Clone returns an independent copy.
 func (r RunRecord) Clone() RunRecord {
 	r.Versions = slices.Clone(r.Versions)
 	return r
--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -1,4 +1,5 @@
-// This file owns the audit: who acted on which version, from what members reported, with what is not known said.
+// This file implements the audit: which member acted on which version, from the members' reports, and the
+// intervals for which there is no report.
 
 package fleet
 
@@ -7,23 +8,23 @@
 	"slices"
 )
 
-// Evidence says what an audit's line rests on.
+// Evidence is what a line of an audit is based on.
 type Evidence string
 
-// The kinds of evidence.
+// Kinds of evidence.
 const (
 	EvidenceReported     Evidence = "it said so"
 	EvidenceLeaseExpired Evidence = "its lease was over"
 	EvidenceNone         Evidence = "nothing is known"
 )
 
-// Span is a time of which nothing is known, Unix; To 0: until now.
+// Interval is a time interval without a report, in Unix milliseconds. To 0 means until now.
 type Interval struct {
 	From float64 `cbor:"1,keyasint" json:"from_ms"`
 	To   float64 `cbor:"2,keyasint" json:"to_ms"`
 }
 
-// Line is what one process of a member did under a version.
+// AuditLine lists what one process of a member did under a version.
 type AuditLine struct {
 	Member   string         `cbor:"1,keyasint" json:"member"`
 	RunID    string         `cbor:"2,keyasint" json:"run"`
@@ -31,14 +32,14 @@
 	Evidence Evidence       `cbor:"4,keyasint" json:"evidence"`
 }
 
-// Gap is a span of a member that no report covers.
+// ReportGap is an interval of a member that no report covers.
 type ReportGap struct {
 	Member     string   `cbor:"1,keyasint" json:"member"`
 	AfterRunID string   `cbor:"2,keyasint" json:"after_run"`
 	Interval   Interval `cbor:"3,keyasint" json:"unknown"`
 }
 
-// VersionAudit is that of one version.
+// VersionAudit is the audit of one version.
 type VersionAudit struct {
 	Version         uint64      `cbor:"1,keyasint" json:"version"`
 	TextDigest      string      `cbor:"2,keyasint" json:"sum"`
@@ -47,12 +48,13 @@
 	Fence           bool        `cbor:"5,keyasint" json:"fence"`
 	FenceCompleteAt float64     `cbor:"6,keyasint" json:"fence_complete_ms"` // 0: not yet
 	FenceWaits      []FenceWait `cbor:"7,keyasint" json:"fence_waits_for,omitempty"`
-	LastOlderAction float64     `cbor:"8,keyasint" json:"last_act_on_an_older_ms"` // anywhere, as far as is known; 0: none
+	// by any member, as far as is known; 0: none
+	LastOlderAction float64     `cbor:"8,keyasint" json:"last_act_on_an_older_ms"`
 	LastOlderMember string      `cbor:"9,keyasint" json:"by_member,omitempty"`
 	Lines           []AuditLine `cbor:"10,keyasint" json:"members"`
 }
 
-// Audit is the whole.
+// Audit is the audit of the fleet.
 type Audit struct {
 	LastSeq       uint64         `cbor:"1,keyasint" json:"entries"`
 	Digest        string         `cbor:"2,keyasint" json:"digest"`
@@ -62,7 +64,8 @@
 	Members       []MemberStatus `cbor:"6,keyasint" json:"standing"`
 }
 
-// Audit says who acted on which version: the given one, or all for 0, those published since the given time.
+// Audit reports which member acted on which version: on the given version, or for 0 on all versions published
+// since the given Unix time.
 func (lm *LeaseManager) Audit(now, unixNow float64, s *State, version uint64, since float64) Audit {
 	a := Audit{LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), Members: lm.MemberStatuses(now, s)}
 	versions := append([]Version{{}}, s.Versions()...)
@@ -89,9 +92,9 @@
 					}
 				}
 			}
-			if len(va.Lines) == linesBefore && v.Number > 0 { // it never said that this was in force there
+			if len(va.Lines) == linesBefore && v.Number > 0 { // the member never reported this version as active
 				l := AuditLine{Member: m.Name, Actions: VersionActions{Version: v.Number}, Evidence: EvidenceNone}
-				if va.FenceCompleteAt > 0 && !m.Removed { // a fence waits for nobody who was removed
+				if va.FenceCompleteAt > 0 && !m.Removed { // fences do not wait for removed members
 					l.Evidence = EvidenceLeaseExpired
 				}
 				va.Lines = append(va.Lines, l)
@@ -103,8 +106,8 @@
 	return a
 }
 
-// gaps are the spans that no report covers: after a run that did not end in order, until the next began, or until now if
-// its member is silent.
+// gaps returns the intervals that no report covers: after a run without a clean exit, until the start of the
+// next run, or until now if the member is silent.
 func (lm *LeaseManager) gaps(now float64, s *State) (all []ReportGap) {
 	for _, m := range s.Members() {
 		starts, reported := slices.Clone(m.Runs), map[string]RunRecord{}
@@ -117,7 +120,7 @@
 		switch {
 		case len(starts) == 0:
 			all = append(all, ReportGap{Member: m.Name, Interval: Interval{From: m.FirstAdmittedAt}})
-		case starts[0].StartedAt > m.FirstAdmittedAt: // more than are remembered
+		case starts[0].StartedAt > m.FirstAdmittedAt: // there were more runs than the state retains
 			all = append(all, ReportGap{Member: m.Name, Interval: Interval{From: m.FirstAdmittedAt, To: starts[0].StartedAt}})
 		}
 		for k, x := range starts {
@@ -128,10 +131,11 @@
 			case isReported && run.CleanExit:
 				continue
 			case k+1 < len(starts):
-				if g.Interval.To = starts[k+1].StartedAt; g.Interval.To <= g.Interval.From { // both lived for a while
+				if g.Interval.To = starts[k+1].StartedAt; g.Interval.To <= g.Interval.From { // the two runs overlapped
 					continue
 				}
-			case isReported && p != nil && p.heartbeat.RunID == x.RunID && now <= p.lastContact+2*lm.timing.Beat: // it is there and goes on telling
+			// the process is alive and continues to report
+			case isReported && p != nil && p.heartbeat.RunID == x.RunID && now <= p.lastContact+2*lm.timing.Beat:
 				continue
 			}
 			all = append(all, g)
--- a/internal/fleet/lease_holder.go
+++ b/internal/fleet/lease_holder.go
@@ -1,5 +1,5 @@
-// This file owns what one member decides for itself: what it brings into force, and until when it may act. Its clock is
-// one that goes on through a suspension and that nobody sets.
+// This file implements a member's side of the leases: which version it activates, and until when it may act.
+// The clock must continue through a suspension and must never be set.
 
 package fleet
 
@@ -9,49 +9,54 @@
 	"math"
 )
 
-// Figures are those that all members of a fleet have to agree on.
+// Timing holds the parameters that all members of a fleet must agree on, in milliseconds.
 type Timing struct {
-	Beat  float64 // between a member's beats
-	Lease float64 // a lease lasts so long
-	Drift float64 // two clocks go apart by no more than this part; beyond it the fences promise nothing
+	Beat  float64 // interval between a member's heartbeats
+	Lease float64 // duration of a lease
+	Drift float64 // bound on the relative drift between two clocks; fences are not safe beyond it
 }
 
-// Beat is what a member tells the council.
+// Heartbeat is a member's report to the leader.
 type Heartbeat struct {
 	Fleet           string          `cbor:"1,keyasint"`
 	Format          int             `cbor:"2,keyasint"`
 	Member          string          `cbor:"3,keyasint"`
 	Address         string          `cbor:"4,keyasint"`
-	RunID           string          `cbor:"5,keyasint"`           // the process
-	OwnsAddress     bool            `cbor:"6,keyasint,omitempty"` // it holds the member's address: processes before it are dead, or about to be
+	RunID           string          `cbor:"5,keyasint"` // identifies the process
+	// it listens on the member's address: earlier processes are dead or about to exit
+	OwnsAddress     bool            `cbor:"6,keyasint,omitempty"`
 	IsolationPolicy IsolationPolicy `cbor:"7,keyasint"`
 	ProgramVersion  string          `cbor:"8,keyasint"`
-	LastSeq         uint64          `cbor:"9,keyasint"` // of its history
+	LastSeq         uint64          `cbor:"9,keyasint"` // last entry of its history
 	Digest          Digest          `cbor:"10,keyasint"`
 	ActiveVersion   uint64          `cbor:"11,keyasint"`
-	RefusedVersion  uint64          `cbor:"12,keyasint,omitempty"` // the version that it cannot bring into force
-	Problem         string          `cbor:"13,keyasint,omitempty"` // key and fault
-	Leaving         bool            `cbor:"14,keyasint,omitempty"` // it has ended, and acts no more
-	StalledFor      float64         `cbor:"15,keyasint,omitempty"` // it stood still for so long before this beat
-	Runs            []RunRecord     `cbor:"16,keyasint,omitempty"` // the last is this process's
-	PendingRestart  string          `cbor:"17,keyasint,omitempty"` // what of the version in force waits for a restart
-	Lease           float64         `cbor:"18,keyasint"`           // its figures, which have to be the council's
+	RefusedVersion  uint64          `cbor:"12,keyasint,omitempty"` // version that it cannot activate
+	// configuration key and error, or why it cannot follow the history
+	Problem         string          `cbor:"13,keyasint,omitempty"`
+	Leaving         bool            `cbor:"14,keyasint,omitempty"` // the process ends and acts no more
+	// milliseconds for which the process was paused before this heartbeat
+	StalledFor      float64         `cbor:"15,keyasint,omitempty"`
+	Runs            []RunRecord     `cbor:"16,keyasint,omitempty"` // the last one is this process's
+	// settings of the active version that take effect after a restart
+	PendingRestart  string          `cbor:"17,keyasint,omitempty"`
+	Lease           float64         `cbor:"18,keyasint"` // its timing, which must equal the leader's
 	Drift           float64         `cbor:"19,keyasint"`
-	RequestedRaftID uint64          `cbor:"20,keyasint,omitempty"` // a voter that lost its folder asks for this one
-	VoterState      string          `cbor:"21,keyasint,omitempty"` // what it says of its vote, if it is to have one
+	// raft ID that a voter requests after the loss of its directory
+	RequestedRaftID uint64          `cbor:"20,keyasint,omitempty"`
+	VoterState      string          `cbor:"21,keyasint,omitempty"` // status of its voter, if it has one
 }
 
-// Renewal is the council's answer.
+// LeaseRenewal is the leader's reply to a heartbeat.
 type LeaseRenewal struct {
-	Granted       float64 `cbor:"1,keyasint"` // the lease lasts so long from the sending of the beat; 0: it is not renewed
+	Granted       float64 `cbor:"1,keyasint"` // lease duration from the sending of the heartbeat; 0: not renewed
 	Reason        string  `cbor:"2,keyasint,omitempty"`
 	NewestVersion uint64  `cbor:"3,keyasint"`
-	FencedVersion uint64  `cbor:"4,keyasint"` // what must be in force for a lease
+	FencedVersion uint64  `cbor:"4,keyasint"` // oldest version that may be active under a lease
 	Excluded      bool    `cbor:"5,keyasint,omitempty"`
-	RetryAfter    float64 `cbor:"6,keyasint,omitempty"` // beat again after this time
+	RetryAfter    float64 `cbor:"6,keyasint,omitempty"` // send the next heartbeat after this time
 }
 
-// Self is one member's own state.
+// LeaseHolder is the state of one member. It must not be used from several goroutines at once.
 type LeaseHolder struct {
 	timing          Timing
 	isolationPolicy IsolationPolicy
@@ -60,32 +65,34 @@
 	startedAt       float64
 	state           *State
 	leaseExpiry     float64 // end of the lease
-	fencedVersion   uint64  // as the council last said
+	fencedVersion   uint64 // from the leader's last reply
 	excluded        bool
-	gotReply        bool // the council has answered this process
+	gotReply        bool // this process has received a reply from the leader
 	activeVersion   uint64
-	pendingVersion  uint64 // handed to the reducer, which has not confirmed it
+	pendingVersion  uint64 // passed to the event loop, not confirmed yet
 	refusedVersion  uint64
 	refusalReason   string
 }
 
-// NewSelf is a member whose process has just begun, with the history as its folder had it.
+// NewLeaseHolder returns the state of a member whose process has just started, with the history from its
+// directory.
 func NewLeaseHolder(timing Timing, name, programVersion string, policy IsolationPolicy, state *State, now float64) *LeaseHolder {
 	return &LeaseHolder{timing: timing, isolationPolicy: policy, name: name, programVersion: programVersion, state: state, startedAt: now, leaseExpiry: math.Inf(-1)}
 }
 
-// State is the history as far as it is known here.
+// State returns the history as far as this member knows it.
 func (h *LeaseHolder) State() *State { return h.state }
 
-// InForce is the version in force.
+// ActiveVersion returns the number of the active version.
 func (h *LeaseHolder) ActiveVersion() uint64 { return h.activeVersion }
 
-// Refuses tells which version cannot be brought into force, and why.
+// RefusedVersion returns the version that cannot be activated here, and the reason.
 func (h *LeaseHolder) RefusedVersion() (version uint64, reason string) {
 	return h.refusedVersion, h.refusalReason
 }
 
-// Follow takes further entries; those that it has are passed over. An error leaves it where the last good one led.
+// ApplyEntries applies further entries and skips those already applied. On an error, the entries before the
+// faulty one remain applied.
 func (h *LeaseHolder) ApplyEntries(entries []Entry) error {
 	next := h.state.Clone()
 	for _, e := range entries {
@@ -101,7 +108,7 @@
 	return nil
 }
 
-// Replace takes a whole history in place of its own, unless that goes further.
+// ReplaceState replaces the history by a complete one, unless its own is longer.
 func (h *LeaseHolder) ReplaceState(s *State) error {
 	if s.Fleet() != h.state.Fleet() {
 		return fmt.Errorf("%w: of the fleet %q, this is %q", ErrDiverged, s.Fleet(), h.state.Fleet())
@@ -113,11 +120,11 @@
 	return nil
 }
 
-// ErrTooOld: the version asks for a newer program.
+// ErrProgramTooOld means that a version requires a newer program.
 var ErrProgramTooOld = errors.New("program too old")
 
-// Next is the version to be brought into force now, if any: the newest. Those between are passed over, as each version
-// stands for itself.
+// NextVersion returns the version to activate now, if any: the newest one. Versions in between are skipped,
+// as each version is complete by itself.
 func (h *LeaseHolder) NextVersion() (v Version, ok bool) {
 	newest := h.state.NewestVersion()
 	if newest <= h.activeVersion || h.pendingVersion != 0 || newest == h.refusedVersion {
@@ -135,7 +142,7 @@
 	return v, true
 }
 
-// Refuse notes that a version cannot be brought into force here.
+// RefuseVersion records that a version cannot be activated here.
 func (h *LeaseHolder) RefuseVersion(version uint64, reason error) {
 	h.refusedVersion, h.refusalReason = version, reason.Error()
 	if h.pendingVersion == version {
@@ -143,7 +150,8 @@
 	}
 }
 
-// Applied notes that a version is in force and that nothing begun under an older one is still to be written.
+// VersionApplied records that a version is active and that no writes begun under an older version are
+// outstanding.
 func (h *LeaseHolder) VersionApplied(version uint64) {
 	if h.pendingVersion == version {
 		h.pendingVersion = 0
@@ -156,8 +164,8 @@
 	}
 }
 
-// Renewed takes the council's answer to the beat that was sent at the given time. The lease runs from there, on this
-// clock, less the drift: the answer may have come late.
+// HandleRenewal handles the reply to the heartbeat sent at the given time. The lease runs from the sending,
+// by this clock and less the drift bound, because the reply may be delayed.
 func (h *LeaseHolder) HandleRenewal(sentAt float64, r LeaseRenewal) {
 	h.gotReply = true
 	h.fencedVersion = max(h.fencedVersion, r.FencedVersion)
@@ -167,8 +175,9 @@
 	}
 }
 
-// OpenUntil is until when new work may be taken and handed off: not at all where that is over, infinite where nothing
-// known now ends it. It is to be asked again after each change and each beat.
+// AcceptUntil returns the time until which the member may take and hand off new work: not at all if it has
+// passed, infinite if nothing known ends it. The caller must call it again after each change and each
+// heartbeat.
 func (h *LeaseHolder) AcceptUntil(now float64) float64 {
 	member, known := h.state.Member(h.name)
 	switch {
@@ -176,7 +185,8 @@
 		return math.Inf(-1)
 	case h.isolationPolicy == StopWhenIsolated:
 		return h.leaseExpiry
-	case max(h.fencedVersion, h.state.FencedVersion()) > h.activeVersion: // there is a fence, and this process is behind it
+	// a fence exists, and this process is behind it
+	case max(h.fencedVersion, h.state.FencedVersion()) > h.activeVersion:
 		return h.leaseExpiry
 	case h.gotReply || now >= h.startedAt+h.timing.Lease:
 		return math.Inf(1)
@@ -184,5 +194,5 @@
 	return h.leaseExpiry
 }
 
-// Lease is when the lease ends.
+// LeaseExpiry returns the time at which the lease ends.
 func (h *LeaseHolder) LeaseExpiry() float64 { return h.leaseExpiry }
--- a/internal/fleet/lease_manager.go
+++ b/internal/fleet/lease_manager.go
@@ -1,5 +1,6 @@
-// This file owns what the council's leader knows of members: their beats and leases, when a fence is complete, and each
-// member's state with its cause. Its clock is the leader's own, one that goes on through a suspension.
+// This file implements the leader's side of the leases: heartbeats and leases of members, completion of
+// fences, and the state of each member with its cause. The clock is the leader's own; it must continue
+// through a suspension.
 
 package fleet
 
@@ -12,33 +13,34 @@
 // process is one process of a member as the leader knows it.
 type process struct {
 	heartbeat       Heartbeat
-	lastContact     float64 // when its last beat came
-	leaseExpiry     float64 // until when it may have a lease
-	notifiedVersion uint64  // the newest version that it was told of,
-	notifiedAt      float64 // and when
-	startedAt       float64 // Unix
+	lastContact     float64 // when its last heartbeat arrived
+	leaseExpiry     float64 // latest time until which it may hold a lease
+	notifiedVersion uint64 // newest version that it was notified of
+	notifiedAt      float64 // when it was notified of it
+	startedAt       float64 // Unix time
 }
 
-// Book is a leader's, from its election on.
+// LeaseManager tracks the members for a leader, from its election on. It is not persisted.
 type LeaseManager struct {
 	timing          Timing
 	electedAt       float64
-	processes       map[string][]*process  // of each member, oldest first
-	fenceCompleteAt map[uint64]float64     // when those that are complete were seen to be, Unix
-	probeResults    map[string]string      // what calling a silent member showed
-	runs            map[string][]RunRecord // as last reported
+	processes       map[string][]*process // by member, oldest first
+	fenceCompleteAt map[uint64]float64 // Unix time at which each complete fence was found to be complete
+	probeResults    map[string]string // results of connecting to silent members
+	runs            map[string][]RunRecord // by member, as last reported
 }
 
-// NewBook begins with an election: whoever led before may have granted leases until then.
+// NewLeaseManager returns the manager of a newly elected leader. The previous leader may have granted leases
+// until now.
 func NewLeaseManager(timing Timing, now float64) *LeaseManager {
 	return &LeaseManager{timing: timing, electedAt: now, processes: map[string][]*process{}, fenceCompleteAt: map[uint64]float64{},
 		probeResults: map[string]string{}, runs: map[string][]RunRecord{}}
 }
 
-const maxProcesses = 4 // of one member that are remembered
+const maxProcesses = 4 // retained processes of one member
 
-// Beat takes one that came at the given time; since then it was confirmed that this voter leads. Unknown: the member
-// has to be admitted first.
+// Heartbeat handles a heartbeat received at the given time. The caller has confirmed since then that this
+// voter is the leader. If notAdmitted is true, the member has to be admitted first.
 func (lm *LeaseManager) Heartbeat(receivedAt float64, hb Heartbeat, s *State) (r LeaseRenewal, notAdmitted bool) {
 	r = LeaseRenewal{NewestVersion: s.NewestVersion(), FencedVersion: s.FencedVersion()}
 	m, known := s.Member(hb.Member)
@@ -70,18 +72,19 @@
 	}
 	if p == nil {
 		if !m.HasRun(hb.RunID) || m.IsolationPolicy != hb.IsolationPolicy || m.Address != hb.Address {
-			return r, true // what new leaders rest on would not be true any longer
+			return r, true // new leaders rely on the admitted run, address and isolation policy
 		}
 		p = &process{leaseExpiry: math.Inf(-1)}
 		if k := len(hb.Runs) - 1; k >= 0 {
 			p.startedAt = hb.Runs[k].StartedAt
 		}
-		// In the order of their beginnings: a new leader may hear of a newer one first.
+		// Keep the order of process starts: a new leader may hear from a newer process first.
 		at := slices.IndexFunc(processes, func(x *process) bool { return x.startedAt > p.startedAt })
 		if at < 0 {
 			at = len(processes)
 		}
-		if processes = slices.Insert(processes, at, p); len(processes) > maxProcesses { // the lease of the one forgotten is waited out with the next
+		// the next process takes over the lease expiry of the one dropped
+		if processes = slices.Insert(processes, at, p); len(processes) > maxProcesses {
 			processes[1].leaseExpiry = max(processes[0].leaseExpiry, processes[1].leaseExpiry)
 			processes = slices.Delete(processes, 0, 1)
 		}
@@ -109,7 +112,7 @@
 	return r, false
 }
 
-// report keeps what a member tells of its runs; a later word on a run takes the place of the one before.
+// storeRuns stores the run records that a member reports. A later report on a run replaces the earlier one.
 func (lm *LeaseManager) storeRuns(hb Heartbeat) {
 	runs := lm.runs[hb.Member]
 	for _, run := range hb.Runs {
@@ -136,14 +139,14 @@
 	lm.runs[hb.Member] = runs
 }
 
-// Wait is a member that a fence waits for.
+// FenceWait is a member that a fence waits for.
 type FenceWait struct {
 	Member    string  `cbor:"1,keyasint" json:"member"`
 	Reason    string  `cbor:"2,keyasint" json:"why"`
-	Remaining float64 `cbor:"3,keyasint" json:"ms"` // it ends by itself after so long; below 0: it does not
+	Remaining float64 `cbor:"3,keyasint" json:"ms"` // milliseconds until the wait ends by itself; below 0: it does not
 }
 
-// waits tells whom the fence of a version waits for.
+// fenceWaits returns the members that the fence of a version waits for.
 func (lm *LeaseManager) fenceWaits(now float64, version uint64, s *State) (all []FenceWait) {
 	for _, m := range s.Members() {
 		if m.Removed {
@@ -166,7 +169,7 @@
 	}
 	oldLeaseExpiry := lm.electedAt + lm.timing.Lease*(1+lm.timing.Drift)
 	processes := lm.processes[m.Name]
-	// A process that this leader has not heard of may live, unless one that holds the address is known.
+	// A process unknown to this leader may be alive, unless a known process owns the address.
 	if !slices.ContainsFunc(processes, func(p *process) bool { return p.heartbeat.OwnsAddress }) {
 		if m.IsolationPolicy != StopWhenIsolated && len(processes) == 0 {
 			return FenceWait{Reason: "not heard of since the leader's election, and it serves alone", Remaining: -1}, true
@@ -179,7 +182,8 @@
 		switch {
 		case p.heartbeat.ActiveVersion >= version || p.heartbeat.Leaving:
 			continue
-		case slices.ContainsFunc(processes[k+1:], func(x *process) bool { return x.heartbeat.OwnsAddress }): // it is dead, or hands off nothing more
+		// it is dead, or hands off no more work
+		case slices.ContainsFunc(processes[k+1:], func(x *process) bool { return x.heartbeat.OwnsAddress }):
 			if w, waiting := waitForLease(p.leaseExpiry, "the lease of a process before"); waiting {
 				return w, true
 			}
@@ -194,8 +198,8 @@
 	return FenceWait{}, false
 }
 
-// Fence tells since when nobody acts on versions before the given one, by the Unix time handed in; or whom that waits
-// for. What it has told once stays true.
+// FenceStatus returns the Unix time since which no member acts on versions before the given one, or the
+// members that the fence waits for. Once complete, a fence stays complete.
 func (lm *LeaseManager) FenceStatus(now, unixNow float64, version uint64, s *State) (completeAt float64, waits []FenceWait) {
 	if at, ok := lm.fenceCompleteAt[version]; ok {
 		return at, nil
@@ -207,28 +211,30 @@
 	return unixNow, nil
 }
 
-// Standing is how a member stands to the newest version.
+// MemberState is the state of a member relative to the newest version.
 type MemberState string
 
-// The standings.
+// States of members.
 const (
 	MemberCurrent   MemberState = "current"
-	MemberBehind    MemberState = "behind"    // told of the newest less than two beats ago
-	MemberStraggler MemberState = "straggler" // longer ago, or silent with a lease; its cause is said
+	MemberBehind    MemberState = "behind" // notified of the newest version less than two heartbeats ago
+	// notified longer ago, or silent with a lease; MemberStatus.Cause says why
+	MemberStraggler MemberState = "straggler"
 	MemberExcluded  MemberState = "shut out"
-	MemberGone      MemberState = "gone" // silent, its lease over
+	MemberGone      MemberState = "gone" // silent, its lease expired
 	MemberUnknown   MemberState = "unknown"
 )
 
-// Status is a member as the leader sees it.
+// MemberStatus is a member's status as the leader sees it.
 type MemberStatus struct {
 	Member          string          `cbor:"1,keyasint" json:"member"`
 	Address         string          `cbor:"2,keyasint" json:"address"`
 	State           MemberState     `cbor:"3,keyasint" json:"standing"`
 	ActiveVersion   uint64          `cbor:"4,keyasint" json:"in_force"`
 	Cause           string          `cbor:"5,keyasint,omitempty" json:"cause,omitempty"`
-	SinceContact    float64         `cbor:"6,keyasint" json:"heard_ms_ago"` // below 0: not since the leader's election
-	LeaseRemaining  float64         `cbor:"7,keyasint" json:"lease_ms"`     // left; below 0: none
+	// below 0: no contact since the leader's election
+	SinceContact    float64         `cbor:"6,keyasint" json:"heard_ms_ago"`
+	LeaseRemaining  float64         `cbor:"7,keyasint" json:"lease_ms"` // below 0: no lease
 	IsolationPolicy IsolationPolicy `cbor:"8,keyasint" json:"alone"`
 	ProgramVersion  string          `cbor:"9,keyasint,omitempty" json:"program,omitempty"`
 	PendingRestart  string          `cbor:"10,keyasint,omitempty" json:"waits_for_a_restart,omitempty"`
@@ -236,7 +242,7 @@
 	VoterState      string          `cbor:"12,keyasint,omitempty" json:"voter,omitempty"`
 }
 
-// Silent lists members to call: they should have been heard of.
+// SilentMembers returns the members whose heartbeats are overdue, so that the leader probes them.
 func (lm *LeaseManager) SilentMembers(now float64, s *State) (all []Member) {
 	for _, m := range s.Members() {
 		if p := lm.newestProcess(m.Name); !m.Removed && (p == nil || !p.heartbeat.Leaving && now > p.lastContact+2*lm.timing.Beat) {
@@ -246,7 +252,7 @@
 	return all
 }
 
-// Seat is the one that a member asks for that has lost its voter's folder; 0: none.
+// RequestedRaftID returns the raft ID that a member requests because its voter's directory was lost; 0: none.
 func (lm *LeaseManager) RequestedRaftID(member string) (raftID uint64, address string) {
 	if p := lm.newestProcess(member); p != nil {
 		return p.heartbeat.RequestedRaftID, p.heartbeat.Address
@@ -254,7 +260,7 @@
 	return 0, ""
 }
 
-// Probed notes what calling a silent member showed.
+// RecordProbe records the result of probing a silent member.
 func (lm *LeaseManager) RecordProbe(member, result string) { lm.probeResults[member] = result }
 
 func (lm *LeaseManager) newestProcess(member string) *process {
@@ -265,7 +271,7 @@
 	return processes[len(processes)-1]
 }
 
-// Members gives all as they stand now.
+// MemberStatuses returns the status of every member.
 func (lm *LeaseManager) MemberStatuses(now float64, s *State) (list []MemberStatus) {
 	for _, m := range s.Members() {
 		list = append(list, lm.memberStatus(now, m, s))
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -1,9 +1,11 @@
-// Package fleet is the history that the processes of one fleet agree on, who acted on which of its versions, and the
-// leases by which whoever is behind is brought up or shut out. It is pure: no I/O, no clock but the one handed in, no
-// chance. It must never decide where work goes, nor rest on a clock that was not handed in.
+// Package fleet implements the replicated history of a fleet's processes, the audit of which member acted on
+// which version, and the leases that update or exclude members that are behind. It is deterministic: it does
+// no I/O, takes the time as a parameter and uses no randomness. It must never decide where work goes, nor
+// read a clock itself.
 //
-// This file owns the history: its entries, the state they add up to, and the proof that two share it. Times are
-// milliseconds; those of entries are Unix time and for people only.
+// This file implements the history: its entries, the state that results from them, and the digest that proves
+// that two processes have the same history. Times are in milliseconds. Times of entries are Unix times, for
+// display only.
 package fleet
 
 import (
@@ -18,35 +20,35 @@
 	"golang.org/x/mod/semver"
 )
 
-// Format is that of entries, snapshots and messages.
+// FormatVersion is the format of entries, snapshots and messages.
 const FormatVersion = 1
 
 const (
-	// MostText is how long a version's text may be, in bytes.
+	// MaxTextBytes is the maximum size of a version's text.
 	MaxTextBytes      = 64 << 10
-	retainedTexts     = 16   // newest versions whose texts a state keeps, for who is behind and for the way back
-	retainedVersions  = 256  // older ones are forgotten
-	retainedRequests  = 1024 // numbers of requests that are known again
-	retainedRunStarts = 16   // processes of a member that are remembered
+	retainedTexts     = 16 // newest versions whose texts a state keeps, for members that are behind and for rollbacks
+	retainedVersions  = 256 // older versions are dropped
+	retainedRequests  = 1024 // completed requests that are recognized when repeated
+	retainedRunStarts = 16 // processes of a member that a state keeps
 	maxNameBytes      = 64
 )
 
-// Digest proves a history up to an entry.
+// Digest identifies a history up to an entry.
 type Digest [sha256.Size]byte
 
 func (d Digest) String() string { return hex.EncodeToString(d[:6]) }
 
-// Kind says what an entry does.
+// CommandKind is what a command does.
 type CommandKind uint8
 
-// The kinds.
+// Kinds of commands.
 const (
-	AdmitMember    CommandKind = iota + 1 // a member is in, or in again
-	RemoveMember                          // it is no member any longer: nothing waits for it
-	PublishVersion                        // a version
-	ExcludeMember                         // a member must take no work until it is admitted again
-	AddVoter                              // a voter, in place of the one of its name if there is one
-	RemoveVoter                           // a voter no longer
+	AdmitMember    CommandKind = iota + 1 // admits a member, or admits it again
+	RemoveMember // removes a member: nothing waits for it any more
+	PublishVersion // publishes a version
+	ExcludeMember // forbids a member new work until it is admitted again
+	AddVoter // adds a voter, or replaces the one of the same name
+	RemoveVoter // removes a voter
 )
 
 func (k CommandKind) String() string {
@@ -56,34 +58,37 @@
 	return [...]string{"admitted", "removed", "published", "shut out", "seated", "unseated"}[k-1]
 }
 
-// Alone says what a member does whose lease is over and that knows of nothing newer.
+// IsolationPolicy is what a member does whose lease has expired and that knows of no newer version.
 type IsolationPolicy string
 
-// The two ways.
+// Isolation policies.
 const (
 	ServeWhenIsolated IsolationPolicy = "serve"
 	StopWhenIsolated  IsolationPolicy = "stop"
 )
 
-// Command is what somebody wants to stand in the history.
+// Command is a proposed change of the state.
 type Command struct {
 	Kind                CommandKind     `cbor:"1,keyasint"`
-	RequestID           string          `cbor:"2,keyasint"` // the asker's own number: the same again is the same entry
+	// chosen by the caller: a repeated request makes no second entry
+	RequestID           string          `cbor:"2,keyasint"`
 	RequestedBy         string          `cbor:"3,keyasint,omitempty"`
 	IssuedAt            float64         `cbor:"4,keyasint"`
-	Member              string          `cbor:"5,keyasint,omitempty"` // admitted, removed, shut out
+	Member              string          `cbor:"5,keyasint,omitempty"` // name of the member or voter concerned
 	Address             string          `cbor:"6,keyasint,omitempty"`
 	IsolationPolicy     IsolationPolicy `cbor:"7,keyasint,omitempty"`
-	Text                []byte          `cbor:"8,keyasint,omitempty"` // published
-	MinProgram          string          `cbor:"9,keyasint,omitempty"` // least program version that understands it
+	Text                []byte          `cbor:"8,keyasint,omitempty"` // of the published version
+	// oldest program version that supports the published version
+	MinProgram          string          `cbor:"9,keyasint,omitempty"`
 	Fence               bool            `cbor:"10,keyasint,omitempty"`
-	ExpectedNewestPlus1 uint64          `cbor:"11,keyasint,omitempty"` // refused unless this is the newest version, plus 1; 0: whatever is
-	RaftID              uint64          `cbor:"12,keyasint,omitempty"` // of the voter that is seated
-	RunID               string          `cbor:"13,keyasint,omitempty"` // of the process that is admitted
+	// if not 0, refused unless the newest version is this number minus 1
+	ExpectedNewestPlus1 uint64          `cbor:"11,keyasint,omitempty"`
+	RaftID              uint64          `cbor:"12,keyasint,omitempty"` // of the added voter
+	RunID               string          `cbor:"13,keyasint,omitempty"` // of the admitted process
 	RunStartedAt        float64         `cbor:"14,keyasint,omitempty"`
 }
 
-// Entry is a command in its place.
+// Entry is an applied command at its position in the history.
 type Entry struct {
 	Seq        uint64  `cbor:"1,keyasint"` // from 1 on, without gaps
 	PrevDigest Digest  `cbor:"2,keyasint"`
@@ -91,11 +96,11 @@
 	Digest     Digest  `cbor:"4,keyasint"`
 }
 
-// Version is one that was published. Number 0 is what each member's own files say.
+// Version is a published version. Number 0 stands for each member's own files.
 type Version struct {
 	Number      uint64  `cbor:"1,keyasint"`
 	EntrySeq    uint64  `cbor:"2,keyasint"`
-	TextDigest  Digest  `cbor:"3,keyasint"` // of the text
+	TextDigest  Digest  `cbor:"3,keyasint"` // of Text
 	Text        []byte  `cbor:"4,keyasint,omitempty"`
 	MinProgram  string  `cbor:"5,keyasint,omitempty"`
 	Fence       bool    `cbor:"6,keyasint,omitempty"`
@@ -103,63 +108,64 @@
 	PublishedAt float64 `cbor:"8,keyasint"`
 }
 
-// Member is one as the history has it.
+// Member is a member as recorded in the history.
 type Member struct {
 	Name            string          `cbor:"1,keyasint"`
 	Address         string          `cbor:"2,keyasint"`
 	IsolationPolicy IsolationPolicy `cbor:"3,keyasint"`
 	Excluded        bool            `cbor:"4,keyasint,omitempty"`
 	Removed         bool            `cbor:"5,keyasint,omitempty"`
-	ChangedAt       float64         `cbor:"6,keyasint"` // it stands as it does
-	FirstAdmittedAt float64         `cbor:"7,keyasint"` // it was first admitted
-	Runs            []RunStart      `cbor:"8,keyasint"` // its newest processes: who is not told of what one did knows at least that it was
+	ChangedAt       float64         `cbor:"6,keyasint"` // time of its last change
+	FirstAdmittedAt float64         `cbor:"7,keyasint"` // time of its first admission
+	// its newest processes: their existence is known even if their reports are missing
+	Runs            []RunStart      `cbor:"8,keyasint"`
 }
 
-// Began is a process of a member.
+// RunStart is the start of a process of a member.
 type RunStart struct {
 	RunID     string  `cbor:"1,keyasint"`
 	StartedAt float64 `cbor:"2,keyasint"`
 }
 
-// Has tells whether a process of it was admitted.
+// HasRun reports whether a process of the member was admitted.
 func (m Member) HasRun(run string) bool {
 	return slices.ContainsFunc(m.Runs, func(b RunStart) bool { return b.RunID == run })
 }
 
-// Voter is one that has a seat in the council.
+// Voter is a voting member of the consensus group.
 type Voter struct {
 	Name    string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
-	RaftID  uint64 `cbor:"3,keyasint"` // its number in the consensus; another one after its folder was lost
+	RaftID  uint64 `cbor:"3,keyasint"` // its raft ID, which changes after the loss of its directory
 }
 
-// asked is a request that was carried out.
+// completedRequest is a request that was applied.
 type completedRequest struct {
 	RequestID string `cbor:"1,keyasint"`
 	EntrySeq  uint64 `cbor:"2,keyasint"`
 	Version   uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// content is what entries add up to.
+// stateData is the state that results from the entries.
 type stateData struct {
 	Fleet         string             `cbor:"1,keyasint"`
 	LastSeq       uint64             `cbor:"2,keyasint"`
-	Members       []Member           `cbor:"3,keyasint"` // by name
-	Versions      []Version          `cbor:"4,keyasint"` // by number
+	Members       []Member           `cbor:"3,keyasint"` // sorted by name
+	Versions      []Version          `cbor:"4,keyasint"` // sorted by number
 	NewestVersion uint64             `cbor:"5,keyasint"`
-	FencedVersion uint64             `cbor:"6,keyasint"` // the newest that fences
+	FencedVersion uint64             `cbor:"6,keyasint"` // newest version with a fence
 	Requests      []completedRequest `cbor:"7,keyasint"`
-	Voters        []Voter            `cbor:"8,keyasint"` // by name
+	Voters        []Voter            `cbor:"8,keyasint"` // sorted by name
 }
 
-// State is the history up to an entry. Not for use from several goroutines at once.
+// State is the replicated state after an entry. It must not be used from several goroutines at once.
 type State struct {
 	data      stateData
-	lastEntry Entry // zero before the first
+	lastEntry Entry // zero value before the first entry
 	digest    Digest
 }
 
-// What may be wrong.
+// Errors of this package.
 var (
 	ErrMissingEntries = errors.New("entries are missing")
 	ErrDiverged       = errors.New("another history")
@@ -170,21 +176,21 @@
 var encMode = func() cbor.EncMode {
 	m, err := cbor.EncOptions{Sort: cbor.SortCoreDeterministic}.EncMode()
 	if err != nil {
-		panic(err) // of constant options
+		panic(err) // the options are constant
 	}
 	return m
 }()
 
-// Encode gives the one form of a value of this package.
+// Encode returns the deterministic encoding of a value of this package.
 func Encode(v any) []byte {
 	b, err := encMode.Marshal(v)
 	if err != nil {
-		panic(err) // of plain structs
+		panic(err) // plain structs always encode
 	}
 	return b
 }
 
-// Decode reads it.
+// Decode decodes a value that Encode encoded.
 func Decode(b []byte, v any) error {
 	if err := cbor.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnknownFormat, err)
@@ -192,32 +198,32 @@
 	return nil
 }
 
-// mostVoters may have a seat at once; one more while one is replaced.
+// maxVoters is the maximum number of voters. During a replacement the raft group has one more.
 const maxVoters = 5
 
-// NewState is a fleet without history, with its first voters in the order of their names.
+// NewState returns the state of a fleet without history. The first voters must be sorted by name.
 func NewState(name string, voters ...Voter) *State {
 	s := &State{data: stateData{Fleet: name, Voters: voters}}
 	s.digest = sha256.Sum256(Encode(s.data))
 	return s
 }
 
-// N is the number of the last entry, 0 for none.
+// LastSeq returns the number of the last entry, 0 for none.
 func (s *State) LastSeq() uint64 { return s.data.LastSeq }
 
-// Digest proves the history up to N.
+// Digest returns the digest of the history up to LastSeq.
 func (s *State) Digest() Digest { return s.digest }
 
-// Newest is the number of the newest version; Fenced of the newest that fences.
+// NewestVersion returns the number of the newest version.
 func (s *State) NewestVersion() uint64 { return s.data.NewestVersion }
 
-// Fenced as Newest.
+// FencedVersion returns the number of the newest version with a fence.
 func (s *State) FencedVersion() uint64 { return s.data.FencedVersion }
 
-// Versions are those that are remembered, oldest first; the caller must not change them.
+// Versions returns the retained versions, oldest first. The caller must not modify them.
 func (s *State) Versions() []Version { return s.data.Versions }
 
-// Version finds one.
+// Version returns the version of the given number, if it is retained.
 func (s *State) Version(n uint64) (Version, bool) {
 	k, ok := slices.BinarySearchFunc(s.data.Versions, n, func(v Version, n uint64) int { return int(int64(v.Number) - int64(n)) })
 	if !ok {
@@ -226,10 +232,10 @@
 	return s.data.Versions[k], true
 }
 
-// Members are all that the history knows, by name; the caller must not change them.
+// Members returns all members, sorted by name, including removed ones. The caller must not modify them.
 func (s *State) Members() []Member { return s.data.Members }
 
-// Member finds one.
+// Member returns the member of the given name.
 func (s *State) Member(name string) (Member, bool) {
 	k, ok := s.memberIndex(name)
 	if !ok {
@@ -244,15 +250,15 @@
 	})
 }
 
-// Result is what became of a command.
+// Result is the result of a command.
 type Result struct {
 	EntrySeq  uint64 `cbor:"1,keyasint"`
 	Version   uint64 `cbor:"2,keyasint,omitempty"`
-	Duplicate bool   `cbor:"3,keyasint,omitempty"` // it had been carried out before
+	Duplicate bool   `cbor:"3,keyasint,omitempty"` // the request had been applied before
 }
 
-// Apply carries out a command that the council has agreed on, in its order. A command that is refused, or that was
-// carried out before, makes no entry; this is the same for everybody who applies it.
+// Apply applies a committed command, in commit order. A refused or repeated command makes no entry. The
+// result is the same in every process that applies it.
 func (s *State) Apply(c Command) (Result, *Entry, error) {
 	for _, a := range s.data.Requests {
 		if c.RequestID != "" && a.RequestID == c.RequestID {
@@ -269,7 +275,7 @@
 	return Result{EntrySeq: e.Seq, Version: version}, &e, nil
 }
 
-// Follow takes the next entry as it was made elsewhere. An error changes nothing.
+// ApplyEntry applies the next entry of another process's history. On an error the state is unchanged.
 func (s *State) ApplyEntry(e Entry) error {
 	if e.Seq != s.data.LastSeq+1 {
 		return fmt.Errorf("%w: entry %d after %d", ErrMissingEntries, e.Seq, s.data.LastSeq)
@@ -281,7 +287,7 @@
 	if err != nil {
 		return fmt.Errorf("entry %d: %w", e.Seq, err)
 	}
-	if entryDigest(e, next) != e.Digest { // its maker's program applies it otherwise, or it was damaged
+	if entryDigest(e, next) != e.Digest { // the other program applies the command differently, or the entry is corrupt
 		return fmt.Errorf("%w: entry %d leads elsewhere here", ErrDiverged, e.Seq)
 	}
 	s.data, s.lastEntry, s.digest = next, e, e.Digest
@@ -294,7 +300,7 @@
 	return sha256.Sum256(Encode(e))
 }
 
-// after is the state once the command is carried out; s stays as it is.
+// evaluate returns the state after a command, without changing s.
 func (s *State) evaluate(c Command) (stateData, uint64, error) {
 	refuse := func(format string, a ...any) (stateData, uint64, error) {
 		return stateData{}, 0, fmt.Errorf("%w: %s", ErrRefused, fmt.Sprintf(format, a...))
@@ -342,7 +348,7 @@
 		m.ChangedAt = c.IssuedAt
 		switch c.Kind {
 		case AdmitMember:
-			if c.RunID == "" { // an operator's; a process's own beginning does not undo what an operator said
+			if c.RunID == "" { // The admission of a starting process does not undo an operator's exclusion or removal.
 				m.Excluded, m.Removed = false, false
 			}
 			if c.Address != "" {
@@ -388,17 +394,17 @@
 	return next, version, nil
 }
 
-// snapshot is a state as it is passed on.
+// snapshot is the encoded form of a state.
 type snapshot struct {
 	Format    int       `cbor:"1,keyasint"`
 	State     stateData `cbor:"2,keyasint"`
 	LastEntry Entry     `cbor:"3,keyasint"`
 }
 
-// Snapshot is the state as one text.
+// Snapshot returns the encoded state.
 func (s *State) Snapshot() []byte { return Encode(snapshot{FormatVersion, s.data, s.lastEntry}) }
 
-// Restore reads a snapshot. One whose content is not what its last entry led to is refused.
+// Restore decodes a snapshot. It refuses one whose data does not match the digest of its last entry.
 func Restore(b []byte) (*State, error) {
 	var snap snapshot
 	if err := Decode(b, &snap); err != nil {
@@ -416,19 +422,19 @@
 	return &State{data: snap.State, lastEntry: snap.LastEntry, digest: snap.LastEntry.Digest}, nil
 }
 
-// Voters are those that have a seat, by name; the caller must not change them.
+// Voters returns the voters, sorted by name. The caller must not modify them.
 func (s *State) Voters() []Voter { return s.data.Voters }
 
-// Fleet is the name of the fleet that the history is of.
+// Fleet returns the name of the fleet.
 func (s *State) Fleet() string { return s.data.Fleet }
 
-// Clone is a copy that goes on by itself.
+// Clone returns an independent copy.
 func (s *State) Clone() *State {
 	clone := *s
-	return &clone // contents are never changed in place
+	return &clone // data is never modified in place
 }
 
-// Understands tells whether a program of the given version understands one that asks for the least.
+// SupportsVersion reports whether a program version supports a published version with the given minimum.
 func SupportsVersion(programVersion, minProgram string) bool {
 	return minProgram == "" || semver.Compare("v"+programVersion, "v"+minProgram) >= 0
 }
