--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -1,9 +1,10 @@
-// Package council is the part of a fleet's process that votes: a few named voters agree on the fleet's history, and one of
-// them leads. What is agreed on stands in internal/fleet, the consensus is go.etcd.io/raft/v3. It must never touch the
-// dispatcher: a council that fails leaves dispatch as it is.
+// Package consensus runs the voters of a fleet: a few named voters agree on the fleet's history by raft
+// (go.etcd.io/raft/v3), and one of them leads. The replicated state is defined in internal/fleet. The package
+// must never affect the dispatcher: a failed consensus group leaves dispatch as it is.
 //
-// This file owns one voter's core, which has no I/O but the store that is handed in and no clock but the one handed in,
-// so that it can be played in virtual time. The others own its store and its goroutine.
+// This file implements the core of one voter. It does no I/O but through the given store and takes the time
+// as a parameter, so that it can run in virtual time. The other files implement the store and the voter's
+// goroutine.
 package consensus
 
 import (
@@ -22,47 +23,50 @@
 	"weldmast/internal/fleet"
 )
 
-// Store keeps what a voter has promised. Save returns once all of it would survive a crash, or changes nothing.
+// Store persists a voter's raft state. Save returns once everything would survive a crash, or changes
+// nothing.
 type Store interface {
 	Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error
-	// Compact keeps the snapshot in place of what it covers, but for the entries from the index on.
+	// Compact replaces the entries that the snapshot covers by the snapshot. Entries from the index on may be
+	// retained.
 	Compact(snapshot *pb.Snapshot, from uint64) error
 }
 
-// Kept is what a store had.
+// PersistedState is what a store returns at a start.
 type PersistedState struct {
 	HardState *pb.HardState
 	Snapshot  *pb.Snapshot
 	Entries   []*pb.Entry
 }
 
-// Times of a council, in milliseconds.
+// Timing of the consensus group, in milliseconds, and its bounds in entries.
 const (
 	HeartbeatInterval  = 50  // of the leader
-	minElectionTimeout = 400 // without a leader's word; drawn up to twice that
+	minElectionTimeout = 400 // without contact to a leader; the timeout is random, up to twice as long
 	storeRetryInterval = 1000
-	retainedEntries    = 1024 // entries of the history that are kept for who is behind
-	readInterval       = 25   // readings are begun no closer together: all beats that came meanwhile share one
+	retainedEntries    = 1024 // entries of the history kept in memory for members that are behind
+	readInterval       = 25   // minimum time between two reads: all heartbeats that arrive in between share one
 	compactThreshold   = 512
 	compactRetained    = 128
 )
 
-// What a caller is told.
+// Errors returned to callers.
 var (
 	ErrNotLeader = errors.New("this voter does not lead")
-	// ErrUnsure: the same request again tells.
+	// ErrOutcomeUnknown means that the command may have been applied. Repeating the same request tells.
 	ErrOutcomeUnknown = errors.New("it is not known whether it was taken: ask again with the same request")
 	ErrVoterFailed    = errors.New("this voter has stopped voting")
 )
 
-// FirstSeat is the number of a voter in the consensus before it ever lost its folder.
+// InitialRaftID returns the raft ID of a voter that never lost its directory.
 func InitialRaftID(fleetName, voter string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(fleetName + "\x00" + voter))
 	return h.Sum64() | 1
 }
 
-// First is what a voter begins with that has never voted: all begin alike.
+// InitialState returns the state with which a voter starts that has never voted. It is the same for all
+// voters.
 func InitialState(fleetName string, voters []fleet.Voter) PersistedState {
 	conf := &pb.ConfState{}
 	for _, v := range voters {
@@ -74,25 +78,27 @@
 			Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}}
 }
 
-// Blank is what a voter begins with that was given a new seat: all it knows comes from the others.
+// EmptyState returns the state with which a voter starts that has a new raft ID: it receives everything from
+// the others.
 func EmptyState(fleetName string) PersistedState {
 	return PersistedState{HardState: &pb.HardState{}, Snapshot: &pb.Snapshot{Data: fleet.NewState(fleetName).Snapshot(), Metadata: &pb.SnapshotMetadata{}}}
 }
 
-// Message is one for another voter.
+// Message is a raft message to another voter.
 type Message struct {
 	To         uint64
 	Data       []byte
-	IsSnapshot bool // SnapshotSent is to be told of it
-	fromLeader bool // it is a leader's word
+	IsSnapshot bool // ReportSnapshot must be called with the outcome
+	fromLeader bool // only a leader sends it
 }
 
-// beat is one that waits for the word that this voter still leads; or a reading that does.
+// queuedRead is a heartbeat, or another read, that waits for a quorum to confirm that this voter is the
+// leader.
 type queuedRead struct {
 	heartbeat   fleet.Heartbeat
 	receivedAt  float64
 	reply       func(fleet.LeaseRenewal, error)
-	onConfirmed func(error) // in place of the others
+	onConfirmed func(error) // set instead of heartbeat and reply
 }
 
 type proposal struct {
@@ -100,7 +106,7 @@
 	done    func(fleet.Result, error)
 }
 
-// Core is one voter. Not for use from several goroutines at once.
+// Core is one voter. It must not be used from several goroutines at once.
 type Core struct {
 	timing           fleet.Timing
 	id               uint64
@@ -113,29 +119,29 @@
 	appliedIndex     uint64
 	snapshotIndex    uint64 // index of the last snapshot
 	recentEntries    []fleet.Entry
-	digestBefore     fleet.Digest        // of the history before the first of them
-	leases           *fleet.LeaseManager // the leader's; nil: it does not lead
+	digestBefore     fleet.Digest        // of the history before recentEntries
+	leases           *fleet.LeaseManager // nil if this voter is not the leader
 	leader           uint64
-	electionDeadline float64 // without a leader's word by then, it campaigns
-	leaderContact    float64 // the leader's last word
-	quorumContact    float64 // as a leader it has heard no majority since then
+	electionDeadline float64 // the voter campaigns then, unless a leader contacts it
+	leaderContact    float64 // time of the leader's last message
+	quorumContact    float64 // as a leader: when a quorum last answered
 	peerContact      map[uint64]float64
 	nextTick         float64
 	proposals        map[string][]proposal
-	queuedReads      []queuedRead // not yet asked for
-	activeReads      []queuedRead // by the read that is under way
+	queuedReads      []queuedRead // not part of a read yet
+	activeReads      []queuedRead // part of the read in progress
 	readStartedAt    float64
 	readSeq          uint64
-	confirmedIndex   uint64 // index that must be applied before those asked are answered; 0: not confirmed
+	confirmedIndex   uint64 // the active reads complete once this index is applied; 0: not confirmed
 	unsavedReady     *raft.Ready
 	storeRetryAt     float64
-	fault            error // why it does not vote at the moment
-	stopped          bool  // for good
+	fault            error // why the voter cannot vote at the moment
+	stopped          bool  // permanently
 	outbox           []Message
-	historyChanged   bool // the history went on
+	historyChanged   bool // set until HistoryChanged is called
 }
 
-// quiet keeps raft's own lines out of the log but for what is fatal to it, which the core turns into a fault.
+// raftLogger discards raft's log lines. Fatal ones panic, and the core turns the panic into a fault.
 type raftLogger struct{}
 
 func (raftLogger) Debug(...any)            {}
@@ -153,7 +159,7 @@
 func (raftLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
 func (raftLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
-// NewCore takes up what the store had kept.
+// NewCore returns a voter that continues from what its store persisted.
 func NewCore(timing fleet.Timing, id uint64, persisted PersistedState, store Store, seed uint64, now float64) (c *Core, err error) {
 	c = &Core{timing: timing, id: id, storage: raft.NewMemoryStorage(), store: store, rng: rand.New(rand.NewPCG(seed, id)),
 		peerContact: map[uint64]float64{}, proposals: map[string][]proposal{}, leaderContact: now - 10*minElectionTimeout}
@@ -187,8 +193,9 @@
 	return c, c.fault
 }
 
-// guard turns raft's panics into a fault. It guards against a folder that is older than what this voter has promised
-// and that nobody caught: raft panics then, and the dispatcher must not end with it.
+// recoverPanic turns a panic of raft into a fault. It guards against an undetected outdated directory, which
+// lacks votes or entries that this voter has acknowledged: raft panics then, and the dispatcher must not exit
+// with it.
 func (c *Core) recoverPanic(err *error) {
 	if v := recover(); v != nil {
 		c.stopped = true
@@ -202,10 +209,10 @@
 
 func (c *Core) randomElectionTimeout() float64 { return minElectionTimeout * (1 + c.rng.Float64()) }
 
-// leads tells whether it leads, as far as it knows.
+// isLeader reports whether this voter is the leader as far as it knows.
 func (c *Core) isLeader() bool { return c.leases != nil }
 
-// Step does what is due and returns the time by which it must be called again.
+// Tick does the work that is due and returns the time by which it must be called again.
 func (c *Core) Tick(now float64) float64 {
 	defer c.recoverPanic(nil)
 	if c.stopped {
@@ -225,7 +232,7 @@
 		c.reconcileVoters()
 	case !c.isLeader() && now >= c.electionDeadline:
 		c.electionDeadline = now + c.randomElectionTimeout()
-		_ = c.rawNode.Campaign() // one that cannot campaign now does so later
+		_ = c.rawNode.Campaign() // if it cannot campaign now, it does so at a later tick
 	}
 	if c.isLeader() && len(c.activeReads) > 0 && now > c.readStartedAt+c.timing.Lease {
 		c.rejectReads(c.activeReads)
@@ -243,8 +250,8 @@
 	return c.electionDeadline
 }
 
-// seat brings the consensus one step nearer to the voters that the history seats: one is added before another goes. Any
-// leader goes on where the last one stopped.
+// reconcileVoters brings the raft configuration one step closer to the voters in the state. It adds a voter
+// before it removes another. A new leader continues where the previous one stopped.
 func (c *Core) reconcileVoters() {
 	if !c.isLeader() || c.unsavedReady != nil {
 		return
@@ -253,13 +260,14 @@
 	for _, v := range c.state.Voters() {
 		wanted[v.RaftID] = true
 		if !slices.Contains(c.confState.GetVoters(), v.RaftID) {
-			_ = c.rawNode.ProposeConfChange(&pb.ConfChange{Type: pb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(v.RaftID)}) // or with the next tick
+			// retried at the next tick
+			_ = c.rawNode.ProposeConfChange(&pb.ConfChange{Type: pb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(v.RaftID)})
 			return
 		}
 	}
 	for _, id := range c.confState.GetVoters() {
 		if !wanted[id] && id == c.id {
-			c.rawNode.TransferLeader(c.state.Voters()[0].RaftID) // who then removes this one
+			c.rawNode.TransferLeader(c.state.Voters()[0].RaftID) // the new leader then removes this voter
 			return
 		}
 		if !wanted[id] {
@@ -269,8 +277,9 @@
 	}
 }
 
-// ask has a majority say that this voter leads, for all beats that have come so far. Each such reading costs a message to each
-// voter and one back; begun for each beat, the leader's time went into these and grew with the members.
+// startRead has a quorum confirm that this voter is the leader, for all reads queued so far. Each such read
+// costs one message to each voter and one back. With one read for each heartbeat, the load on the leader grew
+// with the members.
 func (c *Core) startRead(now float64) {
 	if !c.isLeader() || len(c.queuedReads) == 0 || len(c.activeReads) > 0 || c.unsavedReady != nil || now < c.readStartedAt+readInterval {
 		return
@@ -281,7 +290,7 @@
 	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, c.readSeq))
 }
 
-// Receive takes another voter's message.
+// Receive handles a raft message from another voter.
 func (c *Core) Receive(now float64, data []byte) {
 	defer c.recoverPanic(nil)
 	var m pb.Message
@@ -289,14 +298,14 @@
 		return
 	}
 	if t := m.GetType(); (t == pb.MsgPreVote || t == pb.MsgVote) && string(m.GetContext()) != "CampaignTransfer" {
-		// Who hears a leader helps no other to its place; this guards against a voter that is cut one way and campaigns
-		// for ever.
+		// A voter in contact with a leader grants no votes to others. This guards against a voter whose link
+		// is cut in one direction and that campaigns forever.
 		if c.isLeader() && c.hasQuorum(now, minElectionTimeout) && len(c.confState.GetVoters()) > 1 || !c.isLeader() && c.leader != 0 && now < c.leaderContact+minElectionTimeout {
 			return
 		}
 	}
 	if err := c.rawNode.Step(&m); err != nil {
-		return // of no voter of ours, or older than what is known
+		return // from an unknown voter, or outdated
 	}
 	s := c.rawNode.BasicStatus()
 	switch m.GetType() {
@@ -316,7 +325,7 @@
 	c.processReady(now)
 }
 
-// majority tells whether so many voters were heard of within the span, itself among them.
+// hasQuorum reports whether a majority of the voters, including this one, was in contact within the window.
 func (c *Core) hasQuorum(now, window float64) bool {
 	count := 0
 	for _, id := range c.confState.GetVoters() {
@@ -327,7 +336,7 @@
 	return 2*count > len(c.confState.GetVoters())
 }
 
-// SnapshotSent tells what became of a message with a snapshot.
+// ReportSnapshot reports whether a message with a snapshot was delivered.
 func (c *Core) ReportSnapshot(now float64, to uint64, ok bool) {
 	defer c.recoverPanic(nil)
 	if c.stopped || c.unsavedReady != nil {
@@ -341,7 +350,7 @@
 	c.processReady(now)
 }
 
-// Propose wants a command in the history. Done is called once.
+// Propose proposes a command. It calls done once.
 func (c *Core) Propose(now float64, cmd fleet.Command, done func(fleet.Result, error)) {
 	defer c.recoverPanic(nil)
 	switch {
@@ -363,7 +372,8 @@
 	c.processReady(now)
 }
 
-// Beat takes a member's. Answer is called once, after a majority has said that this voter leads.
+// Heartbeat handles a member's heartbeat. It calls reply once, after a quorum has confirmed that this voter
+// is the leader.
 func (c *Core) Heartbeat(now float64, hb fleet.Heartbeat, reply func(fleet.LeaseRenewal, error)) {
 	if c.stopped || !c.isLeader() {
 		reply(fleet.LeaseRenewal{}, ErrNotLeader)
@@ -372,7 +382,8 @@
 	c.queuedReads = append(c.queuedReads, queuedRead{heartbeat: hb, receivedAt: now, reply: reply})
 }
 
-// Read has something done once a majority has said that this voter leads, so that it sees all that was answered before.
+// ReadIndex calls onConfirmed once a quorum has confirmed that this voter is the leader, so that the read
+// sees everything that was answered before.
 func (c *Core) ReadIndex(now float64, onConfirmed func(error)) {
 	if c.stopped || !c.isLeader() {
 		onConfirmed(ErrNotLeader)
@@ -381,8 +392,9 @@
 	c.queuedReads = append(c.queuedReads, queuedRead{receivedAt: now, onConfirmed: onConfirmed})
 }
 
-// Take gives the messages to be sent. A leader that hears no majority says nothing as one for a while: so others find another
-// one, even where they hear it. It answers them still: with other voters down, theirs may be the last votes that make a majority.
+// TakeMessages returns the messages to send. A leader without contact to a quorum suppresses its leader
+// messages for a while, so that the others elect a new leader even if they still receive its messages. It
+// continues to answer them: if other voters are down, its vote may be needed for a majority.
 func (c *Core) TakeMessages(now float64) (out []Message) {
 	out, c.outbox = c.outbox, nil
 	if c.stopped {
@@ -392,20 +404,22 @@
 		c.quorumContact = now
 		return out
 	}
-	// By turns: others have the time to find another leader, and if its log is the longest and nobody else can lead, it goes on.
+	// Suppressed and sent in turn: the others get time to elect another leader, and if only this voter has
+	// the longest log and nobody else can lead, it goes on.
 	if math.Mod(now-c.quorumContact, 5*minElectionTimeout) < 3*minElectionTimeout {
 		out = slices.DeleteFunc(out, func(m Message) bool { return m.fromLeader })
 	}
 	return out
 }
 
-// Moved tells, once, whether the history went on.
+// HistoryChanged reports whether the history changed since the last call.
 func (c *Core) HistoryChanged() (moved bool) {
 	moved, c.historyChanged = c.historyChanged, false
 	return moved
 }
 
-// run works off what raft wants done. What cannot be saved is held, and nothing else goes on until it is.
+// processReady handles raft's ready states. One that cannot be saved is retained, and nothing else continues
+// until it is saved.
 func (c *Core) processReady(now float64) {
 	for c.unsavedReady != nil || c.rawNode.HasReady() {
 		if c.unsavedReady == nil {
@@ -429,7 +443,7 @@
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		state, err := fleet.Restore(rd.Snapshot.GetData())
 		if err != nil {
-			panic(err) // another voter's history is not ours
+			panic(err) // the snapshot belongs to another history
 		}
 		if err := c.storage.ApplySnapshot(rd.Snapshot); err != nil {
 			panic(err)
@@ -453,7 +467,7 @@
 	for _, m := range rd.Messages {
 		data, err := proto.Marshal(m)
 		if err != nil {
-			panic(err) // of its own
+			panic(err) // raft's own messages always encode
 		}
 		c.outbox = append(c.outbox, Message{To: m.GetTo(), Data: data, IsSnapshot: m.GetType() == pb.MsgSnap,
 			fromLeader: slices.Contains([]pb.MessageType{pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap}, m.GetType())})
@@ -473,7 +487,7 @@
 	}
 }
 
-// stands notes who leads.
+// updateRole records which voter leads.
 func (c *Core) updateRole(now float64, s *raft.SoftState) {
 	c.leader = s.Lead
 	leads := s.RaftState == raft.StateLeader
@@ -489,7 +503,7 @@
 	}
 }
 
-// drop ends what waits for this voter as a leader.
+// failPending fails the proposals and reads that wait for this voter as the leader.
 func (c *Core) failPending() {
 	proposals := c.proposals
 	c.proposals = map[string][]proposal{}
@@ -528,7 +542,7 @@
 	}
 	var x fleet.Command
 	if err := fleet.Decode(e.GetData(), &x); err != nil {
-		panic(err) // a newer program's: this voter must not guess
+		panic(err) // written by a newer program: this voter must not guess its meaning
 	}
 	digestBefore := c.state.Digest()
 	result, entry, err := c.state.Apply(x)
@@ -548,7 +562,8 @@
 	delete(c.proposals, x.RequestID)
 }
 
-// answer answers the beats that were asked for, once a majority has confirmed and all before that is applied.
+// completeReads answers the active reads once a quorum has confirmed them and all earlier entries are
+// applied.
 func (c *Core) completeReads() {
 	if c.confirmedIndex == 0 || c.appliedIndex < c.confirmedIndex || !c.isLeader() {
 		return
@@ -569,7 +584,8 @@
 	}
 }
 
-// admit has a member in the history before it can have a lease; it is to beat again.
+// admitMember proposes to admit a member, which it needs before it can get a lease. The member sends another
+// heartbeat.
 func (c *Core) admitMember(read queuedRead) {
 	cmd := fleet.Command{Kind: fleet.AdmitMember, RequestID: "admit " + read.heartbeat.RunID + " " + read.heartbeat.Address, RequestedBy: read.heartbeat.Member, Member: read.heartbeat.Member, Address: read.heartbeat.Address, IsolationPolicy: read.heartbeat.IsolationPolicy, RunID: read.heartbeat.RunID}
 	if k := len(read.heartbeat.Runs) - 1; k >= 0 {
@@ -583,7 +599,7 @@
 	read.reply(fleet.LeaseRenewal{NewestVersion: c.state.NewestVersion(), FencedVersion: c.state.FencedVersion(), Reason: "being admitted", RetryAfter: HeartbeatInterval}, nil)
 }
 
-// compact keeps a snapshot in place of old entries.
+// compact replaces old entries by a snapshot.
 func (c *Core) compact() {
 	snap, err := c.storage.CreateSnapshot(c.appliedIndex, c.confState, c.state.Snapshot())
 	if err != nil {
@@ -591,7 +607,7 @@
 	}
 	from := c.appliedIndex - compactRetained
 	if err := c.store.Compact(snap, from); err != nil {
-		return // it is tried again with the next entry
+		return // retried with the next entry
 	}
 	c.snapshotIndex = c.appliedIndex
 	if err := c.storage.Compact(from); err != nil && !errors.Is(err, raft.ErrCompacted) {
@@ -599,16 +615,17 @@
 	}
 }
 
-// Entries gives what comes after n in the history, or the whole state where that is not kept any longer. Nothing: there
-// is nothing newer. Fork: the digest shows that the asker's history up to n is another one.
+// EntriesAfter returns the entries after seq, or a snapshot if they are not retained. It returns nothing if
+// there is nothing newer. It returns diverged if the digest shows that the caller's history up to seq is a
+// different one.
 func (c *Core) EntriesAfter(seq uint64, digest fleet.Digest) (entries []fleet.Entry, snapshot []byte, diverged bool) {
 	first := c.state.LastSeq() - uint64(len(c.recentEntries))
 	switch {
-	case seq > c.state.LastSeq(): // this voter is behind itself
+	case seq > c.state.LastSeq(): // this voter itself is behind
 		return nil, nil, false
 	case seq == 0 && c.state.LastSeq() == 0:
 		return nil, nil, false
-	case seq < first || seq == 0: // one that knows nothing does not know the first voters either
+	case seq < first || seq == 0: // a caller without entries does not know the first voters either
 		return nil, c.state.Snapshot(), false
 	}
 	at := c.digestBefore
@@ -618,16 +635,16 @@
 	return c.recentEntries[seq-first:], nil, at != digest
 }
 
-// State is the history as this voter has it; the caller must not change it.
+// State returns the state as this voter has it. The caller must not modify it.
 func (c *Core) State() *fleet.State { return c.state }
 
-// Book is the leader's; nil: this voter does not lead.
+// Leases returns the lease manager, or nil if this voter is not the leader.
 func (c *Core) Leases() *fleet.LeaseManager { return c.leases }
 
-// Lead is the voter that leads as far as is known here, 0 for none.
+// Leader returns the raft ID of the leader as far as is known here, 0 for none.
 func (c *Core) Leader() uint64 { return c.leader }
 
-// Fault is why it does not vote; nil: it does.
+// Fault returns why this voter cannot vote, or nil.
 func (c *Core) Fault() error { return c.fault }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/consensus/disk_store.go
+++ b/internal/consensus/disk_store.go
@@ -1,6 +1,7 @@
-// This file owns a voter's folder: what the voter has promised and who it is, as records of a ledger of which later ones
-// overrule earlier ones. It must never give back anything that was not written whole: each record has a checksum, and a
-// seal follows each group, so that a record that was spoilt is told from one that a crash cut short.
+// This file implements a voter's directory: its raft state and identity, as records of a write-ahead log in
+// which later records override earlier ones. It must never return anything that was not written completely:
+// each record has a checksum, and a seal follows each group, to tell a corrupt record from one that a crash
+// truncated.
 
 package consensus
 
@@ -20,45 +21,46 @@
 	"weldmast/internal/ledger"
 )
 
-// What a record is, its first byte.
+// Record types, the first byte of a record.
 const (
-	recBegin     = 'b' // all that follows up to recEnd is the whole, whatever came before
+	recBegin     = 'b' // the records up to recEnd are a complete state and replace all earlier ones
 	recVoter     = 'w'
 	recStarts    = 's'
 	recRaftID    = 't'
 	recHardState = 'h'
-	recSnapshot  = 'n' // number of the part, of how many, a part
-	recEntry     = 'e' // those of its index and behind it are overruled
-	recPeer      = 'o' // starts of another voter, its run, its name
+	recSnapshot  = 'n' // number of the part, count of parts, a part
+	recEntry     = 'e' // overrides the entries from its index on
+	recPeer      = 'o' // number of starts, run ID and name of another voter
 	recEnd       = 'f'
-	recSeal      = 'z' // the group before it was written whole
+	recSeal      = 'z' // the group before it was written completely
 )
 
-// Bounds of the folder. Between two compactions come at most compactEvery entries of a version's text each, and the whole
-// is written anew with each; both together stay below what the segments hold before the oldest goes.
+// Limits of the directory. Each compaction writes the complete state anew, and at most compactThreshold
+// entries of a version's text each come between two compactions. Both together stay below the capacity of the
+// segments, so that the oldest segment is dropped only after that.
 const (
 	segmentBytes      = 1 << 20
 	maxSegments       = 96
 	snapshotPartBytes = 512 << 10
 )
 
-// ErrDamaged: the folder is not as it was written.
+// ErrCorrupt means that the directory is not as it was written.
 var ErrCorrupt = errors.New("the voter's folder is damaged")
 
-// other is what another voter was heard to have begun.
+// peerStart is the last known start of another voter.
 type peerStart struct {
 	starts uint64
 	runID  string
 }
 
-// image is all that a folder says.
+// dirState is the content of a directory.
 type dirState struct {
 	voter      string
 	starts     uint64
 	raftID     uint64
 	peerStarts map[string]peerStart
 	PersistedState
-	snapshotParts []byte // of a snapshot that is being read
+	snapshotParts []byte // of a snapshot that is being replayed
 }
 
 func (s *dirState) lastIndex() uint64 {
@@ -68,16 +70,17 @@
 	return s.Snapshot.GetMetadata().GetIndex()
 }
 
-// Disk is a voter's folder. It holds the folder for this process until it is closed.
+// DiskStore is a voter's directory. It is locked by this process until closed.
 type DiskStore struct {
 	log *ledger.Ledger
 	dirState
 }
 
-// Folder is that of a voter within its member's.
+// DirName is the name of the voter's directory within its member's directory.
 const DirName = "voter"
 
-// OpenDisk opens a folder, made by who first votes there. Fresh: nobody ever voted there. A damaged one is an error.
+// OpenDiskStore opens the directory of the named voter. Fresh means that no voter ever used it. A corrupt
+// directory is an error.
 func OpenDiskStore(dir, voter string) (d *DiskStore, persisted PersistedState, starts uint64, fresh bool, err error) {
 	dir = filepath.Join(dir, DirName)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -93,7 +96,7 @@
 		return nil, persisted, 0, false, fmt.Errorf("voter's folder: %w", err)
 	}
 	switch {
-	case !r.complete && r.hasRecords: // its beginning is gone
+	case !r.complete && r.hasRecords: // its beginning is missing
 		err = fmt.Errorf("%w: it has no beginning", ErrCorrupt)
 	case !r.complete:
 		return d, persisted, 0, true, nil
@@ -115,7 +118,7 @@
 	return dirState{peerStarts: map[string]peerStart{}, PersistedState: PersistedState{HardState: &pb.HardState{}, Snapshot: &pb.Snapshot{}}}
 }
 
-// reader makes an image of records.
+// replay builds the state from the records.
 type replay struct {
 	state      *dirState
 	pending    *dirState // between recBegin and recEnd
@@ -144,7 +147,7 @@
 	}
 	s := r.pending
 	if s == nil {
-		if !r.complete { // of a time whose beginning was forgotten; the whole comes again
+		if !r.complete { // its recBegin was dropped; a complete state follows
 			return nil
 		}
 		s = r.state
@@ -152,7 +155,7 @@
 	return s.applyRecord(kind, b)
 }
 
-// take has a record say what it says.
+// applyRecord applies a record to the state.
 func (s *dirState) applyRecord(kind byte, b []byte) error {
 	readUint64 := func() (uint64, error) {
 		if len(b) < 8 {
@@ -214,7 +217,7 @@
 	return err
 }
 
-// append puts an entry in its place; what stood there and behind it is overruled.
+// appendEntry stores an entry at its index and drops those from that index on.
 func (s *dirState) appendEntry(e *pb.Entry) error {
 	first := s.Snapshot.GetMetadata().GetIndex() + 1
 	if e.GetIndex() < first {
@@ -243,7 +246,7 @@
 	return append(append(b, o.runID...), name...)
 }
 
-// write makes records durable, sealed; then next is what the folder says.
+// write makes records and a seal durable. On success next becomes the state.
 func (d *DiskStore) write(next dirState, records ...[]byte) error {
 	if _, err := d.log.Append(append(records, []byte{recSeal})...); err != nil {
 		return fmt.Errorf("voter's folder: %w", err)
@@ -252,7 +255,7 @@
 	return nil
 }
 
-// whole writes all that an image says.
+// writeAll writes a complete state.
 func (d *DiskStore) writeAll(next dirState) error {
 	records := [][]byte{{recBegin}, append([]byte{recVoter}, next.voter...), uint64Record(recStarts, next.starts), uint64Record(recRaftID, next.raftID)}
 	for _, name := range slices.Sorted(maps.Keys(next.peerStarts)) {
@@ -282,21 +285,22 @@
 	return d.write(next, append(records, []byte{recEnd})...)
 }
 
-// Found begins a fresh folder.
+// Init initializes a fresh directory.
 func (d *DiskStore) Init(voter string, initial PersistedState) error {
 	next := emptyDirState()
 	next.voter, next.PersistedState = voter, initial
 	return d.writeAll(next)
 }
 
-// Started notes one more start.
+// RecordStart records the number of starts of this voter.
 func (d *DiskStore) RecordStart(starts uint64) error {
 	next := d.dirState
 	next.starts = starts
 	return d.write(next, uint64Record(recStarts, starts))
 }
 
-// Seen notes a start of another voter, and gives the starts known before that are not of the same run.
+// RecordPeerStart records a start of another voter. It returns the number of starts known before, without the
+// one of the same run.
 func (d *DiskStore) RecordPeerStart(voter string, starts uint64, runID string) (known uint64, err error) {
 	previous := d.peerStarts[voter]
 	if known = previous.starts; known > 0 && previous.runID == runID {
@@ -311,17 +315,17 @@
 	return known, d.write(next, next.peerStarts[voter].record(voter))
 }
 
-// Seat is the number of this voter that the folder keeps; 0: its first one.
+// RaftID returns the stored raft ID of this voter; 0: its initial one.
 func (d *DiskStore) RaftID() uint64 { return d.raftID }
 
-// Reseat keeps a new number.
+// SetRaftID stores a new raft ID.
 func (d *DiskStore) SetRaftID(raftID uint64) error {
 	next := d.dirState
 	next.raftID = raftID
 	return d.write(next, uint64Record(recRaftID, raftID))
 }
 
-// Save is of a Store: durable when it returns.
+// Save implements Store. The data is durable when it returns.
 func (d *DiskStore) Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	next := d.dirState
 	var records [][]byte
@@ -353,7 +357,8 @@
 	return d.write(next, records...)
 }
 
-// Compact is of a Store. What the snapshot covers is left out; the folder needs none of it, however far a follower is behind.
+// Compact implements Store. It drops all entries that the snapshot covers: the directory needs none of them,
+// however far a follower is behind.
 func (d *DiskStore) Compact(snapshot *pb.Snapshot, _ uint64) error {
 	next := d.dirState
 	next.Snapshot = snapshot
@@ -366,5 +371,5 @@
 	return d.writeAll(next)
 }
 
-// Close lets the folder go.
+// Close releases the directory.
 func (d *DiskStore) Close() error { return d.log.Close() }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -1,5 +1,5 @@
-// This file owns the goroutine of a voter: it alone calls the core, keeps its time and hands its messages to the links. It
-// must never wait for a link.
+// This file implements the goroutine of a voter. Only this goroutine calls the core, drives its timers and
+// queues its messages for the connections. It must never wait for a connection.
 
 package consensus
 
@@ -17,42 +17,44 @@
 	"weldmast/internal/fleetrpc"
 )
 
-// Options say which voter this is.
+// Options configure a voter.
 type Options struct {
 	Fleet      string
 	Name       string
 	Address    string
-	Voters     []fleet.Voter // the first council, with addresses; seats are filled in
+	Voters     []fleet.Voter // initial voters, with addresses; Start fills in their raft IDs
 	Dir        string
-	AddressMap map[string]string // where addresses are found from here
+	AddressMap map[string]string // addresses to dial in place of those configured
 	Timing     fleet.Timing
 	RunID      string
 	Seed       uint64
-	Clock      func() float64 // milliseconds, goes on through a suspension, never set
+	Clock      func() float64 // milliseconds; continues through a suspension and is never set
 	UnixTime   func() float64 // the same as Unix time
 }
 
-// Bounds of a voter's goroutine.
+// Limits and timeouts of a voter.
 const (
 	taskQueueSize   = 4096
-	peerQueueSize   = 256 // messages that wait for one link; what is beyond is lost, as messages may be
+	peerQueueSize   = 256 // messages queued for one peer; further ones are dropped, which raft tolerates
 	raftTimeout     = time.Second
 	snapshotTimeout = 5 * time.Second
 	helloTimeout    = 500 * time.Millisecond
-	helloFullWait   = 2 * time.Second        // for all others; then a majority has to do
-	batchInterval   = 240 * time.Millisecond // while the history moves fast it is told in lots, this far apart, half of it or more
-	burstInterval   = 500 * time.Millisecond // it does while two entries are no further apart, and as long after
-	maxCatchUps     = 16                     // that get much at once
-	catchUpEntries  = 64
-	maxPartBytes    = 256 << 10
-	adminTimeout    = 3 * time.Second
-	probeInterval   = 250.
-	probeTimeout    = 300 * time.Millisecond
-	maxProbes       = 8
-	forwardTimeout  = 300 * time.Millisecond
+	helloFullWait   = 2 * time.Second // for replies of all other voters; after that a majority is enough
+	// during a burst of entries members get them in batches, half of this or more apart
+	batchInterval = 240 * time.Millisecond
+	// a burst lasts while entries are no further apart than this, and as long after
+	burstInterval  = 500 * time.Millisecond
+	maxCatchUps    = 16 // concurrent large replies
+	catchUpEntries = 64
+	maxPartBytes   = 256 << 10
+	adminTimeout   = 3 * time.Second
+	probeInterval  = 250.
+	probeTimeout   = 300 * time.Millisecond
+	maxProbes      = 8
+	forwardTimeout = 300 * time.Millisecond
 )
 
-// Council is one voter at work.
+// Node runs one voter.
 type Node struct {
 	opts            Options
 	ctx             context.Context
@@ -60,28 +62,28 @@
 	tasks           chan func()
 	client          *fleetrpc.Client
 	wg              sync.WaitGroup
-	store           *DiskStore // nil: there is none; the goroutine's, but for Seen
-	core            *Core      // nil: it does not vote
+	store           *DiskStore // nil: not open; used by the goroutine only
+	core            *Core      // nil: this node does not vote
 	raftID          uint64
-	requestedRaftID uint64 // the seat that it asks for
+	requestedRaftID uint64 // raft ID that it requests after the loss of its directory
 	peers           map[uint64]*peer
-	historyChanged  chan struct{}   // closed when the history goes on
-	lastChanges     [2]atomic.Int64 // when it last did, and the time before: nanoseconds since the start
+	historyChanged  chan struct{}   // closed when the history changes
+	lastChanges     [2]atomic.Int64 // times of the last two changes, newest first: nanoseconds since the start
 	startedAt       time.Time
-	catchUps        int // catching up
+	catchUps        int // large replies in progress
 	nextProbe       float64
 	activeProbes    int
 	mu              sync.Mutex
 	status          string
 }
 
-// peer is the link to another voter.
+// peer is the connection to another voter.
 type peer struct {
 	addr  string
 	queue chan Message
 }
 
-// Start takes up the folder and votes as soon as it may.
+// Start opens the directory and votes as soon as it is safe.
 func Start(opts Options) (*Node, error) {
 	for k, v := range opts.Voters {
 		opts.Voters[k].RaftID = InitialRaftID(opts.Fleet, v.Name)
@@ -93,7 +95,7 @@
 	return n, nil
 }
 
-// Close ends it and lets the folder go.
+// Close stops the voter and releases its directory.
 func (n *Node) Close() {
 	n.cancel()
 	n.client.Close()
@@ -103,7 +105,7 @@
 	}
 }
 
-// State says how it votes.
+// Status returns the voter's status and the raft ID that it requests, 0 for none.
 func (n *Node) Status() (string, uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,7 +122,7 @@
 	}
 }
 
-// do has something done on the goroutine; false: it has ended.
+// post runs a task on the goroutine. It returns false if the node has stopped.
 func (n *Node) post(task func()) bool {
 	select {
 	case n.tasks <- task:
@@ -133,7 +135,7 @@
 func (n *Node) run() {
 	persisted, ok := n.openStore()
 	if !ok {
-		for { // it answers that it does not vote
+		for { // replies that this node does not vote
 			select {
 			case <-n.ctx.Done():
 				return
@@ -175,7 +177,7 @@
 	}
 }
 
-// after sees what a step brought about.
+// afterTick handles the results of a tick.
 func (n *Node) afterTick(now float64) {
 	for _, m := range n.core.TakeMessages(now) {
 		n.send(m)
@@ -202,7 +204,7 @@
 	}
 }
 
-// probe calls members that should have been heard of, so that a stalled one is told from one that cannot be reached.
+// probeMembers connects to silent members, to tell a stalled one from one that cannot be reached.
 func (n *Node) probeMembers(silent []fleet.Member) {
 	for _, m := range silent {
 		if n.activeProbes >= maxProbes {
@@ -228,13 +230,14 @@
 	}
 }
 
-// open takes up the folder and finds out whether it may vote as the one it was. False: it does not.
+// openStore opens the directory and determines whether this voter may vote under its identity. It returns
+// false if not.
 func (n *Node) openStore() (persisted PersistedState, ok bool) {
 	var store *DiskStore
 	var starts uint64
 	var fresh bool
 	var err error
-	for { // an older process of this member may still have it
+	for { // a predecessor process of this member may still hold the lock
 		store, persisted, starts, fresh, err = OpenDiskStore(n.opts.Dir, n.opts.Name)
 		if err == nil || errors.Is(err, ErrCorrupt) {
 			break
@@ -263,7 +266,7 @@
 	return persisted, n.registerStart(starts)
 }
 
-// pause serves the inbox meanwhile; false: it ends.
+// wait runs tasks for the given time. It returns false if the node stops.
 func (n *Node) wait(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -279,14 +282,14 @@
 	}
 }
 
-// heard is another voter's answer to a hello.
+// helloResult is another voter's reply to a hello.
 type helloResult struct {
 	voter string
 	reply fleetrpc.HelloReply
 	err   error
 }
 
-// hello asks voters once; the answers come by the channel.
+// sendHellos sends a hello to each voter once. The results come on the channel.
 func (n *Node) sendHellos(voters []fleet.Voter, starts uint64) <-chan helloResult {
 	results := make(chan helloResult, len(voters))
 	for _, v := range voters {
@@ -310,7 +313,8 @@
 	return voters
 }
 
-// round asks those that have not answered yet, and serves the inbox meanwhile. False: it ends.
+// helloRound sends a hello to the voters that have not answered, and runs tasks meanwhile. It returns false
+// if the node stops.
 func (n *Node) helloRound(unanswered map[string]fleet.Voter, starts uint64, each func(helloResult)) bool {
 	var voters []fleet.Voter
 	for _, name := range sortedKeys(unanswered) {
@@ -323,7 +327,7 @@
 			return false
 		case task := <-n.tasks:
 			task()
-			// The answer that this turn was for is still to come.
+			// The result for this iteration is still to come.
 			for done := false; !done; {
 				select {
 				case <-n.ctx.Done():
@@ -342,8 +346,9 @@
 	return true
 }
 
-// found begins with an empty folder. Only if every other voter says that it never heard of this one it votes as the one
-// it is named to be; else its folder was lost with what it had promised, and it asks for a new seat.
+// initStore initializes an empty directory. Only if every other voter replies that it knows no start of this
+// one, the voter uses its initial raft ID. Otherwise the directory was lost with its votes, and the voter
+// requests a new raft ID.
 func (n *Node) initStore() (PersistedState, bool) {
 	unanswered := map[string]fleet.Voter{}
 	for _, v := range n.otherVoters() {
@@ -387,14 +392,14 @@
 	return first, n.registerStart(1)
 }
 
-// register tells the others of this start. One that knows of as many shows that the folder is older than what this
-// voter has promised.
+// registerStart reports this start to the other voters. If one of them knows as many starts, the directory is
+// outdated: it lacks votes or entries that this voter has acknowledged.
 func (n *Node) registerStart(starts uint64) bool {
 	unanswered := map[string]fleet.Voter{}
 	for _, v := range n.otherVoters() {
 		unanswered[v.Name] = v
 	}
-	need := len(n.opts.Voters) / 2 // with itself a majority
+	need := len(n.opts.Voters) / 2 // a majority together with this voter
 	answered, refusedBy := 0, ""
 	take := func(h helloResult) {
 		switch {
@@ -425,7 +430,8 @@
 	return true
 }
 
-// late goes on asking those that did not answer; a word against this voter that comes late still counts.
+// registerRemaining keeps sending hellos to voters that did not answer. A delayed reply that shows an
+// outdated directory still stops this voter.
 func (n *Node) registerRemaining(unanswered map[string]fleet.Voter, starts uint64) {
 	for len(unanswered) > 0 {
 		select {
@@ -452,7 +458,7 @@
 	}
 }
 
-// Hello answers another voter that starts.
+// HandleHello answers another voter that starts.
 func (n *Node) HandleHello(h fleetrpc.Hello) (a fleetrpc.HelloReply) {
 	done := make(chan struct{})
 	if !n.post(func() {
@@ -477,7 +483,7 @@
 	return a
 }
 
-// Vote takes another voter's messages.
+// HandleRaftMessages handles raft messages from another voter.
 func (n *Node) HandleRaftMessages(v fleetrpc.RaftMessages) {
 	n.post(func() {
 		if n.core == nil {
@@ -490,7 +496,7 @@
 	})
 }
 
-// link makes or finds the link to a voter.
+// peerFor returns the connection to a voter, and creates it if the address is known.
 func (n *Node) peerFor(raftID uint64, addr string) *peer {
 	p := n.peers[raftID]
 	if p == nil && addr != "" {
@@ -511,7 +517,7 @@
 			}
 		}
 		if p = n.peerFor(m.To, addr); p == nil {
-			return // it has no seat any longer
+			return // no longer a voter
 		}
 	}
 	select {
@@ -520,7 +526,7 @@
 	}
 }
 
-// deliver writes to one voter what waits for it, all at once.
+// deliverTo sends the queued messages of one voter, in batches.
 func (n *Node) deliverTo(p *peer) {
 	for {
 		var batch []Message
@@ -557,7 +563,7 @@
 				})
 			}
 		}
-		if err != nil { // what waits is old by the time that the link is back
+		if err != nil { // the queued messages would be outdated by the time that the connection is back
 			select {
 			case <-n.ctx.Done():
 				return
@@ -567,7 +573,7 @@
 	}
 }
 
-// leaderAddr is where the leader is found, as far as is known.
+// leaderAddr returns the address of the leader, if known.
 func (n *Node) leaderAddr() string {
 	if n.core == nil {
 		return ""
@@ -580,8 +586,9 @@
 	return ""
 }
 
-// Beat answers a member's beat, once it is sure that this voter leads. One that does not passes it on: a member that is cut
-// from the leader alone keeps its lease, which runs from its own sending in any case.
+// HandleHeartbeat answers a member's heartbeat after a quorum has confirmed that this voter is the leader.
+// Another voter forwards it to the leader: a member cut off from the leader alone keeps its lease, which runs
+// from the member's own sending in any case.
 func (n *Node) HandleHeartbeat(ctx context.Context, hb fleet.Heartbeat, forwarded bool) fleetrpc.HeartbeatReply {
 	a := n.heartbeat(ctx, hb)
 	if a.NotLeader && a.LeaderAddress != "" && a.LeaderAddress != n.opts.Address && !forwarded {
@@ -620,14 +627,15 @@
 	return a
 }
 
-// hurried tells whether the history moves fast at the moment.
+// inBurst reports whether entries currently follow each other quickly.
 func (n *Node) inBurst() bool {
 	last, before := time.Duration(n.lastChanges[0].Load()), time.Duration(n.lastChanges[1].Load())
 	return before > 0 && last-before < burstInterval && time.Since(n.startedAt)-last < burstInterval
 }
 
-// lot waits, while the history moves fast, until there is more to tell at once. This guards against a fleet that starts, whose
-// every admission would be one call of every member: they grew with the square of the members and buried the voters.
+// awaitBatch waits during a burst of entries, so that one reply carries several. It guards against a fleet's
+// start: with one call of every member for each admission, the calls grew with the square of the members and
+// overloaded the voters.
 func (n *Node) awaitBatch(ctx context.Context) {
 	if !n.inBurst() {
 		return
@@ -641,12 +649,13 @@
 	}
 }
 
-// Entries gives what comes after, and waits for it as long as the asker wants to.
+// HandleEntries returns the entries after the requested one, and waits for new ones as long as the caller
+// asks.
 func (n *Node) HandleEntries(ctx context.Context, q fleetrpc.EntriesRequest) fleetrpc.EntriesReply {
 	end := time.NewTimer(min(time.Duration(max(q.Wait, 0)*1e6), fleetrpc.MaxPollWait))
 	defer end.Stop()
 	for {
-		if q.Wait > 0 && q.AfterSeq > 0 { // who knows nothing yet, or asks without waiting, is told at once
+		if q.Wait > 0 && q.AfterSeq > 0 { // callers without entries, or that do not wait, are answered at once
 			n.awaitBatch(ctx)
 		}
 		out := make(chan fleetrpc.EntriesReply, 1)
@@ -680,7 +689,8 @@
 	}
 }
 
-// batch is what one call brings. So many get much at once, so that a fleet that comes back does not bury the voters.
+// entriesReply returns the reply to one call. The number of concurrent large replies is limited, so that a
+// fleet that returns does not overload the voters.
 func (n *Node) entriesReply(q fleetrpc.EntriesRequest) (b fleetrpc.EntriesReply) {
 	entries, snapshot, diverged := n.core.EntriesAfter(q.AfterSeq, q.Digest)
 	if diverged {
@@ -691,7 +701,8 @@
 			return fleetrpc.EntriesReply{Busy: true}
 		}
 		n.catchUps++
-		time.AfterFunc(20*time.Millisecond, func() { n.post(func() { n.catchUps-- }) }) // about what writing it takes
+		// about the time that writing the reply takes
+		time.AfterFunc(20*time.Millisecond, func() { n.post(func() { n.catchUps-- }) })
 	}
 	if snapshot != nil {
 		b.SnapshotSize, b.SnapshotSeq = len(snapshot), n.core.State().LastSeq()
@@ -712,7 +723,7 @@
 	return b
 }
 
-// Ask answers an operator as the leader.
+// HandleAdmin answers an operator's request if this voter is the leader.
 func (n *Node) HandleAdmin(ctx context.Context, q fleetrpc.AdminRequest) (a fleetrpc.AdminReply) {
 	out := make(chan fleetrpc.AdminReply, 1)
 	task := func() {
@@ -765,11 +776,11 @@
 	return a
 }
 
-// tell says how the fleet stands, after a majority has confirmed that this voter leads.
+// adminReply returns the fleet's status. The caller has had a quorum confirm that this voter is the leader.
 func (n *Node) adminReply(q fleetrpc.AdminRequest, r fleet.Result) (a fleetrpc.AdminReply) {
 	now, unixNow, s, leases := n.opts.Clock(), n.opts.UnixTime(), n.core.State(), n.core.Leases()
 	a.Result = r
-	if leases == nil { // it was the leader when the command was agreed on
+	if leases == nil { // it was the leader when the command was committed
 		return a
 	}
 	st := &fleetrpc.FleetStatus{Fleet: s.Fleet(), LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), FencedVersion: s.FencedVersion(), Leader: n.opts.Name,
--- a/internal/fleet/actions.go
+++ b/internal/fleet/actions.go
@@ -12,7 +12,7 @@
 const (
 	HandedOff Action = iota
 	Deferred
-	Answered // any other final answer
+	Answered   // any other final answer
 	numActions = iota
 )
 
@@ -27,7 +27,7 @@
 
 // VersionActions counts the actions under one version.
 type VersionActions struct {
-	Version     uint64                  `cbor:"1,keyasint" json:"version"`
+	Version uint64 `cbor:"1,keyasint" json:"version"`
 	// when the version became active in this process
 	ActiveSince float64                 `cbor:"2,keyasint" json:"in_force_ms"`
 	Counts      [numActions]ActionCount `cbor:"3,keyasint" json:"kinds"` // indexed by Action
@@ -63,7 +63,7 @@
 
 const (
 	maxRunVersions = 32 // newest versions whose actions a run record keeps
-	retainedRuns   = 4 // earlier runs that a member reports
+	retainedRuns   = 4  // earlier runs that a member reports
 )
 
 // RecordVersion records that a version is active from now on.
--- a/internal/fleet/lease_holder.go
+++ b/internal/fleet/lease_holder.go
@@ -18,11 +18,11 @@
 
 // Heartbeat is a member's report to the leader.
 type Heartbeat struct {
-	Fleet           string          `cbor:"1,keyasint"`
-	Format          int             `cbor:"2,keyasint"`
-	Member          string          `cbor:"3,keyasint"`
-	Address         string          `cbor:"4,keyasint"`
-	RunID           string          `cbor:"5,keyasint"` // identifies the process
+	Fleet   string `cbor:"1,keyasint"`
+	Format  int    `cbor:"2,keyasint"`
+	Member  string `cbor:"3,keyasint"`
+	Address string `cbor:"4,keyasint"`
+	RunID   string `cbor:"5,keyasint"` // identifies the process
 	// it listens on the member's address: earlier processes are dead or about to exit
 	OwnsAddress     bool            `cbor:"6,keyasint,omitempty"`
 	IsolationPolicy IsolationPolicy `cbor:"7,keyasint"`
@@ -32,18 +32,18 @@
 	ActiveVersion   uint64          `cbor:"11,keyasint"`
 	RefusedVersion  uint64          `cbor:"12,keyasint,omitempty"` // version that it cannot activate
 	// configuration key and error, or why it cannot follow the history
-	Problem         string          `cbor:"13,keyasint,omitempty"`
-	Leaving         bool            `cbor:"14,keyasint,omitempty"` // the process ends and acts no more
+	Problem string `cbor:"13,keyasint,omitempty"`
+	Leaving bool   `cbor:"14,keyasint,omitempty"` // the process ends and acts no more
 	// milliseconds for which the process was paused before this heartbeat
-	StalledFor      float64         `cbor:"15,keyasint,omitempty"`
-	Runs            []RunRecord     `cbor:"16,keyasint,omitempty"` // the last one is this process's
+	StalledFor float64     `cbor:"15,keyasint,omitempty"`
+	Runs       []RunRecord `cbor:"16,keyasint,omitempty"` // the last one is this process's
 	// settings of the active version that take effect after a restart
-	PendingRestart  string          `cbor:"17,keyasint,omitempty"`
-	Lease           float64         `cbor:"18,keyasint"` // its timing, which must equal the leader's
-	Drift           float64         `cbor:"19,keyasint"`
+	PendingRestart string  `cbor:"17,keyasint,omitempty"`
+	Lease          float64 `cbor:"18,keyasint"` // its timing, which must equal the leader's
+	Drift          float64 `cbor:"19,keyasint"`
 	// raft ID that a voter requests after the loss of its directory
-	RequestedRaftID uint64          `cbor:"20,keyasint,omitempty"`
-	VoterState      string          `cbor:"21,keyasint,omitempty"` // status of its voter, if it has one
+	RequestedRaftID uint64 `cbor:"20,keyasint,omitempty"`
+	VoterState      string `cbor:"21,keyasint,omitempty"` // status of its voter, if it has one
 }
 
 // LeaseRenewal is the leader's reply to a heartbeat.
@@ -65,7 +65,7 @@
 	startedAt       float64
 	state           *State
 	leaseExpiry     float64 // end of the lease
-	fencedVersion   uint64 // from the leader's last reply
+	fencedVersion   uint64  // from the leader's last reply
 	excluded        bool
 	gotReply        bool // this process has received a reply from the leader
 	activeVersion   uint64
--- a/internal/fleet/lease_manager.go
+++ b/internal/fleet/lease_manager.go
@@ -15,7 +15,7 @@
 	heartbeat       Heartbeat
 	lastContact     float64 // when its last heartbeat arrived
 	leaseExpiry     float64 // latest time until which it may hold a lease
-	notifiedVersion uint64 // newest version that it was notified of
+	notifiedVersion uint64  // newest version that it was notified of
 	notifiedAt      float64 // when it was notified of it
 	startedAt       float64 // Unix time
 }
@@ -24,9 +24,9 @@
 type LeaseManager struct {
 	timing          Timing
 	electedAt       float64
-	processes       map[string][]*process // by member, oldest first
-	fenceCompleteAt map[uint64]float64 // Unix time at which each complete fence was found to be complete
-	probeResults    map[string]string // results of connecting to silent members
+	processes       map[string][]*process  // by member, oldest first
+	fenceCompleteAt map[uint64]float64     // Unix time at which each complete fence was found to be complete
+	probeResults    map[string]string      // results of connecting to silent members
 	runs            map[string][]RunRecord // by member, as last reported
 }
 
@@ -216,8 +216,8 @@
 
 // States of members.
 const (
-	MemberCurrent   MemberState = "current"
-	MemberBehind    MemberState = "behind" // notified of the newest version less than two heartbeats ago
+	MemberCurrent MemberState = "current"
+	MemberBehind  MemberState = "behind" // notified of the newest version less than two heartbeats ago
 	// notified longer ago, or silent with a lease; MemberStatus.Cause says why
 	MemberStraggler MemberState = "straggler"
 	MemberExcluded  MemberState = "shut out"
@@ -227,11 +227,11 @@
 
 // MemberStatus is a member's status as the leader sees it.
 type MemberStatus struct {
-	Member          string          `cbor:"1,keyasint" json:"member"`
-	Address         string          `cbor:"2,keyasint" json:"address"`
-	State           MemberState     `cbor:"3,keyasint" json:"standing"`
-	ActiveVersion   uint64          `cbor:"4,keyasint" json:"in_force"`
-	Cause           string          `cbor:"5,keyasint,omitempty" json:"cause,omitempty"`
+	Member        string      `cbor:"1,keyasint" json:"member"`
+	Address       string      `cbor:"2,keyasint" json:"address"`
+	State         MemberState `cbor:"3,keyasint" json:"standing"`
+	ActiveVersion uint64      `cbor:"4,keyasint" json:"in_force"`
+	Cause         string      `cbor:"5,keyasint,omitempty" json:"cause,omitempty"`
 	// below 0: no contact since the leader's election
 	SinceContact    float64         `cbor:"6,keyasint" json:"heard_ms_ago"`
 	LeaseRemaining  float64         `cbor:"7,keyasint" json:"lease_ms"` // below 0: no lease
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -26,10 +26,10 @@
 const (
 	// MaxTextBytes is the maximum size of a version's text.
 	MaxTextBytes      = 64 << 10
-	retainedTexts     = 16 // newest versions whose texts a state keeps, for members that are behind and for rollbacks
-	retainedVersions  = 256 // older versions are dropped
+	retainedTexts     = 16   // newest versions whose texts a state keeps, for members that are behind and for rollbacks
+	retainedVersions  = 256  // older versions are dropped
 	retainedRequests  = 1024 // completed requests that are recognized when repeated
-	retainedRunStarts = 16 // processes of a member that a state keeps
+	retainedRunStarts = 16   // processes of a member that a state keeps
 	maxNameBytes      = 64
 )
 
@@ -44,11 +44,11 @@
 // Kinds of commands.
 const (
 	AdmitMember    CommandKind = iota + 1 // admits a member, or admits it again
-	RemoveMember // removes a member: nothing waits for it any more
-	PublishVersion // publishes a version
-	ExcludeMember // forbids a member new work until it is admitted again
-	AddVoter // adds a voter, or replaces the one of the same name
-	RemoveVoter // removes a voter
+	RemoveMember                          // removes a member: nothing waits for it any more
+	PublishVersion                        // publishes a version
+	ExcludeMember                         // forbids a member new work until it is admitted again
+	AddVoter                              // adds a voter, or replaces the one of the same name
+	RemoveVoter                           // removes a voter
 )
 
 func (k CommandKind) String() string {
@@ -69,23 +69,23 @@
 
 // Command is a proposed change of the state.
 type Command struct {
-	Kind                CommandKind     `cbor:"1,keyasint"`
+	Kind CommandKind `cbor:"1,keyasint"`
 	// chosen by the caller: a repeated request makes no second entry
-	RequestID           string          `cbor:"2,keyasint"`
-	RequestedBy         string          `cbor:"3,keyasint,omitempty"`
-	IssuedAt            float64         `cbor:"4,keyasint"`
-	Member              string          `cbor:"5,keyasint,omitempty"` // name of the member or voter concerned
-	Address             string          `cbor:"6,keyasint,omitempty"`
-	IsolationPolicy     IsolationPolicy `cbor:"7,keyasint,omitempty"`
-	Text                []byte          `cbor:"8,keyasint,omitempty"` // of the published version
+	RequestID       string          `cbor:"2,keyasint"`
+	RequestedBy     string          `cbor:"3,keyasint,omitempty"`
+	IssuedAt        float64         `cbor:"4,keyasint"`
+	Member          string          `cbor:"5,keyasint,omitempty"` // name of the member or voter concerned
+	Address         string          `cbor:"6,keyasint,omitempty"`
+	IsolationPolicy IsolationPolicy `cbor:"7,keyasint,omitempty"`
+	Text            []byte          `cbor:"8,keyasint,omitempty"` // of the published version
 	// oldest program version that supports the published version
-	MinProgram          string          `cbor:"9,keyasint,omitempty"`
-	Fence               bool            `cbor:"10,keyasint,omitempty"`
+	MinProgram string `cbor:"9,keyasint,omitempty"`
+	Fence      bool   `cbor:"10,keyasint,omitempty"`
 	// if not 0, refused unless the newest version is this number minus 1
-	ExpectedNewestPlus1 uint64          `cbor:"11,keyasint,omitempty"`
-	RaftID              uint64          `cbor:"12,keyasint,omitempty"` // of the added voter
-	RunID               string          `cbor:"13,keyasint,omitempty"` // of the admitted process
-	RunStartedAt        float64         `cbor:"14,keyasint,omitempty"`
+	ExpectedNewestPlus1 uint64  `cbor:"11,keyasint,omitempty"`
+	RaftID              uint64  `cbor:"12,keyasint,omitempty"` // of the added voter
+	RunID               string  `cbor:"13,keyasint,omitempty"` // of the admitted process
+	RunStartedAt        float64 `cbor:"14,keyasint,omitempty"`
 }
 
 // Entry is an applied command at its position in the history.
@@ -118,7 +118,7 @@
 	ChangedAt       float64         `cbor:"6,keyasint"` // time of its last change
 	FirstAdmittedAt float64         `cbor:"7,keyasint"` // time of its first admission
 	// its newest processes: their existence is known even if their reports are missing
-	Runs            []RunStart      `cbor:"8,keyasint"`
+	Runs []RunStart `cbor:"8,keyasint"`
 }
 
 // RunStart is the start of a process of a member.
