--- a/internal/fleetagent/agent.go
+++ b/internal/fleetagent/agent.go
@@ -1,8 +1,9 @@
-// Package member is the part of a fleet's process that follows: it keeps up with the history, renews its lease, brings
-// versions into force and tells what was done under each. Its decisions are those of internal/fleet. It must never decide
-// where work goes, vote, or hold up the reducer: what that asks it answers from values that are there.
+// Package fleetagent keeps a process in its fleet: it follows the history, renews the lease, activates
+// versions and reports what was done under each. internal/fleet makes its decisions. The package must never
+// decide where work goes, vote, or delay the dispatcher's event loop, whose queries it answers from values in
+// memory.
 //
-// This file owns its goroutines; the others the folder and the gate.
+// This file implements its goroutines; the other files implement the directory and the lease guard.
 package fleetagent
 
 import (
@@ -20,64 +21,66 @@
 	"weldmast/internal/fleetrpc"
 )
 
-// Options say which member this is.
+// Options configure an agent.
 type Options struct {
 	Fleet           string
 	Name            string
 	Address         string
 	IsolationPolicy fleet.IsolationPolicy
-	Voters          []fleet.Voter     // as the operator's file has them; the history's go before
-	Dir             string            // empty: it keeps nothing
-	AddressMap      map[string]string // where addresses are found from here
+	Voters          []fleet.Voter     // from the operator's file; those of the history take precedence
+	Dir             string            // empty: nothing is persisted
+	AddressMap      map[string]string // addresses to dial in place of those configured
 	Timing          fleet.Timing
-	ProgramVersion  string // its version
+	ProgramVersion  string // version of this program
 	RunID           string
 	Seed            uint64
 	Clock           Clock
-	Voter           fleetrpc.VoterService // of this process; nil: none
-	OwnsAddress     func() bool           // the member's address is this process's
-	// Bring has a version brought into force. Applied is called once, from any goroutine, when nothing begun under an
-	// older one is still to be written; what waits for a restart is said. An error: it cannot be.
+	Voter           fleetrpc.VoterService // the voter of this process; nil: none
+	OwnsAddress     func() bool           // reports whether this process listens on the member's address
+	// ApplyVersion starts to activate a version. It calls applied once, from any goroutine, when no writes
+	// begun under an older version are outstanding; waits names the settings that need a restart. An error
+	// means that the version cannot be activated.
 	ApplyVersion func(v fleet.Version, applied func(waits string)) error
-	// Check tells whether a version's text could be brought into force here.
+	// CheckVersion reports whether a version's text could be activated here.
 	CheckVersion func(text []byte) error
 }
 
-// Times of a member.
+// Timing of an agent.
 const (
-	pollWait     = 2 * time.Second // a voter is asked to wait so long for news
-	pollGrace    = time.Second     // and has so long more for its answer
+	pollWait     = 2 * time.Second // long poll at a voter
+	pollGrace    = time.Second     // added to pollWait for the reply
 	maxPause     = 300 * time.Millisecond
 	saveInterval = time.Second
 	adminTimeout = 4 * time.Second
 )
 
-// Member is one at work.
+// Agent represents this process in its fleet.
 type Agent struct {
 	opts       Options
 	ctx        context.Context
 	cancel     context.CancelFunc
 	client     *fleetrpc.Client
-	pollClient *fleetrpc.Client // its end ends the poll that is under way
+	pollClient *fleetrpc.Client // closing it ends the poll in progress
 	guard      *LeaseGuard
 	dir        *stateDir
 	wg         sync.WaitGroup
 
-	mu              sync.Mutex // of all below
+	mu              sync.Mutex // guards the fields below
 	holder          *fleet.LeaseHolder
 	rng             *rand.Rand
-	leaderAddr      string // address of the voter that last led
-	notifiedVersion uint64 // the newest version, by the last beat's answer
+	leaderAddr      string // address of the last known leader
+	notifiedVersion uint64 // newest version, from the last heartbeat's reply
 	runs            []fleet.RunRecord
 	pendingRestart  string
-	followError     string // why it cannot follow
-	leaseRefusal    string // why the council does not renew the lease
-	loggedRefusal   string // of a version that it refuses
-	snapshotPart    []byte // of a snapshot that is being fetched
+	followError     string // why it cannot follow the history
+	leaseRefusal    string // why the leader does not renew the lease
+	loggedRefusal   string // reason of the refused version that was logged
+	snapshotPart    []byte // received part of a snapshot
 	snapshotSeq     uint64
 }
 
-// Start takes up the folder and begins to follow. The first version that the folder knows is brought into force at once.
+// Start opens the directory and begins to follow the history. It activates the newest version in the
+// directory at once.
 func Start(opts Options, guard *LeaseGuard) *Agent {
 	a := &Agent{opts: opts, client: fleetrpc.NewClient(opts.Fleet, opts.AddressMap), pollClient: fleetrpc.NewClient(opts.Fleet, opts.AddressMap), guard: guard, rng: rand.New(rand.NewPCG(opts.Seed, 0x666c6565))}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
@@ -95,7 +98,8 @@
 	return a
 }
 
-// Close ends it, once the dispatcher has ended: the council is told that nothing more will be done.
+// Close stops the agent and reports to the leader that this process acts no more. Call it after the
+// dispatcher has stopped.
 func (a *Agent) Close() {
 	a.cancel()
 	a.pollClient.Close()
@@ -107,14 +111,14 @@
 	a.client.Close()
 }
 
-// Vote tells of the council of this process, which came up later.
+// SetVoter sets the voter of this process, which may start later than the agent.
 func (a *Agent) SetVoter(voter fleetrpc.VoterService) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.opts.Voter = voter
 }
 
-// Traffic counts its calls and the bytes of them.
+// Traffic returns the number of calls and their bytes.
 func (a *Agent) Traffic() (calls, read, written uint64) {
 	for _, c := range []*fleetrpc.Client{a.client, a.pollClient} {
 		n, r, w := c.Traffic()
@@ -123,17 +127,17 @@
 	return calls, read, written
 }
 
-// council is that of this process; nil: none.
+// voter returns the voter of this process; nil: none.
 func (a *Agent) voter() fleetrpc.VoterService {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.opts.Voter
 }
 
-// open sets the gate anew. The lock is held.
+// updateGuard updates the lease guard. The caller holds the lock.
 func (a *Agent) updateGuard() { a.guard.setOpenUntil(a.holder.AcceptUntil(a.opts.Clock.Now())) }
 
-// bring has the newest version brought into force. The lock is held.
+// applyNewest starts to activate the newest version. The caller holds the lock.
 func (a *Agent) applyNewest() {
 	v, ok := a.holder.NextVersion()
 	if !ok {
@@ -148,7 +152,7 @@
 		defer a.mu.Unlock()
 		a.holder.VersionApplied(v.Number)
 		a.pendingRestart = pendingRestart
-		a.applyNewest() // a newer one may have come meanwhile
+		a.applyNewest() // a newer version may have arrived meanwhile
 		a.updateGuard()
 		slog.Info("fleet", "fleet", "in force", "version", v.Number, "waits_for_a_restart", pendingRestart)
 	})
@@ -158,7 +162,7 @@
 	}
 }
 
-// voters are the addresses at which the council may be found, drawn. The lock is held.
+// voterAddresses returns the addresses of the voters in random order. The caller holds the lock.
 func (a *Agent) voterAddresses() (addrs []string) {
 	voters := a.holder.State().Voters()
 	if len(voters) == 0 {
@@ -171,7 +175,7 @@
 	return addrs
 }
 
-// sleep waits a span; false: it is over.
+// sleep returns false if the agent stops.
 func (a *Agent) sleep(duration time.Duration) bool {
 	t := time.NewTimer(duration)
 	defer t.Stop()
@@ -183,7 +187,8 @@
 	}
 }
 
-// pause is drawn, so that a fleet does not ask again in step.
+// randomPause pauses for a random time, so that members do not retry in step. It returns false if the agent
+// stops.
 func (a *Agent) randomPause() bool {
 	a.mu.Lock()
 	duration := time.Duration((0.2 + 0.8*a.rng.Float64()) * float64(maxPause))
@@ -191,7 +196,7 @@
 	return a.sleep(duration)
 }
 
-// beats renews the lease.
+// heartbeatLoop renews the lease.
 func (a *Agent) heartbeatLoop() {
 	interval := a.opts.Timing.Beat
 	next := a.opts.Clock.Now()
@@ -203,7 +208,7 @@
 		if !a.sleep(time.Duration((next - a.opts.Clock.Now()) * 1e6)) {
 			return
 		}
-		// A process that was stopped or suspended says so.
+		// The process was paused or suspended: the next heartbeat reports it.
 		if delay := a.opts.Clock.Now() - next; delay > 2*interval {
 			a.mu.Lock()
 			a.guard.stalledFor = delay
@@ -214,7 +219,7 @@
 	}
 }
 
-// message is the beat as it is now. The lock is held.
+// heartbeat returns the current heartbeat. The caller holds the lock.
 func (a *Agent) heartbeat(leaving bool) fleet.Heartbeat {
 	s := a.holder.State()
 	b := fleet.Heartbeat{Fleet: a.opts.Fleet, Format: fleet.FormatVersion, Member: a.opts.Name, Address: a.opts.Address, RunID: a.opts.RunID, OwnsAddress: a.opts.OwnsAddress(),
@@ -231,12 +236,14 @@
 	return b
 }
 
-// beat tells the council once and takes its answer; it gives the time after which to do so again, if that is said.
+// sendHeartbeat sends one heartbeat and handles the reply. It returns the time after which to send the next
+// one, 0 for the usual interval.
 func (a *Agent) sendHeartbeat(leaving bool) (retryAfter float64) {
 	timeout := time.Duration(2 * a.opts.Timing.Beat * 1e6)
 	a.mu.Lock()
 	hb, addrs := a.heartbeat(leaving), a.voterAddresses()
-	pollMayHang := a.leaderAddr == "" || hb.StalledFor > 0 // the beat before failed, or this process stood still: its poll may hang
+	// the last heartbeat failed, or this process was paused: its poll may hang
+	pollMayHang := a.leaderAddr == "" || hb.StalledFor > 0
 	if a.leaderAddr != "" {
 		addrs = append([]string{a.leaderAddr}, slices.DeleteFunc(addrs, func(reply string) bool { return reply == a.leaderAddr })...)
 	}
@@ -273,8 +280,8 @@
 		} else {
 			a.setLeaseRefusal("")
 		}
-		// For a beat already, or after trouble: the poll that is under way may hang in a link that is cut, but else it is about to
-		// bring what a lot was gathered for.
+		// Fetch entries known since an earlier heartbeat, or after a failure: the poll in progress may hang
+		// on a broken link. Otherwise the poll is about to return the batch that the voter collects.
 		if behind && !leaving {
 			a.fetchEntries(addr, 0)
 		}
@@ -287,7 +294,7 @@
 	return 0
 }
 
-// cannot notes why the council does not renew the lease.
+// setLeaseRefusal records why the leader does not renew the lease.
 func (a *Agent) setLeaseRefusal(reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -297,7 +304,7 @@
 	a.leaseRefusal = reason
 }
 
-// follow keeps up with the history at any voter.
+// followLoop follows the history at any voter.
 func (a *Agent) followLoop() {
 	for a.ctx.Err() == nil {
 		a.mu.Lock()
@@ -316,7 +323,8 @@
 	}
 }
 
-// fetch asks a voter once for what comes after; false: another one is to be asked.
+// fetchEntries requests the next entries from a voter once. It returns false if another voter should be
+// tried.
 func (a *Agent) fetchEntries(addr string, wait time.Duration) bool {
 	a.mu.Lock()
 	s := a.holder.State()
@@ -351,7 +359,8 @@
 	return true
 }
 
-// snapshot takes a part of one; what is there already is kept where the link broke. The lock is held.
+// addSnapshotPart adds a part of a snapshot. Parts received before a connection failed are retained. The
+// caller holds the lock.
 func (a *Agent) addSnapshotPart(reply fleetrpc.EntriesReply) error {
 	if reply.SnapshotOffset == 0 || reply.SnapshotSeq != a.snapshotSeq || reply.SnapshotOffset != len(a.snapshotPart) {
 		if reply.SnapshotOffset != 0 {
@@ -373,7 +382,7 @@
 	return a.holder.ReplaceState(s)
 }
 
-// saves keeps the record and the history in the folder.
+// saveLoop saves the run records and the history to the directory.
 func (a *Agent) saveLoop() {
 	for a.sleep(saveInterval) {
 		a.save()
@@ -383,18 +392,19 @@
 func (a *Agent) save() {
 	a.mu.Lock()
 	s, runs := a.holder.State(), append(slices.Clone(a.runs), a.guard.runRecord())
-	a.updateGuard() // what ends by time alone
+	a.updateGuard() // leases also end by time alone
 	a.mu.Unlock()
 	a.dir.write(s, runs)
 }
 
-// Ask answers an operator: by the council, at any voter that leads, or from what this member knows itself.
+// HandleAdmin answers an operator's request: through the leader, or from what this member knows itself.
 func (a *Agent) HandleAdmin(ctx context.Context, req fleetrpc.AdminRequest) (reply fleetrpc.AdminReply) {
 	a.mu.Lock()
 	addrs := a.voterAddresses()
 	a.mu.Unlock()
 	if req.Command.Kind == fleet.PublishVersion {
-		// This guards against a version that nobody can read: fenced, it would shut out the whole fleet.
+		// This guards against a version that no member can read: with a fence it would exclude the whole
+		// fleet.
 		if err := a.opts.CheckVersion(req.Command.Text); err != nil {
 			reply.Error, reply.Local = fmt.Sprintf("%s cannot bring it into force: %v", a.opts.Name, err), a.LocalStatus()
 			return reply
@@ -426,7 +436,7 @@
 	return reply
 }
 
-// Local is what this member knows itself.
+// LocalStatus returns what this member knows itself.
 func (a *Agent) LocalStatus() *fleetrpc.LocalStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleetagent/lease_guard.go
+++ b/internal/fleetagent/lease_guard.go
@@ -1,5 +1,5 @@
-// This file owns the gate, which forbids, and the record of acts, which counts: both are asked by the reducer at each act
-// and must never make it wait.
+// This file implements the lease guard, which blocks work without a lease, and the record of actions. The
+// event loop calls both at each action; they must never make it wait.
 
 package fleetagent
 
@@ -14,38 +14,39 @@
 	"weldmast/internal/fleet"
 )
 
-// Clock tells the time of a member. Both go on through a suspension; neither is moved by who sets the machine's clock.
+// Clock is the clock of a member. It continues through a suspension and is not affected by changes of the
+// system clock.
 type Clock struct{ unix float64 }
 
-// NewClock begins now.
+// NewClock returns a clock with the current Unix time.
 func NewClock() Clock { return Clock{unix: float64(time.Now().UnixMicro())/1000 - bootTime()} }
 
-// boot is the time since the machine's start, in milliseconds.
+// bootTime returns the milliseconds since the machine's boot.
 func bootTime() float64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // every Linux has it
+		panic(err) // Linux always has this clock
 	}
 	return float64(t.Sec)*1000 + float64(t.Nsec)/1e6
 }
 
-// Now is the clock of leases.
+// Now returns the time by which leases are measured, in milliseconds.
 func (c Clock) Now() float64 { return bootTime() }
 
-// Unix is the same as Unix time by the machine's clock at the process's start, for people.
+// UnixTime returns Now as Unix time, based on the system clock at the process's start. For display only.
 func (c Clock) UnixTime() float64 { return c.unix + bootTime() }
 
-// Gate is asked before each hand-off and told of each act.
+// LeaseGuard is asked before each hand-off and records each action.
 type LeaseGuard struct {
 	clock      Clock
-	openUntil  atomic.Uint64 // bits of the time until which it is open
-	stalledFor float64       // the member's
+	openUntil  atomic.Uint64 // bits of the float64 time until which it is open
+	stalledFor float64       // guarded by Agent.mu
 
 	mu  sync.Mutex
 	run fleet.RunRecord
 }
 
-// NewGate is closed, with nothing booked.
+// NewLeaseGuard returns a closed guard without recorded actions.
 func NewLeaseGuard(c Clock, run string) *LeaseGuard {
 	g := &LeaseGuard{clock: c, run: fleet.RunRecord{ID: run, StartedAt: c.UnixTime()}}
 	g.run.RecordVersion(g.run.StartedAt, 0)
@@ -55,27 +56,27 @@
 
 func (g *LeaseGuard) setOpenUntil(until float64) { g.openUntil.Store(math.Float64bits(until)) }
 
-// Open tells whether new work may be taken and handed off at this moment.
+// Open reports whether new work may be taken and handed off now.
 func (g *LeaseGuard) Open() bool {
 	until := math.Float64frombits(g.openUntil.Load())
 	return math.IsInf(until, 1) || !math.IsInf(until, -1) && g.clock.Now() < until
 }
 
-// InForce notes that a version is in force from now on.
-func (g *LeaseGuard) VersionInForce(version uint64) {
+// InForce records that a version is active from now on.
+func (g *LeaseGuard) InForce(version uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.run.RecordVersion(g.clock.UnixTime(), version)
 }
 
-// Act books one under the version in force.
-func (g *LeaseGuard) RecordAction(a fleet.Action) {
+// Act records an action under the active version.
+func (g *LeaseGuard) Act(a fleet.Action) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.run.RecordAction(g.clock.UnixTime(), a)
 }
 
-// record is the run up to now.
+// runRecord returns the record of this run up to now.
 func (g *LeaseGuard) runRecord() fleet.RunRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -83,7 +84,7 @@
 	return g.run.Clone()
 }
 
-// end notes that nothing more will be done.
+// close closes the guard and marks the run as ended cleanly.
 func (g *LeaseGuard) close() {
 	g.setOpenUntil(math.Inf(-1))
 	g.mu.Lock()
--- a/internal/fleetagent/state_dir.go
+++ b/internal/fleetagent/state_dir.go
@@ -1,6 +1,6 @@
-// This file owns a member's folder: the history as last known, and the record of acts. Each file is whole or absent; one
-// that is not as it was written counts as absent. It must never keep the member from its work: what cannot be written is
-// logged.
+// This file implements a member's directory: the last known history and the record of actions. Each file is
+// complete or absent; a corrupt file counts as absent. It must never keep the member from its work: write
+// errors are logged.
 
 package fleetagent
 
@@ -38,7 +38,7 @@
 	return &stateDir{path: path, lock: flock.New(filepath.Join(path, lockFile))}
 }
 
-// read gives what is there, and an empty history where nothing is.
+// read returns the stored state and runs, or an empty state if nothing is stored.
 func (d *stateDir) read(name string) (*fleet.State, []fleet.RunRecord) {
 	s := fleet.NewState(name)
 	if d.path == "" {
@@ -68,7 +68,7 @@
 	return s, runs
 }
 
-// write keeps both, if the folder is this process's: an older one of this member may still hold it.
+// write saves both if this process holds the lock: a predecessor process of this member may still hold it.
 func (d *stateDir) write(s *fleet.State, runs []fleet.RunRecord) {
 	if d.path == "" {
 		return
@@ -91,7 +91,7 @@
 	d.logError(err)
 }
 
-// say logs a fault once, and its end.
+// logError logs an error once, and logs when it is over.
 func (d *stateDir) logError(err error) {
 	text := ""
 	if err != nil {
@@ -116,13 +116,13 @@
 	return b[4:], nil
 }
 
-// store writes a file whole or leaves the one before.
+// writeFile replaces a file atomically, or leaves the previous one.
 func (d *stateDir) writeFile(name string, text []byte) error {
 	tmp, err := os.CreateTemp(d.path, name+".*.new")
 	if err != nil {
 		return fmt.Errorf("fleet.folder: %w", err)
 	}
-	defer os.Remove(tmp.Name()) // gone by then if all went well
+	defer os.Remove(tmp.Name()) // already renamed on success
 	_, err = tmp.Write(append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(text, crcTable)), text...))
 	if err = errors.Join(err, tmp.Sync(), tmp.Close()); err == nil {
 		err = os.Rename(tmp.Name(), filepath.Join(d.path, name))
@@ -135,6 +135,6 @@
 
 func (d *stateDir) close() {
 	if d.locked {
-		_ = d.lock.Unlock() // the process ends
+		_ = d.lock.Unlock() // the process exits
 	}
 }
--- a/internal/fleetrpc/rpc.go
+++ b/internal/fleetrpc/rpc.go
@@ -1,6 +1,6 @@
-// Package fleetlink is how the processes of one fleet speak: the smallest HTTP there is, one POST a message, its body CBOR
-// of bounded size that bears the fleet's name and the format. It must never decide anything, send anything a second
-// time, or be open to more than a private network: there is no sign-in.
+// Package fleetrpc is the protocol between the processes of a fleet: HTTP with one POST for each message. The
+// body is CBOR of bounded size with the fleet's name and the format version. It must never decide anything,
+// never send anything twice, and be open to a private network only, as it has no authentication.
 package fleetrpc
 
 import (
@@ -19,131 +19,134 @@
 	"weldmast/internal/fleet"
 )
 
-// The paths.
+// Paths of the calls.
 const (
 	pathRaft      = "/fleet/vote"    // between voters
 	pathHello     = "/fleet/hello"   // a voter's start
-	pathHeartbeat = "/fleet/beat"    // a member's, at the leader
-	pathEntries   = "/fleet/entries" // what comes after, at any voter; waits for it
-	pathAdmin     = "/fleet/ask"     // an operator's, at any member
-	pathProbe     = "/fleet/there"   // is anybody there?
+	pathHeartbeat = "/fleet/beat"    // a member's heartbeat
+	pathEntries   = "/fleet/entries" // the next entries, at any voter; a long poll
+	pathAdmin     = "/fleet/ask"     // an operator's request, at any member
+	pathProbe     = "/fleet/there"   // checks that the process answers
 )
 
-// Bounds of the link.
+// Limits and timeouts.
 const (
-	maxBodyBytes        = 4 << 20
-	maxHeaderBytes      = 4 << 10
-	readTimeout         = 10 * time.Second // a whole message, and until the next one
-	MaxPollWait         = 10 * time.Second // a long poll
-	dialTimeout         = time.Second
-	ReservedDescriptors = 64 // set aside for a member's link; a voter takes half of what there is, as each member holds two
+	maxBodyBytes   = 4 << 20
+	maxHeaderBytes = 4 << 10
+	readTimeout    = 10 * time.Second // of a whole message, and until the next one
+	MaxPollWait    = 10 * time.Second // of a long poll
+	dialTimeout    = time.Second
+	// reserved for a member; a voter takes half of the limit, as each member holds two connections
+	ReservedDescriptors = 64
 )
 
-// Head stands in each message.
+// Header is part of each message.
 type Header struct {
 	Fleet  string `cbor:"1,keyasint"`
 	Format int    `cbor:"2,keyasint"`
 }
 
-// Vote holds messages of the consensus.
+// RaftMessages carries raft messages between voters.
 type RaftMessages struct {
 	Header      Header   `cbor:"1,keyasint"`
-	FromAddress string   `cbor:"2,keyasint"` // the sender's address
+	FromAddress string   `cbor:"2,keyasint"` // address of the sender
 	RaftID      uint64   `cbor:"3,keyasint"`
 	Messages    [][]byte `cbor:"4,keyasint"`
 }
 
-// Hello is a voter's that starts: it asks whether it may vote as the one it was.
+// Hello is sent by a voter that starts, to find out whether it may vote under its identity.
 type Hello struct {
 	Header Header `cbor:"1,keyasint"`
 	Voter  string `cbor:"2,keyasint"`
-	Starts uint64 `cbor:"3,keyasint"` // 0: its folder is empty
-	RunID  string `cbor:"4,keyasint"` // of this start: asked again, it is the same
+	Starts uint64 `cbor:"3,keyasint"` // 0: its directory is empty
+	RunID  string `cbor:"4,keyasint"` // of this start; the same when repeated
 }
 
-// HelloAnswer is another voter's.
+// HelloReply is another voter's reply.
 type HelloReply struct {
-	KnownStarts uint64 `cbor:"1,keyasint"` // starts that it knows of, but for this one
+	KnownStarts uint64 `cbor:"1,keyasint"` // known starts, without this one
 	Error       string `cbor:"2,keyasint,omitempty"`
 }
 
-// BeatAnswer is a voter's answer to a beat.
+// HeartbeatReply is a voter's reply to a heartbeat.
 type HeartbeatReply struct {
 	Renewal       fleet.LeaseRenewal `cbor:"1,keyasint"`
 	NotLeader     bool               `cbor:"2,keyasint,omitempty"`
-	LeaderAddress string             `cbor:"3,keyasint,omitempty"` // its address, if known
+	LeaderAddress string             `cbor:"3,keyasint,omitempty"` // if known
 	Error         string             `cbor:"4,keyasint,omitempty"`
 }
 
 type heartbeatRequest struct {
 	Header    Header          `cbor:"1,keyasint"`
 	Heartbeat fleet.Heartbeat `cbor:"2,keyasint"`
-	Forwarded bool            `cbor:"3,keyasint,omitempty"` // a voter that does not lead passes it on; it goes no further
+	// forwarded by a voter that is not the leader; not forwarded again
+	Forwarded bool `cbor:"3,keyasint,omitempty"`
 }
 
-// After asks for what comes after an entry.
+// EntriesRequest requests the entries after a given one.
 type EntriesRequest struct {
 	Header         Header       `cbor:"1,keyasint"`
 	AfterSeq       uint64       `cbor:"2,keyasint"`
 	Digest         fleet.Digest `cbor:"3,keyasint"`
-	Wait           float64      `cbor:"4,keyasint"` // for so long if there is nothing yet
-	SnapshotOffset int          `cbor:"5,keyasint"` // bytes of the snapshot up to entry For that it has
+	Wait           float64      `cbor:"4,keyasint"` // milliseconds to wait if there are none yet
+	SnapshotOffset int          `cbor:"5,keyasint"` // bytes received of the snapshot up to entry SnapshotSeq
 	SnapshotSeq    uint64       `cbor:"6,keyasint"`
 }
 
-// Batch is what comes after: entries, or a part of a snapshot.
+// EntriesReply carries entries, or a part of a snapshot.
 type EntriesReply struct {
 	Entries        []fleet.Entry `cbor:"1,keyasint,omitempty"`
-	SnapshotPart   []byte        `cbor:"2,keyasint,omitempty"` // from byte Skip on
-	SnapshotSize   int           `cbor:"3,keyasint,omitempty"` // of the whole
+	SnapshotPart   []byte        `cbor:"2,keyasint,omitempty"` // from byte SnapshotOffset on
+	SnapshotSize   int           `cbor:"3,keyasint,omitempty"` // of the complete snapshot
 	SnapshotSeq    uint64        `cbor:"4,keyasint,omitempty"`
 	SnapshotOffset int           `cbor:"5,keyasint,omitempty"`
-	Diverged       bool          `cbor:"6,keyasint,omitempty"` // the asker's history is another one
-	Busy           bool          `cbor:"7,keyasint,omitempty"` // too many catch up at once: again after a pause
+	Diverged       bool          `cbor:"6,keyasint,omitempty"` // the caller's history is a different one
+	Busy           bool          `cbor:"7,keyasint,omitempty"` // too many members are catching up: retry after a pause
 	Error          string        `cbor:"8,keyasint,omitempty"`
 }
 
-// Ask is an operator's.
+// AdminRequest is an operator's request.
 type AdminRequest struct {
 	Header       Header        `cbor:"1,keyasint"`
-	Command      fleet.Command `cbor:"2,keyasint"` // what is to stand in the history; Kind 0: nothing, only tell
+	Command      fleet.Command `cbor:"2,keyasint"` // command to apply; Kind 0: none, only report the status
 	Audit        bool          `cbor:"3,keyasint,omitempty"`
-	AuditVersion uint64        `cbor:"4,keyasint,omitempty"` // of the audit
+	AuditVersion uint64        `cbor:"4,keyasint,omitempty"` // version to audit
 	AuditSince   float64       `cbor:"5,keyasint,omitempty"`
-	NoForward    bool          `cbor:"6,keyasint,omitempty"` // not to be passed on
+	NoForward    bool          `cbor:"6,keyasint,omitempty"` // do not forward to other members
 }
 
-// Answer is what an operator is told.
+// AdminReply is the reply to an operator.
 type AdminReply struct {
-	Result   fleet.Result `cbor:"1,keyasint"`
-	Audit    *fleet.Audit `cbor:"2,keyasint,omitempty"`
-	Status   *FleetStatus `cbor:"3,keyasint,omitempty"`
-	Error    string       `cbor:"4,keyasint,omitempty"`
-	NoLeader bool         `cbor:"5,keyasint,omitempty"` // nobody who leads could be reached: it may have been taken all the same
-	Local    *LocalStatus `cbor:"6,keyasint,omitempty"` // what the member that was asked knows itself
+	Result fleet.Result `cbor:"1,keyasint"`
+	Audit  *fleet.Audit `cbor:"2,keyasint,omitempty"`
+	Status *FleetStatus `cbor:"3,keyasint,omitempty"`
+	Error  string       `cbor:"4,keyasint,omitempty"`
+	// no leader could be reached; the command may have been applied all the same
+	NoLeader bool         `cbor:"5,keyasint,omitempty"`
+	Local    *LocalStatus `cbor:"6,keyasint,omitempty"` // what the member that received the request knows itself
 }
 
-// Status is the fleet's.
+// FleetStatus is the status of the fleet.
 type FleetStatus struct {
 	Fleet           string               `cbor:"1,keyasint" json:"fleet"`
 	LastSeq         uint64               `cbor:"2,keyasint" json:"entries"`
 	Digest          string               `cbor:"3,keyasint" json:"digest"`
 	NewestVersion   uint64               `cbor:"4,keyasint" json:"newest"`
 	FencedVersion   uint64               `cbor:"5,keyasint" json:"fenced"`
-	FenceCompleteAt float64              `cbor:"6,keyasint" json:"fence_complete_ms"` // 0: none, or not yet
+	FenceCompleteAt float64              `cbor:"6,keyasint" json:"fence_complete_ms"` // 0: no fence, or not complete
 	FenceWaits      []fleet.FenceWait    `cbor:"7,keyasint" json:"fence_waits_for"`
 	Leader          string               `cbor:"8,keyasint" json:"leader"`
 	Voters          []VoterStatus        `cbor:"9,keyasint" json:"voters"`
 	Members         []fleet.MemberStatus `cbor:"10,keyasint" json:"members"`
 }
 
-// VoterStatus is one voter's as the leader sees it.
+// VoterStatus is a voter's status as the leader sees it.
 type VoterStatus struct {
 	Name         string  `cbor:"1,keyasint" json:"name"`
-	SinceContact float64 `cbor:"2,keyasint" json:"heard_ms_ago"` // below 0: not since the leader's election
+	SinceContact float64 `cbor:"2,keyasint" json:"heard_ms_ago"` // below 0: no contact since the leader's election
 }
 
-// Local is what one member knows itself, council or none.
+// LocalStatus is what one member knows itself, with or without a leader.
 type LocalStatus struct {
 	Member         string  `cbor:"1,keyasint" json:"member"`
 	LastSeq        uint64  `cbor:"2,keyasint" json:"entries"`
@@ -158,29 +161,31 @@
 	PendingRestart string  `cbor:"11,keyasint" json:"waits_for_a_restart,omitempty"`
 }
 
-// Council is the part of a process that votes, where it has one.
+// VoterService is the voter of a process, if it has one.
 type VoterService interface {
 	HandleRaftMessages(RaftMessages)
 	HandleHello(Hello) HelloReply
-	// Beat passes on to the leader what it cannot answer, unless that came via a voter already.
+	// HandleHeartbeat forwards a heartbeat to the leader if this voter is not the leader, unless it was
+	// forwarded already.
 	HandleHeartbeat(ctx context.Context, b fleet.Heartbeat, via bool) HeartbeatReply
 	HandleEntries(context.Context, EntriesRequest) EntriesReply
-	// Ask answers as the leader; NoLeader if it does not lead.
+	// HandleAdmin answers if this voter is the leader, and otherwise returns NoLeader.
 	HandleAdmin(context.Context, AdminRequest) AdminReply
-	// State says in a few words how it votes, and which seat it asks for if it has lost its own.
+	// Status returns a short status text, and the raft ID that the voter requests after the loss of its
+	// directory.
 	Status() (string, uint64)
 	Close()
 }
 
-// Member is the part that follows.
+// MemberService is the member of a process.
 type MemberService interface {
 	HandleAdmin(context.Context, AdminRequest) AdminReply
 }
 
-// ErrElsewhere: the message is of another fleet or format.
+// ErrFleetMismatch means that the message is of another fleet or format.
 var ErrFleetMismatch = errors.New("of another fleet or format")
 
-// Server answers at a member's address.
+// Server serves the calls at a member's address.
 type Server struct {
 	header   Header
 	voter    VoterService // nil: none
@@ -192,13 +197,13 @@
 	wg       sync.WaitGroup
 }
 
-// Serve answers on a listener until Close, so many calls at once at most.
+// Serve serves a listener until Close, with at most maxConcurrent calls at once.
 func Serve(l net.Listener, name string, maxConcurrent int, voter VoterService, member MemberService) *Server {
 	s := &Server{header: Header{name, fleet.FormatVersion}, voter: voter, member: member, listener: l}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.server = &fasthttp.Server{Handler: s.handle, Concurrency: maxConcurrent, ReadTimeout: readTimeout, WriteTimeout: readTimeout,
 		IdleTimeout: 3 * readTimeout, ReadBufferSize: maxHeaderBytes, MaxRequestBodySize: maxBodyBytes, NoDefaultServerHeader: true, SecureErrorLogMessage: true, Logger: silentLogger{}}
-	s.wg.Go(func() { _ = s.server.Serve(l) }) // ends when it is closed
+	s.wg.Go(func() { _ = s.server.Serve(l) }) // returns when the listener is closed
 	return s
 }
 
@@ -210,7 +215,7 @@
 func (s *Server) Close() {
 	s.cancel()
 	s.listener.Close()
-	_ = s.server.ShutdownWithContext(shutdownContext()) // what is under way is cut off
+	_ = s.server.ShutdownWithContext(shutdownContext()) // cuts off calls in progress
 	s.wg.Wait()
 }
 
@@ -258,11 +263,12 @@
 		ctx.Error(fmt.Sprintf("this is the fleet %q, format %d\n", s.header.Fleet, s.header.Format), fasthttp.StatusConflict)
 		return
 	}
-	// Not copied: the buffer of each connection would keep the size of its largest answer, a part of a snapshot.
+	// Not copied: the buffer of each connection would keep the size of its largest reply, a part of a
+	// snapshot.
 	ctx.Response.SetBodyRaw(fleet.Encode(handle(m)))
 }
 
-// Client calls other processes of the fleet. Each call is made once.
+// Client calls other processes of the fleet. It sends each call once.
 type Client struct {
 	header     Header
 	addressMap map[string]string
@@ -274,32 +280,32 @@
 	calls, readBytes, writtenBytes atomic.Uint64
 }
 
-// Traffic counts the calls that were made and the bytes that were read and written for them, from the first on.
+// Traffic returns the number of calls made so far, and the bytes read and written for them.
 func (c *Client) Traffic() (calls, read, written uint64) {
 	return c.calls.Load(), c.readBytes.Load(), c.writtenBytes.Load()
 }
 
-// dialed is a connection that the client's end closes.
+// trackedConn is a connection that Client.Close closes.
 type trackedConn struct {
 	net.Conn
 	client *Client
 }
 
-// Read counts what comes.
+// Read counts the bytes read.
 func (d *trackedConn) Read(p []byte) (int, error) {
 	n, err := d.Conn.Read(p)
 	d.client.readBytes.Add(uint64(n))
 	return n, err
 }
 
-// Write counts what goes.
+// Write counts the bytes written.
 func (d *trackedConn) Write(p []byte) (int, error) {
 	n, err := d.Conn.Write(p)
 	d.client.writtenBytes.Add(uint64(n))
 	return n, err
 }
 
-// Close ends it.
+// Close removes the connection from the client.
 func (d *trackedConn) Close() error {
 	d.client.mu.Lock()
 	delete(d.client.conns, d)
@@ -307,8 +313,8 @@
 	return d.Conn.Close()
 }
 
-// NewClient speaks for the named fleet. Via tells where addresses are found from here; those that it lacks are found where
-// they are.
+// NewClient returns a client for the named fleet. It dials the addresses in addressMap in place of its keys,
+// and other addresses as they are.
 func NewClient(name string, addressMap map[string]string) *Client {
 	c := &Client{header: Header{name, fleet.FormatVersion}, addressMap: addressMap, conns: map[*trackedConn]bool{}}
 	c.http = &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
@@ -340,7 +346,7 @@
 	return d, nil
 }
 
-// Close ends all connections, and with them the calls that are under way; none is made any longer.
+// Close closes all connections, which ends the calls in progress. No further calls are made.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -354,7 +360,7 @@
 	}
 }
 
-// call posts one message and reads its answer, all within a time.
+// call posts one message and reads the reply, within the timeout.
 func call[A any](c *Client, addr, path string, timeout time.Duration, msg any) (reply A, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -380,44 +386,45 @@
 	return reply, nil
 }
 
-// Vote brings another voter messages.
+// SendRaftMessages sends raft messages to another voter.
 func (c *Client) SendRaftMessages(addr string, msgs RaftMessages, timeout time.Duration) error {
 	msgs.Header = c.header
 	_, err := call[bool](c, addr, pathRaft, timeout, msgs)
 	return err
 }
 
-// Hello asks another voter whether it knows this one.
+// Hello asks another voter which starts of this one it knows.
 func (c *Client) Hello(addr string, h Hello, timeout time.Duration) (HelloReply, error) {
 	h.Header = c.header
 	return call[HelloReply](c, addr, pathHello, timeout, h)
 }
 
-// Beat brings a member's beat to a voter.
+// Heartbeat sends a member's heartbeat to a voter.
 func (c *Client) Heartbeat(addr string, hb fleet.Heartbeat, forwarded bool, timeout time.Duration) (HeartbeatReply, error) {
 	return call[HeartbeatReply](c, addr, pathHeartbeat, timeout, heartbeatRequest{c.header, hb, forwarded})
 }
 
-// Entries asks a voter for what comes after.
+// Entries requests entries from a voter.
 func (c *Client) Entries(addr string, req EntriesRequest, timeout time.Duration) (EntriesReply, error) {
 	req.Header = c.header
 	return call[EntriesReply](c, addr, pathEntries, timeout, req)
 }
 
-// Ask asks a member as an operator does.
+// Admin sends an operator's request to a member.
 func (c *Client) Admin(addr string, req AdminRequest, timeout time.Duration) (AdminReply, error) {
 	req.Header = c.header
 	return call[AdminReply](c, addr, pathAdmin, timeout, req)
 }
 
-// There finds out what of a silent member is left: an error tells whether its address or its process is gone.
+// Probe connects to a silent member. The error tells whether it cannot be reached, or accepts the connection
+// without an answer.
 func (c *Client) Probe(addr string, timeout time.Duration) (connects bool, err error) {
 	conn, err := c.dial(addr, timeout)
 	if err != nil {
 		return false, fmt.Errorf("%s: %w", addr, err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(timeout)) // an error shows in what follows
+	_ = conn.SetDeadline(time.Now().Add(timeout)) // a failure shows in the next call
 	if _, err = io.WriteString(conn, "POST "+pathProbe+" HTTP/1.1\r\nHost: fleet\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); err == nil {
 		_, err = conn.Read(make([]byte, 1))
 	}
