--- a/internal/consensus/disk_store_test.go
+++ b/internal/consensus/disk_store_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestDisk: what was saved is there at the next start, an overruled suffix is not.
-func TestDisk(t *testing.T) {
+func TestDiskStore(t *testing.T) {
 	dir := t.TempDir()
 	d, _, _, fresh, err := OpenDiskStore(dir, "v")
 	if err != nil || !fresh {
@@ -46,9 +46,9 @@
 		}
 	}
 	check(d.Close())
-	d, kept, starts, fresh, err := OpenDiskStore(dir, "v")
-	if err != nil || fresh || starts != 1 || kept.HardState.GetTerm() != 2 || kept.HardState.GetVote() != 9 || len(kept.Entries) != 2 || string(kept.Entries[1].GetData()) != "other" {
-		t.Fatalf("%v %v %d %+v", err, fresh, starts, kept)
+	d, persisted, starts, fresh, err := OpenDiskStore(dir, "v")
+	if err != nil || fresh || starts != 1 || persisted.HardState.GetTerm() != 2 || persisted.HardState.GetVote() != 9 || len(persisted.Entries) != 2 || string(persisted.Entries[1].GetData()) != "other" {
+		t.Fatalf("%v %v %d %+v", err, fresh, starts, persisted)
 	}
 	check(d.Close())
 	if _, _, _, _, err := OpenDiskStore(dir, "w"); err == nil {
@@ -57,7 +57,7 @@
 }
 
 // TestCompacted: a folder that was compacted, a start after it, and a snapshot larger than one record.
-func TestCompacted(t *testing.T) {
+func TestDiskStoreCompaction(t *testing.T) {
 	dir := t.TempDir()
 	d, _, _, _, err := OpenDiskStore(dir, "v")
 	if err != nil {
@@ -69,9 +69,9 @@
 		d.Compact(big, 1), d.Save(nil, []*pb.Entry{entry(5, 2, "d")}, nil), d.Close()); err != nil {
 		t.Fatal(err)
 	}
-	d, kept, _, _, err := OpenDiskStore(dir, "v")
-	if err != nil || d.RaftID() != 5 || len(kept.Snapshot.GetData()) != len(big.GetData()) || len(kept.Entries) != 2 || kept.Entries[1].GetIndex() != 5 {
-		t.Fatalf("%v %+v", err, kept.Entries)
+	d, persisted, _, _, err := OpenDiskStore(dir, "v")
+	if err != nil || d.RaftID() != 5 || len(persisted.Snapshot.GetData()) != len(big.GetData()) || len(persisted.Entries) != 2 || persisted.Entries[1].GetIndex() != 5 {
+		t.Fatalf("%v %+v", err, persisted.Entries)
 	}
 	// Thousands of entries: the oldest segments go, the whole stays.
 	text := string(bytes.Repeat([]byte("y"), 60<<10))
@@ -89,8 +89,8 @@
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
-	d, kept, _, _, err = OpenDiskStore(dir, "v")
-	if err != nil || kept.Entries[len(kept.Entries)-1].GetIndex() != 3999 {
+	d, persisted, _, _, err = OpenDiskStore(dir, "v")
+	if err != nil || persisted.Entries[len(persisted.Entries)-1].GetIndex() != 3999 {
 		t.Fatal(err)
 	}
 	if segments, err := os.ReadDir(filepath.Join(dir, DirName)); err != nil || len(segments) > maxSegments+2 {
@@ -100,7 +100,7 @@
 }
 
 // TestFlipped: a bit turned round in a folder is found, or changes nothing that was promised.
-func TestFlipped(t *testing.T) {
+func TestDiskStoreBitFlips(t *testing.T) {
 	dir := t.TempDir()
 	d, _, _, _, err := OpenDiskStore(dir, "v")
 	if err != nil {
@@ -115,7 +115,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	found, kept := 0, 0
+	found, unchanged := 0, 0
 	for at := range whole {
 		text := bytes.Clone(whole)
 		text[at] ^= 1 << (at % 8)
@@ -130,11 +130,11 @@
 		case fresh || starts != 7 || k.HardState.GetTerm() != 2 || k.HardState.GetVote() != 9 || len(k.Entries) != 2 || string(k.Entries[1].GetData()) != "b":
 			t.Errorf("byte %d turned round: %v, %d starts, %+v", at, fresh, starts, k)
 		default:
-			kept++
+			unchanged++
 		}
 		d.Close()
 	}
 	if found < len(whole)*9/10 { // only the last seal may go unseen
-		t.Errorf("%d of %d found, %d changed nothing", found, len(whole), kept)
+		t.Errorf("%d of %d found, %d changed nothing", found, len(whole), unchanged)
 	}
 }
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -12,27 +12,27 @@
 
 // TestLots: while members are admitted by the hundred, who follows is told in lots: its calls do not grow with the entries, and
 // none is missing. What comes alone is told at once.
-func TestLots(t *testing.T) {
+func TestEntriesInBatches(t *testing.T) {
 	began := time.Now()
 	now := func() float64 { return float64(time.Since(began))/1e6 + 1000 }
-	c, err := Start(Options{Fleet: "f", Name: "v", Address: "v", Voters: []fleet.Voter{{Name: "v", Address: "v"}}, Dir: t.TempDir(), Timing: figures, RunID: "r",
+	n, err := Start(Options{Fleet: "f", Name: "v", Address: "v", Voters: []fleet.Voter{{Name: "v", Address: "v"}}, Dir: t.TempDir(), Timing: timing, RunID: "r",
 		Seed: 1, Clock: now, UnixTime: now})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	ask := func(x fleet.Command) fleetrpc.AdminReply {
+	defer n.Close()
+	admin := func(x fleet.Command) fleetrpc.AdminReply {
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			if a := c.HandleAdmin(t.Context(), fleetrpc.AdminRequest{Command: x}); !a.NoLeader {
+			if a := n.HandleAdmin(t.Context(), fleetrpc.AdminRequest{Command: x}); !a.NoLeader {
 				return a
 			}
 		}
 		t.Fatalf("no answer to %+v", x)
 		return fleetrpc.AdminReply{}
 	}
-	ask(fleet.Command{Kind: fleet.PublishVersion, RequestID: "first", Text: []byte("{}")})
-	b := c.HandleEntries(t.Context(), fleetrpc.EntriesRequest{})
+	admin(fleet.Command{Kind: fleet.PublishVersion, RequestID: "first", Text: []byte("{}")})
+	b := n.HandleEntries(t.Context(), fleetrpc.EntriesRequest{})
 	s, err := fleet.Restore(b.SnapshotPart)
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 	follow := func(until uint64) {
 		t.Helper()
 		for s.LastSeq() < until {
-			b := c.HandleEntries(t.Context(), fleetrpc.EntriesRequest{AfterSeq: s.LastSeq(), Digest: s.Digest(), Wait: 2000})
+			b := n.HandleEntries(t.Context(), fleetrpc.EntriesRequest{AfterSeq: s.LastSeq(), Digest: s.Digest(), Wait: 2000})
 			calls++
 			for _, e := range b.Entries {
 				if err := s.ApplyEntry(e); err != nil {
@@ -59,7 +59,7 @@
 	go func() {
 		for k := range many {
 			name := fmt.Sprint("m", k)
-			c.HandleHeartbeat(context.Background(), fleet.Heartbeat{Fleet: "f", Format: fleet.FormatVersion, Member: name, Address: name, RunID: name, IsolationPolicy: fleet.ServeWhenIsolated, Lease: figures.Lease, Drift: figures.Drift}, false)
+			n.HandleHeartbeat(context.Background(), fleet.Heartbeat{Fleet: "f", Format: fleet.FormatVersion, Member: name, Address: name, RunID: name, IsolationPolicy: fleet.ServeWhenIsolated, Lease: timing.Lease, Drift: timing.Drift}, false)
 		}
 	}()
 	follow(1 + many)
@@ -69,7 +69,7 @@
 	}
 	time.Sleep(2 * burstInterval)
 	from = time.Now()
-	go c.HandleAdmin(context.Background(), fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.PublishVersion, RequestID: "alone", Text: []byte("{}")}})
+	go n.HandleAdmin(context.Background(), fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.PublishVersion, RequestID: "alone", Text: []byte("{}")}})
 	follow(2 + many)
 	if took := time.Since(from); took > batchInterval/2 {
 		t.Errorf("what comes alone is told after %v", took)
--- a/internal/fleet/catch_up_test.go
+++ b/internal/fleet/catch_up_test.go
@@ -7,7 +7,7 @@
 
 // TestFarBehind: what brings up a follower does not grow with how far it is behind: a history four times as long makes no larger
 // a snapshot, and from it the follower goes on with the next entry.
-func TestFarBehind(t *testing.T) {
+func TestCatchUpFromSnapshot(t *testing.T) {
 	size := map[int]int{}
 	for _, entries := range []int{1500, 6000} {
 		s := NewState("f")
--- a/internal/fleet/drift_test.go
+++ b/internal/fleet/drift_test.go
@@ -8,7 +8,7 @@
 // TestDrift: while a member's clock goes apart from the council's by no more than the bound, either way, a fence is told to be
 // complete only once the member acts on nothing older, however long its beats took. Beyond what both margins cover the promise
 // does not hold, and this shows that the margins are what carries it.
-func TestDrift(t *testing.T) {
+func TestClockDrift(t *testing.T) {
 	f := Timing{Beat: 250, Lease: 1000, Drift: 0.01}
 	for _, c := range []struct {
 		rate  float64 // of the member's clock
@@ -28,37 +28,37 @@
 				}
 			}
 			clock := func(now float64) float64 { return 7000 + c.rate*now }
-			b, m := NewLeaseManager(f, 0), NewLeaseHolder(f, "m", "1.0.0", StopWhenIsolated, s.Clone(), clock(0))
-			v, _ := m.NextVersion()
-			m.VersionApplied(v.Number)
+			leases, holder := NewLeaseManager(f, 0), NewLeaseHolder(f, "m", "1.0.0", StopWhenIsolated, s.Clone(), clock(0))
+			v, _ := holder.NextVersion()
+			holder.VersionApplied(v.Number)
 			last := 0.
 			for sent := 3000.; sent <= 6000; sent += f.Beat {
-				r, unknown := b.Heartbeat(sent+c.late, Heartbeat{Fleet: "f", Format: FormatVersion, Member: "m", Address: "a", RunID: "r", OwnsAddress: true, IsolationPolicy: StopWhenIsolated, LastSeq: s.LastSeq(), ActiveVersion: 1,
+				r, unknown := leases.Heartbeat(sent+c.late, Heartbeat{Fleet: "f", Format: FormatVersion, Member: "m", Address: "a", RunID: "r", OwnsAddress: true, IsolationPolicy: StopWhenIsolated, LastSeq: s.LastSeq(), ActiveVersion: 1,
 					Lease: f.Lease, Drift: f.Drift}, s)
 				if unknown || r.Granted == 0 {
 					t.Fatalf("%+v, unknown %v", r, unknown)
 				}
-				m.HandleRenewal(clock(sent), r)
+				holder.HandleRenewal(clock(sent), r)
 				last = sent + c.late
 			}
 			if _, _, err := s.Apply(Command{Kind: PublishVersion, Text: []byte("{}"), Fence: true}); err != nil { // the member is cut off and hears nothing of it
 				t.Fatal(err)
 			}
-			complete := last
-			for ; complete < last+2*f.Lease; complete += 0.05 {
-				if _, waits := b.FenceStatus(complete, complete, 2, s); len(waits) == 0 {
+			completeAt := last
+			for ; completeAt < last+2*f.Lease; completeAt += 0.05 {
+				if _, waits := leases.FenceStatus(completeAt, completeAt, 2, s); len(waits) == 0 {
 					break
 				}
 			}
-			if now := clock(last); m.AcceptUntil(now) <= now && c.late == 0 {
+			if now := clock(last); holder.AcceptUntil(now) <= now && c.late == 0 {
 				t.Error("it has no lease")
 			}
-			over := (m.AcceptUntil(clock(complete)) - 7000) / c.rate
-			if kept := over <= complete; kept != c.keeps {
-				t.Errorf("acts until %.2f, the fence is told to be complete at %.2f", over, complete)
+			leaseEnd := (holder.AcceptUntil(clock(completeAt)) - 7000) / c.rate
+			if safe := leaseEnd <= completeAt; safe != c.keeps {
+				t.Errorf("acts until %.2f, the fence is told to be complete at %.2f", leaseEnd, completeAt)
 			}
-			if complete > last+f.Lease*(1+f.Drift)+0.1 {
-				t.Errorf("complete %.1f ms after the last beat", complete-last)
+			if completeAt > last+f.Lease*(1+f.Drift)+0.1 {
+				t.Errorf("complete %.1f ms after the last beat", completeAt-last)
 			}
 		})
 	}
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -20,56 +20,56 @@
 )
 
 // modelBeat is one under way to the council, modelAnswer one on its way back.
-type modelBeat struct {
-	there bool
-	b     Heartbeat
-	sent  float64
+type modelHeartbeat struct {
+	inFlight  bool
+	heartbeat Heartbeat
+	sent      float64
 }
 
-type modelAnswer struct {
-	there bool
-	r     LeaseRenewal
-	sent  float64
+type modelReply struct {
+	inFlight bool
+	renewal  LeaseRenewal
+	sent     float64
 }
 
 type modelMember struct {
-	self   LeaseHolder
-	run    int
-	beat   modelBeat
-	answer modelAnswer
-	up     bool
+	holder    LeaseHolder
+	run       int
+	heartbeat modelHeartbeat
+	reply     modelReply
+	up        bool
 }
 
 // model is one state of the world.
 type model struct {
-	now     float64
-	state   int // of the council's history, by number in the states below
-	book    *LeaseManager
-	told    bool // the fence was told to be complete
-	elected int
-	crashes int
-	losses  int
-	members [modelMembers]modelMember
+	now           float64
+	state         int // of the council's history, by number in the states below
+	leases        *LeaseManager
+	fenceReported bool // the fence was told to be complete
+	elections     int
+	crashes       int
+	losses        int
+	members       [modelMembers]modelMember
 }
 
-var modelFigures = Timing{Beat: 1, Lease: 4, Drift: 0}
+var modelTiming = Timing{Beat: 1, Lease: 4, Drift: 0}
 
 // wrong changes what is checked, so that the check is seen to convict.
-type wrong struct {
-	fromReceipt bool // a lease counted from the answer's receipt
-	noElection  bool // a new leader takes nobody to have a lease
-	early       bool // a fence told when a majority has it
+type faultyVariant struct {
+	leaseFromReceipt bool // a lease counted from the answer's receipt
+	ignoresOldLeases bool // a new leader takes nobody to have a lease
+	fenceByMajority  bool // a fence told when a majority has it
 }
 
 type checker struct {
-	t      *testing.T
-	w      wrong
-	states []*State // before and after the publish that fences
-	seen   map[uint64]struct{}
-	seed   maphash.Seed
-	most   int
-	broken string
-	n      int // members
+	t         *testing.T
+	variant   faultyVariant
+	states    []*State // before and after the publish that fences
+	visited   map[uint64]struct{}
+	seed      maphash.Seed
+	maxStates int
+	violation string
+	members   int // members
 }
 
 func (lm *LeaseManager) clone() *LeaseManager {
@@ -85,16 +85,16 @@
 
 func (m *model) clone() *model {
 	c := *m
-	c.book = m.book.clone()
+	c.leases = m.leases.clone()
 	return &c
 }
 
 func modelName(k int) string { return fmt.Sprint("m", k) }
 
-func newChecker(t *testing.T, w wrong, n, most int) *checker {
-	c := &checker{t: t, n: n, w: w, seen: map[uint64]struct{}{}, seed: maphash.MakeSeed(), most: most}
+func newChecker(t *testing.T, variant faultyVariant, members, maxStates int) *checker {
+	c := &checker{t: t, members: members, variant: variant, visited: map[uint64]struct{}{}, seed: maphash.MakeSeed(), maxStates: maxStates}
 	s := NewState("f")
-	for k := range n {
+	for k := range members {
 		for _, run := range []string{"0", "1"} {
 			if _, _, err := s.Apply(Command{Kind: AdmitMember, Member: modelName(k), Address: modelName(k), IsolationPolicy: StopWhenIsolated, RunID: run}); err != nil {
 				t.Fatal(err)
@@ -110,9 +110,9 @@
 }
 
 func (c *checker) start() *model {
-	m := &model{now: 0, book: NewLeaseManager(modelFigures, 0)}
-	for k := range m.members[:c.n] {
-		m.members[k] = modelMember{up: true, self: *NewLeaseHolder(modelFigures, modelName(k), "1.0.0", StopWhenIsolated, c.states[0], 0)}
+	m := &model{now: 0, leases: NewLeaseManager(modelTiming, 0)}
+	for k := range m.members[:c.members] {
+		m.members[k] = modelMember{up: true, holder: *NewLeaseHolder(modelTiming, modelName(k), "1.0.0", StopWhenIsolated, c.states[0], 0)}
 	}
 	return m
 }
@@ -133,19 +133,19 @@
 		}
 		return 0
 	}
-	num(m.now, float64(m.state), float64(m.elected), float64(m.crashes), float64(m.losses), yes(m.told), rel(m.book.electedAt))
-	for k := range m.members[:c.n] {
+	num(m.now, float64(m.state), float64(m.elections), float64(m.crashes), float64(m.losses), yes(m.fenceReported), rel(m.leases.electedAt))
+	for k := range m.members[:c.members] {
 		x := &m.members[k]
-		num(yes(x.up), float64(x.run), rel(x.self.leaseExpiry), float64(x.self.activeVersion), float64(x.self.pendingVersion), float64(x.self.state.NewestVersion()), float64(x.self.fencedVersion),
-			yes(x.beat.there), yes(x.answer.there))
-		if x.beat.there {
-			num(rel(x.beat.sent), float64(x.beat.b.ActiveVersion))
-			h.WriteString(x.beat.b.RunID)
+		num(yes(x.up), float64(x.run), rel(x.holder.leaseExpiry), float64(x.holder.activeVersion), float64(x.holder.pendingVersion), float64(x.holder.state.NewestVersion()), float64(x.holder.fencedVersion),
+			yes(x.heartbeat.inFlight), yes(x.reply.inFlight))
+		if x.heartbeat.inFlight {
+			num(rel(x.heartbeat.sent), float64(x.heartbeat.heartbeat.ActiveVersion))
+			h.WriteString(x.heartbeat.heartbeat.RunID)
 		}
-		if x.answer.there {
-			num(rel(x.answer.sent), x.answer.r.Granted, float64(x.answer.r.FencedVersion))
+		if x.reply.inFlight {
+			num(rel(x.reply.sent), x.reply.renewal.Granted, float64(x.reply.renewal.FencedVersion))
 		}
-		for _, p := range m.book.processes[modelName(k)] {
+		for _, p := range m.leases.processes[modelName(k)] {
 			h.WriteString(p.heartbeat.RunID)
 			num(rel(p.leaseExpiry), rel(p.lastContact), float64(p.heartbeat.ActiveVersion))
 		}
@@ -156,17 +156,17 @@
 // explore goes through all that may happen, one step after another, until nothing new does or so many states were seen.
 func (c *checker) explore(first *model) (depth int) {
 	level := []*model{first}
-	c.seen[c.key(first)] = struct{}{}
-	for ; len(level) > 0 && len(c.seen) < c.most; depth++ {
+	c.visited[c.key(first)] = struct{}{}
+	for ; len(level) > 0 && len(c.visited) < c.maxStates; depth++ {
 		parts := make([][]*model, runtime.GOMAXPROCS(0))
 		keys := make([][]uint64, len(parts))
 		var wait sync.WaitGroup
 		for p := range parts {
 			wait.Go(func() {
 				for k := p; k < len(level); k += len(parts) {
-					c.after(level[k], func(m *model) {
+					c.successors(level[k], func(m *model) {
 						key := c.key(m)
-						if _, ok := c.seen[key]; !ok { // of earlier levels; nobody writes now
+						if _, ok := c.visited[key]; !ok { // of earlier levels; nobody writes now
 							parts[p], keys[p] = append(parts[p], m), append(keys[p], key)
 						}
 					})
@@ -177,10 +177,10 @@
 		level = level[:0]
 		for p, part := range parts {
 			for k, m := range part {
-				if _, ok := c.seen[keys[p][k]]; !ok {
-					c.seen[keys[p][k]] = struct{}{}
+				if _, ok := c.visited[keys[p][k]]; !ok {
+					c.visited[keys[p][k]] = struct{}{}
 					level = append(level, m)
-					if c.hold(m); c.broken != "" {
+					if c.checkFence(m); c.violation != "" {
 						return depth + 1
 					}
 				}
@@ -191,75 +191,75 @@
 }
 
 // after gives all that may come next.
-func (c *checker) after(m *model, each func(*model)) {
+func (c *checker) successors(m *model, each func(*model)) {
 	do := func(f func(m *model)) {
 		next := m.clone()
 		f(next)
 		each(next)
 	}
-	for k := range m.members[:c.n] {
+	for k := range m.members[:c.members] {
 		x := &m.members[k]
 		name := modelName(k)
-		if x.up && !x.beat.there && !x.answer.there {
+		if x.up && !x.heartbeat.inFlight && !x.reply.inFlight {
 			do(func(m *model) { // it sends a beat
 				y := &m.members[k]
-				y.beat = modelBeat{there: true, sent: m.now, b: Heartbeat{Fleet: "f", Format: FormatVersion, Member: name, Address: name, RunID: fmt.Sprint(y.run), OwnsAddress: true,
-					IsolationPolicy: StopWhenIsolated, LastSeq: y.self.state.LastSeq(), ActiveVersion: y.self.activeVersion, Lease: 4}}
+				y.heartbeat = modelHeartbeat{inFlight: true, sent: m.now, heartbeat: Heartbeat{Fleet: "f", Format: FormatVersion, Member: name, Address: name, RunID: fmt.Sprint(y.run), OwnsAddress: true,
+					IsolationPolicy: StopWhenIsolated, LastSeq: y.holder.state.LastSeq(), ActiveVersion: y.holder.activeVersion, Lease: 4}}
 			})
 		}
-		if x.beat.there {
+		if x.heartbeat.inFlight {
 			do(func(m *model) { // it arrives, and a majority says that the leader leads
 				y := &m.members[k]
-				r, _ := m.book.Heartbeat(m.now, y.beat.b, c.states[m.state])
-				if y.up && fmt.Sprint(y.run) == y.beat.b.RunID {
-					y.answer = modelAnswer{true, r, y.beat.sent}
+				r, _ := m.leases.Heartbeat(m.now, y.heartbeat.heartbeat, c.states[m.state])
+				if y.up && fmt.Sprint(y.run) == y.heartbeat.heartbeat.RunID {
+					y.reply = modelReply{true, r, y.heartbeat.sent}
 				}
-				y.beat = modelBeat{}
+				y.heartbeat = modelHeartbeat{}
 			})
 			if m.losses < 1 {
-				do(func(m *model) { m.members[k].beat, m.losses = modelBeat{}, m.losses+1 })
+				do(func(m *model) { m.members[k].heartbeat, m.losses = modelHeartbeat{}, m.losses+1 })
 			}
 		}
-		if x.answer.there {
+		if x.reply.inFlight {
 			do(func(m *model) { // the answer arrives, perhaps long after
 				y := &m.members[k]
-				sent := y.answer.sent
-				if c.w.fromReceipt {
+				sent := y.reply.sent
+				if c.variant.leaseFromReceipt {
 					sent = m.now
 				}
-				y.self.HandleRenewal(sent, y.answer.r)
-				y.answer = modelAnswer{}
+				y.holder.HandleRenewal(sent, y.reply.renewal)
+				y.reply = modelReply{}
 			})
 		}
-		if x.up && x.self.state.NewestVersion() < c.states[m.state].NewestVersion() {
+		if x.up && x.holder.state.NewestVersion() < c.states[m.state].NewestVersion() {
 			do(func(m *model) { // it hears of the newest version
 				y := &m.members[k]
-				y.self.state = c.states[m.state]
-				y.self.NextVersion()
+				y.holder.state = c.states[m.state]
+				y.holder.NextVersion()
 			})
 		}
-		if x.up && x.self.pendingVersion > 0 {
-			do(func(m *model) { m.members[k].self.VersionApplied(m.members[k].self.pendingVersion) })
+		if x.up && x.holder.pendingVersion > 0 {
+			do(func(m *model) { m.members[k].holder.VersionApplied(m.members[k].holder.pendingVersion) })
 		}
 		if x.up && m.crashes < 1 {
 			do(func(m *model) { // killed and started anew, its folder as it was or older
 				y := &m.members[k]
 				m.crashes++
 				y.run++
-				y.answer = modelAnswer{}
-				y.self = *NewLeaseHolder(modelFigures, name, "1.0.0", StopWhenIsolated, c.states[0], m.now)
+				y.reply = modelReply{}
+				y.holder = *NewLeaseHolder(modelTiming, name, "1.0.0", StopWhenIsolated, c.states[0], m.now)
 			})
 		}
 	}
 	if m.state == 0 {
 		do(func(m *model) { m.state = 1 })
 	}
-	if m.elected < 1 {
+	if m.elections < 1 {
 		do(func(m *model) { // another leader, which knows the history and nothing else; what was granted is under way still
-			m.elected++
-			m.book = NewLeaseManager(modelFigures, m.now)
-			if c.w.noElection {
-				m.book.electedAt = math.Inf(-1)
+			m.elections++
+			m.leases = NewLeaseManager(modelTiming, m.now)
+			if c.variant.ignoresOldLeases {
+				m.leases.electedAt = math.Inf(-1)
 			}
 		})
 	}
@@ -269,53 +269,53 @@
 }
 
 // hold checks that nobody can act on an older version once the fence was told to be complete, and tells it if it is.
-func (c *checker) hold(m *model) {
-	if m.state == 1 && !m.told {
-		at, waits := m.book.clone().FenceStatus(m.now, m.now+1, 1, c.states[1])
-		if c.w.early && len(waits) <= c.n/2 {
+func (c *checker) checkFence(m *model) {
+	if m.state == 1 && !m.fenceReported {
+		at, waits := m.leases.clone().FenceStatus(m.now, m.now+1, 1, c.states[1])
+		if c.variant.fenceByMajority && len(waits) <= c.members/2 {
 			at = m.now + 1
 		}
-		m.told = at > 0
+		m.fenceReported = at > 0
 	}
-	if !m.told {
+	if !m.fenceReported {
 		return
 	}
-	for k := range m.members[:c.n] {
-		if x := &m.members[k]; x.up && x.self.activeVersion < 1 && x.self.AcceptUntil(m.now) > m.now {
-			c.broken = fmt.Sprintf("at %g: %s acts on version 0 until %g, the fence of version 1 is told", m.now, modelName(k), x.self.AcceptUntil(m.now))
+	for k := range m.members[:c.members] {
+		if x := &m.members[k]; x.up && x.holder.activeVersion < 1 && x.holder.AcceptUntil(m.now) > m.now {
+			c.violation = fmt.Sprintf("at %g: %s acts on version 0 until %g, the fence of version 1 is told", m.now, modelName(k), x.holder.AcceptUntil(m.now))
 		}
 	}
 }
 
 func TestModel(t *testing.T) {
-	c := newChecker(t, wrong{}, modelMembers, 1_000_000)
+	c := newChecker(t, faultyVariant{}, modelMembers, 1_000_000)
 	depth := c.explore(c.start())
-	t.Logf("three members: %d states, all of up to %d steps", len(c.seen), depth-1)
-	if c.broken != "" {
-		t.Fatal(c.broken)
+	t.Logf("three members: %d states, all of up to %d steps", len(c.visited), depth-1)
+	if c.violation != "" {
+		t.Fatal(c.violation)
 	}
-	c = newChecker(t, wrong{}, 1, 300_000)
+	c = newChecker(t, faultyVariant{}, 1, 300_000)
 	depth = c.explore(c.start())
-	t.Logf("one member: %d states, %d steps", len(c.seen), depth)
-	if c.broken != "" {
-		t.Fatal(c.broken)
+	t.Logf("one member: %d states, %d steps", len(c.visited), depth)
+	if c.violation != "" {
+		t.Fatal(c.violation)
 	}
-	for what, w := range map[string]wrong{"a lease from receipt": {fromReceipt: true}, "no leases before an election": {noElection: true}, "a fence by majority": {early: true}} {
+	for what, variant := range map[string]faultyVariant{"a lease from receipt": {leaseFromReceipt: true}, "no leases before an election": {ignoresOldLeases: true}, "a fence by majority": {fenceByMajority: true}} {
 		n := 1
-		if w.early {
+		if variant.fenceByMajority {
 			n = 2
 		}
-		c := newChecker(t, w, n, 1_000_000)
+		c := newChecker(t, variant, n, 1_000_000)
 		depth := c.explore(c.start())
-		if c.broken == "" {
-			t.Errorf("%s: not convicted in %d states", what, len(c.seen))
+		if c.violation == "" {
+			t.Errorf("%s: not convicted in %d states", what, len(c.visited))
 		} else {
-			t.Logf("%s: after %d states and %d steps: %s", what, len(c.seen), depth, c.broken)
+			t.Logf("%s: after %d states and %d steps: %s", what, len(c.visited), depth, c.violation)
 		}
 	}
 }
 
-func TestHistory(t *testing.T) {
+func TestState(t *testing.T) {
 	s := NewState("f", Voter{"v", "a:1", 7})
 	var entries []Entry
 	must := func(c Command) Result {
@@ -402,7 +402,7 @@
 	}
 }
 
-func TestGates(t *testing.T) {
+func TestAcceptUntil(t *testing.T) {
 	f := Timing{Beat: 250, Lease: 1000, Drift: 0.01}
 	s := NewState("f")
 	apply := func(c Command) {
--- a/internal/fleetagent/agent_test.go
+++ b/internal/fleetagent/agent_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestFolder: what was written is there, what was spoilt counts as absent, and only one process writes.
-func TestFolder(t *testing.T) {
+func TestStateDir(t *testing.T) {
 	dir := t.TempDir()
 	s := fleet.NewState("f")
 	if _, _, err := s.Apply(fleet.Command{Kind: fleet.PublishVersion, RequestID: "r", Text: []byte("{}")}); err != nil {
@@ -64,7 +64,7 @@
 }
 
 // TestRecord: acts stand under the version in force at their moment.
-func TestRecord(t *testing.T) {
+func TestRunRecord(t *testing.T) {
 	g := NewLeaseGuard(NewClock(), "run")
 	g.Act(fleet.Deferred)
 	g.InForce(3)
