--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -14,7 +14,7 @@
 
 var timing = fleet.Timing{Beat: 250, Lease: 1000, Drift: 0.01}
 
-// memory is a store that may fail.
+// memStore is an in-memory store that can fail.
 type memStore struct {
 	persisted PersistedState
 	fails     bool
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// play is a council in virtual time.
+// testCluster is a consensus group in virtual time.
 type testCluster struct {
 	t        *testing.T
 	now      float64
@@ -110,12 +110,12 @@
 	tc.cores[k] = c
 }
 
-// until goes on until the condition holds, for as long as the span at most.
+// waitFor runs the cluster until the condition holds, and fails the test after the limit (ms).
 func (tc *testCluster) waitFor(limit float64, what string, cond func() bool) {
 	tc.t.Helper()
 	for end := tc.now + limit; !cond(); {
 		if tc.now > end {
-			tc.t.Fatalf("%.0f ms: %s does not come about", tc.now, what)
+			tc.t.Fatalf("at %.0f ms: timed out waiting for %s", tc.now, what)
 		}
 		tc.step()
 	}
@@ -161,7 +161,7 @@
 	return fleet.Command{Kind: fleet.PublishVersion, RequestID: request, Text: []byte(text)}
 }
 
-// same tells whether all that live have the same history up to n.
+// sameHistory reports whether all running voters have the same history, of at least n entries.
 func (tc *testCluster) sameHistory(n uint64) bool {
 	for _, c := range tc.cores {
 		if c != nil && (c.state.LastSeq() < n || c.state.Digest() != tc.leaderOr(c).state.Digest()) {
@@ -178,7 +178,7 @@
 	return c
 }
 
-// ask publishes again and again under one number until it is answered, as an operator does.
+// proposeUntilAnswered proposes a command under one request ID until it is answered, as an operator does.
 func (tc *testCluster) proposeUntilAnswered(c fleet.Command) (got fleet.Result) {
 	tc.t.Helper()
 	answered, inProgress := false, false
@@ -204,7 +204,7 @@
 		l := tc.leader()
 		var first error
 		l.Propose(tc.now, publish("r1", "{}"), func(_ fleet.Result, err error) { first = err })
-		for range seed % 8 { // at each point between the asking and the answer
+		for range seed % 8 { // at each point between the proposal and the reply
 			tc.step()
 		}
 		for k, c := range tc.cores {
@@ -214,7 +214,7 @@
 		}
 		got := tc.proposeUntilAnswered(publish("r1", "{}"))
 		if again := tc.proposeUntilAnswered(publish("r1", "{}")); got.Version != 1 || again.Version != 1 || !again.Duplicate {
-			t.Fatalf("seed %d: one request became %+v and %+v (first %v)", seed, got, again, first)
+			t.Fatalf("seed %d: one request gave %+v and then %+v (first proposal: %v)", seed, got, again, first)
 		}
 		for k, c := range tc.cores {
 			if c == nil {
@@ -225,8 +225,9 @@
 	}
 }
 
-// TestLeaderCutWithTwoDown: with two of five down, a leader that was cut off and then hears again has to give the third vote that
-// the others need, or to lead on if its log is the longest.
+// TestLeaderIsolatedWithTwoDown guards against a group of five that stays without a leader: two voters are
+// down, and the old leader, isolated and reconnected, must give the third vote that the others need, or lead
+// on if its log is the longest.
 func TestLeaderIsolatedWithTwoDown(t *testing.T) {
 	for seed := range uint64(10) {
 		tc := newTestCluster(t, 5, seed)
@@ -246,7 +247,7 @@
 		for end := tc.now + 3000; tc.now < end; {
 			tc.step()
 		}
-		if seed%2 == 1 { // its log goes on, so that nobody else can lead
+		if seed%2 == 1 { // its log grows, so that no other voter can lead
 			l.Propose(tc.now, publish("r", "{}"), func(fleet.Result, error) {})
 		}
 		for end := tc.now + 3000; tc.now < end; {
@@ -257,14 +258,15 @@
 	}
 }
 
-// TestReadings: beats by the hundred a second share the readings that confirm the leader: what it tells other voters does not
-// grow with them, and each beat is answered soon, once, with a lease. One voter of five stands still and one is cut off meanwhile.
+// TestHeartbeatsShareReads guards against messages to voters that grow with the heartbeats: hundreds of
+// heartbeats per second must share the reads that confirm the leader, and each must be answered once and soon
+// with a lease. One of five voters is paused and one is isolated meanwhile.
 func TestHeartbeatsShareReads(t *testing.T) {
 	sentMessages := map[int]int{}
-	for _, heartbeats := range []int{1, 20} { // beats in each 5 ms
+	for _, heartbeats := range []int{1, 20} { // in each 5 ms
 		tc := newTestCluster(t, 5, 3)
 		tc.waitFor(5000, "a leader", func() bool { return tc.leader() != nil })
-		tc.jitter = 0 // near one another: a reading could be over at once, and the next begun
+		tc.jitter = 0 // short delays: a read could complete at once, and the next one start
 		l := tc.leader()
 		lead := slices.Index(tc.cores, l)
 		paused, cut := (lead+1)%5, (lead+2)%5
@@ -282,7 +284,7 @@
 				l.Heartbeat(tc.now, fleet.Heartbeat{Fleet: "f", Format: fleet.FormatVersion, Member: "m", Address: "m", RunID: "r", IsolationPolicy: fleet.StopWhenIsolated, Lease: timing.Lease, Drift: timing.Drift},
 					func(r fleet.LeaseRenewal, err error) {
 						if err != nil || r.Granted == 0 {
-							t.Errorf("%+v %v", r, err)
+							t.Errorf("no lease granted: %+v, error %v", r, err)
 						}
 						answered++
 						maxDelay = max(maxDelay, tc.now-began)
@@ -299,12 +301,12 @@
 			tc.step()
 		}
 		if tc.leader() != l || answered != sent || maxDelay > readInterval+60 {
-			t.Errorf("%d beats in 5 ms: %d of %d answered, after %.0f ms at most", heartbeats, answered, sent, maxDelay)
+			t.Errorf("%d heartbeats per 5 ms: %d of %d answered, maximum delay %.0f ms", heartbeats, answered, sent, maxDelay)
 		}
 	}
-	t.Logf("messages of the leader by beats in 5 ms: %v", sentMessages)
+	t.Logf("messages of the leader by heartbeats per 5 ms: %v", sentMessages)
 	if sentMessages[20] > sentMessages[1]*5/4 || sentMessages[1] > 4*(1000/readInterval+1000/HeartbeatInterval+5) {
-		t.Errorf("messages of the leader by beats in 5 ms: %v", sentMessages)
+		t.Errorf("messages of the leader by heartbeats per 5 ms: %v", sentMessages)
 	}
 }
 
@@ -319,7 +321,7 @@
 		digests := map[uint64]fleet.Digest{}
 		for tc.now < 15000 {
 			tc.step()
-			if tc.now > next { // a fault, and a request
+			if tc.now > next { // a fault and a request
 				next = tc.now + 300*tc.rnd.Float64()
 				k := tc.rnd.IntN(n)
 				switch tc.rnd.IntN(8) {
@@ -338,13 +340,13 @@
 				}
 				if l := tc.leader(); l != nil {
 					asked++
-					request := fmt.Sprint("r", asked/2) // each twice
+					request := fmt.Sprint("r", asked/2) // each request twice
 					l.Propose(tc.now, publish(request, request), func(r fleet.Result, err error) {
 						if err != nil {
 							return
 						}
 						if was, ok := done[request]; ok && was != r.Version {
-							t.Fatalf("seed %d: %s is version %d and %d", seed, request, was, r.Version)
+							t.Fatalf("seed %d: request %s is version %d and %d", seed, request, was, r.Version)
 						}
 						done[request] = r.Version
 					})
@@ -355,7 +357,7 @@
 					continue
 				}
 				if d, ok := digests[c.state.LastSeq()]; ok && d != c.state.Digest() {
-					t.Fatalf("seed %d at %.0f: two histories up to %d", seed, tc.now, c.state.LastSeq())
+					t.Fatalf("seed %d at %.0f: different histories up to entry %d", seed, tc.now, c.state.LastSeq())
 				}
 				digests[c.state.LastSeq()] = c.state.Digest()
 			}
@@ -371,14 +373,14 @@
 		tc.waitFor(5000, fmt.Sprintf("seed %d: one history after the faults", seed), func() bool { return tc.leader() != nil && tc.sameHistory(0) })
 		for request, version := range done {
 			if v, ok := tc.cores[0].state.Version(version); !ok || string(v.Text) != request && len(v.Text) > 0 {
-				t.Fatalf("seed %d: %s was answered as version %d, which is %q", seed, request, version, v.Text)
+				t.Fatalf("seed %d: request %s was answered as version %d, whose text is %q", seed, request, version, v.Text)
 			}
 		}
 		if published += len(done); len(done) == 0 {
 			idle++
 		}
 	}
-	if idle > 10 || published < 300 { // as it is: 3 and 495
-		t.Errorf("%d of 60 storms published nothing, all together %d versions: they show little", idle, published)
+	if idle > 10 || published < 300 { // measured: 3 and 495
+		t.Errorf("%d of 60 runs published nothing, %d versions in total: too few for the test to be meaningful", idle, published)
 	}
 }
--- a/internal/consensus/disk_store_test.go
+++ b/internal/consensus/disk_store_test.go
@@ -17,7 +17,7 @@
 	return &pb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: []byte(data)}
 }
 
-// TestDisk: what was saved is there at the next start, an overruled suffix is not.
+// TestDiskStore checks that saved data is there at the next start, and an overridden suffix is not.
 func TestDiskStore(t *testing.T) {
 	dir := t.TempDir()
 	d, _, _, fresh, err := OpenDiskStore(dir, "v")
@@ -40,7 +40,8 @@
 		starts uint64
 		run    string
 		want   uint64
-	}{{3, "run", 2}, {3, "copy", 3}, {4, "next", 3}, {0, "empty", 4}} { // the same start again; an older folder; the next; an empty one
+		// the same start again; an outdated directory; the next start; an empty directory
+	}{{3, "run", 2}, {3, "copy", 3}, {4, "next", 3}, {0, "empty", 4}} {
 		if known, err := d.RecordPeerStart("w", c.starts, c.run); err != nil || known != c.want {
 			t.Errorf("%+v: known %d, %v", c, known, err)
 		}
@@ -52,11 +53,12 @@
 	}
 	check(d.Close())
 	if _, _, _, _, err := OpenDiskStore(dir, "w"); err == nil {
-		t.Error("another voter's folder is taken")
+		t.Error("another voter's directory is accepted")
 	}
 }
 
-// TestCompacted: a folder that was compacted, a start after it, and a snapshot larger than one record.
+// TestDiskStoreCompaction covers a compacted directory, a start after it, and a snapshot larger than one
+// record.
 func TestDiskStoreCompaction(t *testing.T) {
 	dir := t.TempDir()
 	d, _, _, _, err := OpenDiskStore(dir, "v")
@@ -73,7 +75,7 @@
 	if err != nil || d.RaftID() != 5 || len(persisted.Snapshot.GetData()) != len(big.GetData()) || len(persisted.Entries) != 2 || persisted.Entries[1].GetIndex() != 5 {
 		t.Fatalf("%v %+v", err, persisted.Entries)
 	}
-	// Thousands of entries: the oldest segments go, the whole stays.
+	// Thousands of entries: the oldest segments are dropped, the complete state remains.
 	text := string(bytes.Repeat([]byte("y"), 60<<10))
 	for index := uint64(6); index < 4000; index++ {
 		if err := d.Save(nil, []*pb.Entry{entry(index, 2, text)}, nil); err != nil {
@@ -94,12 +96,13 @@
 		t.Fatal(err)
 	}
 	if segments, err := os.ReadDir(filepath.Join(dir, DirName)); err != nil || len(segments) > maxSegments+2 {
-		t.Errorf("%d files: %v", len(segments), err)
+		t.Errorf("%d segment files, error %v", len(segments), err)
 	}
 	d.Close()
 }
 
-// TestFlipped: a bit turned round in a folder is found, or changes nothing that was promised.
+// TestDiskStoreBitFlips checks that a flipped bit in a directory is detected, or changes no acknowledged
+// data.
 func TestDiskStoreBitFlips(t *testing.T) {
 	dir := t.TempDir()
 	d, _, _, _, err := OpenDiskStore(dir, "v")
@@ -128,13 +131,13 @@
 			found++
 			continue
 		case fresh || starts != 7 || k.HardState.GetTerm() != 2 || k.HardState.GetVote() != 9 || len(k.Entries) != 2 || string(k.Entries[1].GetData()) != "b":
-			t.Errorf("byte %d turned round: %v, %d starts, %+v", at, fresh, starts, k)
+			t.Errorf("bit flip in byte %d: fresh %v, %d starts, %+v", at, fresh, starts, k)
 		default:
 			unchanged++
 		}
 		d.Close()
 	}
-	if found < len(whole)*9/10 { // only the last seal may go unseen
-		t.Errorf("%d of %d found, %d changed nothing", found, len(whole), unchanged)
+	if found < len(whole)*9/10 { // only damage to the last seal may go undetected
+		t.Errorf("%d of %d bit flips detected, %d changed nothing", found, len(whole), unchanged)
 	}
 }
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -10,8 +10,8 @@
 	"weldmast/internal/fleetrpc"
 )
 
-// TestLots: while members are admitted by the hundred, who follows is told in lots: its calls do not grow with the entries, and
-// none is missing. What comes alone is told at once.
+// TestEntriesInBatches guards against calls that grow with the entries: while hundreds of members are
+// admitted, a follower must get the entries in batches, and miss none. It must get a single entry at once.
 func TestEntriesInBatches(t *testing.T) {
 	began := time.Now()
 	now := func() float64 { return float64(time.Since(began))/1e6 + 1000 }
@@ -49,11 +49,11 @@
 				}
 			}
 			if len(b.Entries) == 0 {
-				t.Fatalf("nothing comes after entry %d: %+v", s.LastSeq(), b)
+				t.Fatalf("no entries after %d: %+v", s.LastSeq(), b)
 			}
 		}
 	}
-	time.Sleep(2 * burstInterval) // quiet
+	time.Sleep(2 * burstInterval) // the burst is over
 	const many = 120
 	from := time.Now()
 	go func() {
@@ -64,14 +64,14 @@
 	}()
 	follow(1 + many)
 	most := int(time.Since(from)/(batchInterval/2)) + 5
-	if t.Logf("%d entries by %d calls in %v", many, calls, time.Since(from)); calls > most {
-		t.Errorf("%d entries came by %d calls in %v, wanted %d at most", many, calls, time.Since(from), most)
+	if t.Logf("%d entries in %d calls within %v", many, calls, time.Since(from)); calls > most {
+		t.Errorf("%d entries took %d calls in %v, want at most %d", many, calls, time.Since(from), most)
 	}
 	time.Sleep(2 * burstInterval)
 	from = time.Now()
 	go n.HandleAdmin(context.Background(), fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.PublishVersion, RequestID: "alone", Text: []byte("{}")}})
 	follow(2 + many)
 	if took := time.Since(from); took > batchInterval/2 {
-		t.Errorf("what comes alone is told after %v", took)
+		t.Errorf("a single entry arrived only after %v", took)
 	}
 }
--- a/internal/fleet/catch_up_test.go
+++ b/internal/fleet/catch_up_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestFarBehind: what brings up a follower does not grow with how far it is behind: a history four times as long makes no larger
-// a snapshot, and from it the follower goes on with the next entry.
+// TestCatchUpFromSnapshot guards against a catch-up whose size grows with how far a follower is behind: a
+// history four times as long must not make a larger snapshot, and the follower must continue from it with the
+// next entry.
 func TestCatchUpFromSnapshot(t *testing.T) {
 	size := map[int]int{}
 	for _, entries := range []int{1500, 6000} {
@@ -35,13 +36,13 @@
 			t.Fatal(err)
 		}
 		if err := follower.ApplyEntries([]Entry{*e}); err != nil || follower.State().Digest() != s.Digest() {
-			t.Errorf("%d entries behind: %v, at %s of %s", entries, err, follower.State().Digest(), s.Digest())
+			t.Errorf("%d entries behind: error %v, digest %s, want %s", entries, err, follower.State().Digest(), s.Digest())
 		}
 		if v, ok := follower.NextVersion(); !ok || v.Number != s.NewestVersion() {
-			t.Errorf("%d entries behind: version %d is next, the newest is %d", entries, v.Number, s.NewestVersion())
+			t.Errorf("%d entries behind: next version is %d, newest is %d", entries, v.Number, s.NewestVersion())
 		}
 	}
 	if size[6000] > size[1500]*102/100 {
-		t.Errorf("snapshots: %v", size)
+		t.Errorf("snapshot size grows with the history: %v", size)
 	}
 }
--- a/internal/fleet/drift_test.go
+++ b/internal/fleet/drift_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// TestDrift: while a member's clock goes apart from the council's by no more than the bound, either way, a fence is told to be
-// complete only once the member acts on nothing older, however long its beats took. Beyond what both margins cover the promise
-// does not hold, and this shows that the margins are what carries it.
+// TestClockDrift checks that a fence is reported complete only once the member no longer acts on an older
+// version, for clocks that drift apart by up to the bound in either direction and for any heartbeat delay.
+// Beyond what both margins cover the guarantee fails, which shows that the margins provide it.
 func TestClockDrift(t *testing.T) {
 	f := Timing{Beat: 250, Lease: 1000, Drift: 0.01}
 	for _, c := range []struct {
 		rate  float64 // of the member's clock
-		late  float64 // a beat takes so long, and no answer comes sooner
+		late  float64 // delay of a heartbeat in ms; no reply comes sooner
 		keeps bool
 	}{
 		{1, 0, true}, {1, 400, true},
@@ -20,7 +20,7 @@
 		{1/(1+2*f.Drift) + 1e-4, 0, true}, // both margins
 		{1 - 3*f.Drift, 0, false}, {1 - 3*f.Drift, 400, true}, {1 + 3*f.Drift, 0, true},
 	} {
-		t.Run(fmt.Sprintf("rate %.4f, beats %g ms late", c.rate, c.late), func(t *testing.T) {
+		t.Run(fmt.Sprintf("clock rate %.4f, heartbeats delayed by %g ms", c.rate, c.late), func(t *testing.T) {
 			s := NewState("f")
 			for _, x := range []Command{{Kind: AdmitMember, Member: "m", Address: "a", IsolationPolicy: StopWhenIsolated, RunID: "r"}, {Kind: PublishVersion, Text: []byte("{}")}} {
 				if _, _, err := s.Apply(x); err != nil {
@@ -36,12 +36,13 @@
 				r, unknown := leases.Heartbeat(sent+c.late, Heartbeat{Fleet: "f", Format: FormatVersion, Member: "m", Address: "a", RunID: "r", OwnsAddress: true, IsolationPolicy: StopWhenIsolated, LastSeq: s.LastSeq(), ActiveVersion: 1,
 					Lease: f.Lease, Drift: f.Drift}, s)
 				if unknown || r.Granted == 0 {
-					t.Fatalf("%+v, unknown %v", r, unknown)
+					t.Fatalf("no lease granted: %+v, not admitted %v", r, unknown)
 				}
 				holder.HandleRenewal(clock(sent), r)
 				last = sent + c.late
 			}
-			if _, _, err := s.Apply(Command{Kind: PublishVersion, Text: []byte("{}"), Fence: true}); err != nil { // the member is cut off and hears nothing of it
+			// the member is isolated and does not learn of it
+			if _, _, err := s.Apply(Command{Kind: PublishVersion, Text: []byte("{}"), Fence: true}); err != nil {
 				t.Fatal(err)
 			}
 			completeAt := last
@@ -51,14 +52,14 @@
 				}
 			}
 			if now := clock(last); holder.AcceptUntil(now) <= now && c.late == 0 {
-				t.Error("it has no lease")
+				t.Error("the member has no lease")
 			}
 			leaseEnd := (holder.AcceptUntil(clock(completeAt)) - 7000) / c.rate
 			if safe := leaseEnd <= completeAt; safe != c.keeps {
-				t.Errorf("acts until %.2f, the fence is told to be complete at %.2f", leaseEnd, completeAt)
+				t.Errorf("member may act until %.2f, fence reported complete at %.2f", leaseEnd, completeAt)
 			}
 			if completeAt > last+f.Lease*(1+f.Drift)+0.1 {
-				t.Errorf("complete %.1f ms after the last beat", completeAt-last)
+				t.Errorf("fence complete only %.1f ms after the last heartbeat", completeAt-last)
 			}
 		})
 	}
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -11,15 +11,15 @@
 	"testing"
 )
 
-// A model check: three members and a council whose leader changes, in all interleavings of what may happen, up to a depth.
-// Time is a count of ticks; a lease lasts four.
+// A model check: three members and a consensus group whose leader changes, in all interleavings of possible
+// events up to a depth. Time is counted in ticks; a lease lasts four.
 
 const (
 	modelMembers = 3
 	modelTicks   = 9
 )
 
-// modelBeat is one under way to the council, modelAnswer one on its way back.
+// modelHeartbeat is a heartbeat in flight to the leader, modelReply a reply in flight to the member.
 type modelHeartbeat struct {
 	inFlight  bool
 	heartbeat Heartbeat
@@ -40,12 +40,12 @@
 	up        bool
 }
 
-// model is one state of the world.
+// model is one state of the model.
 type model struct {
 	now           float64
-	state         int // of the council's history, by number in the states below
+	state         int // of the leader's history: index into checker.states
 	leases        *LeaseManager
-	fenceReported bool // the fence was told to be complete
+	fenceReported bool // the fence was reported complete
 	elections     int
 	crashes       int
 	losses        int
@@ -54,22 +54,22 @@
 
 var modelTiming = Timing{Beat: 1, Lease: 4, Drift: 0}
 
-// wrong changes what is checked, so that the check is seen to convict.
+// faultyVariant introduces a fault that the check must detect.
 type faultyVariant struct {
-	leaseFromReceipt bool // a lease counted from the answer's receipt
-	ignoresOldLeases bool // a new leader takes nobody to have a lease
-	fenceByMajority  bool // a fence told when a majority has it
+	leaseFromReceipt bool // the lease runs from the receipt of the reply
+	ignoresOldLeases bool // a new leader ignores leases granted before its election
+	fenceByMajority  bool // a fence is reported complete once a majority has the version
 }
 
 type checker struct {
 	t         *testing.T
 	variant   faultyVariant
-	states    []*State // before and after the publish that fences
+	states    []*State // before and after the publication of the fenced version
 	visited   map[uint64]struct{}
 	seed      maphash.Seed
 	maxStates int
 	violation string
-	members   int // members
+	members   int // number of members
 }
 
 func (lm *LeaseManager) clone() *LeaseManager {
@@ -117,7 +117,7 @@
 	return m
 }
 
-// key is all that the future depends on, in times from now.
+// key hashes everything that the future depends on, with times relative to now.
 func (c *checker) key(m *model) uint64 {
 	var h maphash.Hash
 	h.SetSeed(c.seed)
@@ -153,7 +153,7 @@
 	return h.Sum64()
 }
 
-// explore goes through all that may happen, one step after another, until nothing new does or so many states were seen.
+// explore visits all states breadth first, until there are no new ones or maxStates were visited.
 func (c *checker) explore(first *model) (depth int) {
 	level := []*model{first}
 	c.visited[c.key(first)] = struct{}{}
@@ -166,7 +166,7 @@
 				for k := p; k < len(level); k += len(parts) {
 					c.successors(level[k], func(m *model) {
 						key := c.key(m)
-						if _, ok := c.visited[key]; !ok { // of earlier levels; nobody writes now
+						if _, ok := c.visited[key]; !ok { // from earlier levels; no concurrent writes
 							parts[p], keys[p] = append(parts[p], m), append(keys[p], key)
 						}
 					})
@@ -190,7 +190,7 @@
 	return depth
 }
 
-// after gives all that may come next.
+// successors generates all states that can follow.
 func (c *checker) successors(m *model, each func(*model)) {
 	do := func(f func(m *model)) {
 		next := m.clone()
@@ -201,14 +201,14 @@
 		x := &m.members[k]
 		name := modelName(k)
 		if x.up && !x.heartbeat.inFlight && !x.reply.inFlight {
-			do(func(m *model) { // it sends a beat
+			do(func(m *model) { // the member sends a heartbeat
 				y := &m.members[k]
 				y.heartbeat = modelHeartbeat{inFlight: true, sent: m.now, heartbeat: Heartbeat{Fleet: "f", Format: FormatVersion, Member: name, Address: name, RunID: fmt.Sprint(y.run), OwnsAddress: true,
 					IsolationPolicy: StopWhenIsolated, LastSeq: y.holder.state.LastSeq(), ActiveVersion: y.holder.activeVersion, Lease: 4}}
 			})
 		}
 		if x.heartbeat.inFlight {
-			do(func(m *model) { // it arrives, and a majority says that the leader leads
+			do(func(m *model) { // it arrives, and a quorum confirms the leader
 				y := &m.members[k]
 				r, _ := m.leases.Heartbeat(m.now, y.heartbeat.heartbeat, c.states[m.state])
 				if y.up && fmt.Sprint(y.run) == y.heartbeat.heartbeat.RunID {
@@ -221,7 +221,7 @@
 			}
 		}
 		if x.reply.inFlight {
-			do(func(m *model) { // the answer arrives, perhaps long after
+			do(func(m *model) { // the reply arrives, possibly much later
 				y := &m.members[k]
 				sent := y.reply.sent
 				if c.variant.leaseFromReceipt {
@@ -232,7 +232,7 @@
 			})
 		}
 		if x.up && x.holder.state.NewestVersion() < c.states[m.state].NewestVersion() {
-			do(func(m *model) { // it hears of the newest version
+			do(func(m *model) { // the member receives the newest version
 				y := &m.members[k]
 				y.holder.state = c.states[m.state]
 				y.holder.NextVersion()
@@ -242,7 +242,7 @@
 			do(func(m *model) { m.members[k].holder.VersionApplied(m.members[k].holder.pendingVersion) })
 		}
 		if x.up && m.crashes < 1 {
-			do(func(m *model) { // killed and started anew, its folder as it was or older
+			do(func(m *model) { // killed and restarted, with its directory unchanged or older
 				y := &m.members[k]
 				m.crashes++
 				y.run++
@@ -255,7 +255,7 @@
 		do(func(m *model) { m.state = 1 })
 	}
 	if m.elections < 1 {
-		do(func(m *model) { // another leader, which knows the history and nothing else; what was granted is under way still
+		do(func(m *model) { // a new leader, which knows only the history; earlier replies are still in flight
 			m.elections++
 			m.leases = NewLeaseManager(modelTiming, m.now)
 			if c.variant.ignoresOldLeases {
@@ -268,7 +268,8 @@
 	}
 }
 
-// hold checks that nobody can act on an older version once the fence was told to be complete, and tells it if it is.
+// checkFence checks that no member can act on an older version once the fence was reported complete, and
+// reports the fence if it is complete.
 func (c *checker) checkFence(m *model) {
 	if m.state == 1 && !m.fenceReported {
 		at, waits := m.leases.clone().FenceStatus(m.now, m.now+1, 1, c.states[1])
@@ -282,7 +283,7 @@
 	}
 	for k := range m.members[:c.members] {
 		if x := &m.members[k]; x.up && x.holder.activeVersion < 1 && x.holder.AcceptUntil(m.now) > m.now {
-			c.violation = fmt.Sprintf("at %g: %s acts on version 0 until %g, the fence of version 1 is told", m.now, modelName(k), x.holder.AcceptUntil(m.now))
+			c.violation = fmt.Sprintf("at %g: %s may act on version 0 until %g, but the fence of version 1 was reported complete", m.now, modelName(k), x.holder.AcceptUntil(m.now))
 		}
 	}
 }
@@ -290,7 +291,7 @@
 func TestModel(t *testing.T) {
 	c := newChecker(t, faultyVariant{}, modelMembers, 1_000_000)
 	depth := c.explore(c.start())
-	t.Logf("three members: %d states, all of up to %d steps", len(c.visited), depth-1)
+	t.Logf("three members: %d states, complete up to %d steps", len(c.visited), depth-1)
 	if c.violation != "" {
 		t.Fatal(c.violation)
 	}
@@ -300,7 +301,7 @@
 	if c.violation != "" {
 		t.Fatal(c.violation)
 	}
-	for what, variant := range map[string]faultyVariant{"a lease from receipt": {leaseFromReceipt: true}, "no leases before an election": {ignoresOldLeases: true}, "a fence by majority": {fenceByMajority: true}} {
+	for what, variant := range map[string]faultyVariant{"lease runs from receipt": {leaseFromReceipt: true}, "leases before the election ignored": {ignoresOldLeases: true}, "fence complete by majority": {fenceByMajority: true}} {
 		n := 1
 		if variant.fenceByMajority {
 			n = 2
@@ -308,9 +309,9 @@
 		c := newChecker(t, variant, n, 1_000_000)
 		depth := c.explore(c.start())
 		if c.violation == "" {
-			t.Errorf("%s: not convicted in %d states", what, len(c.visited))
+			t.Errorf("%s: not detected in %d states", what, len(c.visited))
 		} else {
-			t.Logf("%s: after %d states and %d steps: %s", what, len(c.visited), depth, c.violation)
+			t.Logf("%s: detected after %d states and %d steps: %s", what, len(c.visited), depth, c.violation)
 		}
 	}
 }
@@ -333,20 +334,20 @@
 	first := must(Command{Kind: PublishVersion, RequestID: "2", Text: []byte(`{"mark":"a"}`), Fence: true})
 	again := must(Command{Kind: PublishVersion, RequestID: "2", Text: []byte(`{"mark":"a"}`), Fence: true})
 	if first.Version != 1 || again.Version != 1 || !again.Duplicate || s.LastSeq() != 2 {
-		t.Fatalf("one request: %+v, %+v, %d entries", first, again, s.LastSeq())
+		t.Fatalf("repeated request: first %+v, again %+v, %d entries", first, again, s.LastSeq())
 	}
 	for what, c := range map[string]Command{
-		"an older newest":      {Kind: PublishVersion, RequestID: "x", ExpectedNewestPlus1: 1},
-		"a text too long":      {Kind: PublishVersion, RequestID: "x", Text: make([]byte, MaxTextBytes+1)},
-		"a least that is none": {Kind: PublishVersion, RequestID: "x", MinProgram: "new"},
-		"an unknown member":    {Kind: ExcludeMember, RequestID: "x", Member: "n"},
-		"no name":              {Kind: AdmitMember, RequestID: "x"},
-		"an unknown kind":      {Kind: 99, RequestID: "x"},
-		"the last voter":       {Kind: RemoveVoter, RequestID: "x", Member: "v"},
-		"a seat without one":   {Kind: AddVoter, RequestID: "x", Member: "w", Address: "a:3"},
+		"outdated expected version": {Kind: PublishVersion, RequestID: "x", ExpectedNewestPlus1: 1},
+		"text too long":             {Kind: PublishVersion, RequestID: "x", Text: make([]byte, MaxTextBytes+1)},
+		"invalid minimum program":   {Kind: PublishVersion, RequestID: "x", MinProgram: "new"},
+		"unknown member":            {Kind: ExcludeMember, RequestID: "x", Member: "n"},
+		"member without a name":     {Kind: AdmitMember, RequestID: "x"},
+		"unknown kind":              {Kind: 99, RequestID: "x"},
+		"removal of the last voter": {Kind: RemoveVoter, RequestID: "x", Member: "v"},
+		"voter without a raft ID":   {Kind: AddVoter, RequestID: "x", Member: "w", Address: "a:3"},
 	} {
 		if _, e, err := s.Apply(c); err == nil || e != nil {
-			t.Errorf("%s: taken", what)
+			t.Errorf("%s: not refused", what)
 		}
 	}
 	must(Command{Kind: ExcludeMember, RequestID: "3", Member: "m", IssuedAt: 9})
@@ -357,17 +358,17 @@
 		}
 	}
 	if f.Digest() != s.Digest() {
-		t.Fatal("two histories")
+		t.Fatal("digests differ after the same entries")
 	}
 	if m, _ := f.Member("m"); !m.Excluded || m.FirstAdmittedAt != 5 || m.ChangedAt != 9 {
-		t.Fatalf("%+v", m)
+		t.Fatalf("member after exclusion: %+v", m)
 	}
 	for what, change := range map[string]func(*Entry){
-		"another text":    func(e *Entry) { e.Command.Text = []byte("{}") },
-		"another before":  func(e *Entry) { e.PrevDigest[0]++ },
-		"another digest":  func(e *Entry) { e.Digest[0]++ },
-		"one left out":    func(e *Entry) { e.Seq++ },
-		"without a fence": func(e *Entry) { e.Command.Fence = false },
+		"changed text":            func(e *Entry) { e.Command.Text = []byte("{}") },
+		"changed previous digest": func(e *Entry) { e.PrevDigest[0]++ },
+		"changed digest":          func(e *Entry) { e.Digest[0]++ },
+		"skipped sequence number": func(e *Entry) { e.Seq++ },
+		"fence removed":           func(e *Entry) { e.Command.Fence = false },
 	} {
 		f := NewState("f", Voter{"v", "a:1", 7})
 		if err := f.ApplyEntry(entries[0]); err != nil {
@@ -376,7 +377,7 @@
 		e := entries[1]
 		change(&e)
 		if f.ApplyEntry(e) == nil || f.LastSeq() != 1 {
-			t.Errorf("%s: followed", what)
+			t.Errorf("%s: entry accepted", what)
 		}
 	}
 	text := s.Snapshot()
@@ -384,21 +385,21 @@
 	if err != nil || r.Digest() != s.Digest() || r.LastSeq() != s.LastSeq() {
 		t.Fatalf("restored: %v", err)
 	}
-	// Every bit of it counts: the digest is over all.
+	// Every bit counts: the digest covers the whole snapshot.
 	for k := 0; k < len(text); k += 7 {
 		flipped := slices.Clone(text)
 		flipped[k] ^= 4
 		if r, err := Restore(flipped); err == nil && r.Digest() == s.Digest() && string(r.Snapshot()) != string(text) {
-			t.Errorf("byte %d turned, and nobody saw", k)
+			t.Errorf("bit flip in byte %d not detected", k)
 		}
 	}
 	var x snapshot
 	if err := Decode(text, &x); err != nil {
 		t.Fatal(err)
 	}
-	x.State.Members = nil // as if its last entry had not been applied
+	x.State.Members = nil // as if the last entry had not been applied
 	if _, err := Restore(Encode(x)); err == nil {
-		t.Error("a snapshot without what its last entry did was taken")
+		t.Error("a snapshot that lacks the effect of its last entry was accepted")
 	}
 }
 
@@ -414,21 +415,21 @@
 	open := func(m *LeaseHolder, now float64, want bool, when string) {
 		t.Helper()
 		if got := m.AcceptUntil(now) > now; got != want {
-			t.Errorf("%s: open %v", when, got)
+			t.Errorf("%s: accepts work: %v", when, got)
 		}
 	}
 	stop := NewLeaseHolder(f, "m", "0.2.0", StopWhenIsolated, s.Clone(), 0)
 	serve := NewLeaseHolder(f, "m", "0.2.0", ServeWhenIsolated, s.Clone(), 0)
 	open(stop, 0, false, "stop, new")
-	open(serve, 0, false, "serve, new: the council has one lease's time")
-	open(stop, 1001, false, "stop, council silent")
-	open(serve, 1001, true, "serve, council silent")
+	open(serve, 0, false, "serve, new: waits one lease for the leader")
+	open(stop, 1001, false, "stop, leader silent")
+	open(serve, 1001, true, "serve, leader silent")
 	for _, m := range []*LeaseHolder{stop, serve} {
 		m.HandleRenewal(2000, LeaseRenewal{Granted: 1000})
 	}
-	open(stop, 2989, true, "stop, lease")
-	open(stop, 2991, false, "stop, lease over less the drift")
-	open(serve, 9000, true, "serve, lease over, nothing newer known")
+	open(stop, 2989, true, "stop, lease valid")
+	open(stop, 2991, false, "stop, lease expired less the drift")
+	open(serve, 9000, true, "serve, lease expired, nothing newer known")
 	serve.HandleRenewal(9000, LeaseRenewal{FencedVersion: 1})
 	open(serve, 9001, false, "serve, behind a fence")
 	apply(Command{Kind: PublishVersion, Text: []byte("{}"), Fence: true})
@@ -436,20 +437,20 @@
 	if v, ok := serve.NextVersion(); !ok || v.Number != 1 {
 		t.Fatal("no next version")
 	}
-	open(serve, 9001, false, "serve, the fence's version not yet in force")
+	open(serve, 9001, false, "serve, the fenced version not yet active")
 	serve.VersionApplied(1)
-	open(serve, 9001, true, "serve, the fence's version in force")
+	open(serve, 9001, true, "serve, the fenced version active")
 	apply(Command{Kind: ExcludeMember, Member: "m"})
 	serve.state = s.Clone()
 	serve.HandleRenewal(9100, LeaseRenewal{Granted: 1000})
-	open(serve, 9101, false, "serve, shut out")
+	open(serve, 9101, false, "serve, excluded")
 	apply(Command{Kind: AdmitMember, Member: "m"})
 	apply(Command{Kind: PublishVersion, Text: []byte("{}"), MinProgram: "0.3.0"})
 	serve.state = s.Clone()
 	if _, ok := serve.NextVersion(); ok {
-		t.Error("a version for a newer program is brought into force")
+		t.Error("a version for a newer program is to be activated")
 	}
 	if n, why := serve.RefusedVersion(); n != 2 || why == "" {
-		t.Errorf("refuses %d: %q", n, why)
+		t.Errorf("refused version %d, reason %q", n, why)
 	}
 }
--- a/internal/fleetagent/agent_test.go
+++ b/internal/fleetagent/agent_test.go
@@ -8,7 +8,8 @@
 	"weldmast/internal/fleet"
 )
 
-// TestFolder: what was written is there, what was spoilt counts as absent, and only one process writes.
+// TestStateDir checks that written data can be read, that a corrupt file counts as absent, and that only one
+// process writes.
 func TestStateDir(t *testing.T) {
 	dir := t.TempDir()
 	s := fleet.NewState("f")
@@ -21,7 +22,7 @@
 	f := openStateDir(dir)
 	f.write(s, []fleet.RunRecord{g.runRecord()})
 	other := openStateDir(dir)
-	other.write(fleet.NewState("f"), nil) // the folder is another process's
+	other.write(fleet.NewState("f"), nil) // the directory is locked by another process
 	read := func() (uint64, int) {
 		s, runs := openStateDir(dir).read("f")
 		return s.LastSeq(), len(runs)
@@ -30,7 +31,7 @@
 		t.Fatalf("read back: %d entries, %d runs", n, runs)
 	}
 	if s, _ := openStateDir(dir).read("g"); s.LastSeq() != 0 {
-		t.Error("another fleet's history is taken")
+		t.Error("another fleet's history is accepted")
 	}
 	for _, name := range []string{historyFile, recordFile} {
 		path := filepath.Join(dir, name)
@@ -45,7 +46,7 @@
 				t.Fatal(err)
 			}
 			if n, runs := read(); name == historyFile && n != 0 || name == recordFile && runs != 0 {
-				t.Fatalf("%s, byte %d turned round: it is taken", name, at)
+				t.Fatalf("%s: bit flip in byte %d not detected", name, at)
 			}
 		}
 		if err := os.WriteFile(path, whole[:len(whole)/2], 0o600); err != nil {
@@ -59,11 +60,11 @@
 	f.close()
 	other.write(s, nil)
 	if _, runs := read(); runs != 0 {
-		t.Error("a folder that is free again is not written")
+		t.Error("an unlocked directory is not written")
 	}
 }
 
-// TestRecord: acts stand under the version in force at their moment.
+// TestRunRecord checks that actions are counted under the version active at their time.
 func TestRunRecord(t *testing.T) {
 	g := NewLeaseGuard(NewClock(), "run")
 	g.Act(fleet.Deferred)
@@ -73,17 +74,17 @@
 	g.Act(fleet.HandedOff)
 	r := g.runRecord()
 	if len(r.Versions) != 2 || r.Versions[0].Counts[fleet.Deferred].Count != 1 || r.Versions[1].Version != 3 || r.Versions[1].Counts[fleet.HandedOff].Count != 2 {
-		t.Errorf("%+v", r)
+		t.Errorf("run record: %+v", r)
 	}
-	if g.Allowed() {
-		t.Error("a new gate is open")
+	if g.Open() {
+		t.Error("a new guard is open")
 	}
 	g.setOpenUntil(g.clock.Now() + 1e6)
 	if !g.Open() {
-		t.Error("shut")
+		t.Error("guard closed before its time")
 	}
 	g.close()
 	if g.Open() || !g.runRecord().CleanExit {
-		t.Error("ended, and open")
+		t.Error("guard open after close, or no clean exit recorded")
 	}
 }
--- a/internal/fleetagent/state_dir.go
+++ b/internal/fleetagent/state_dir.go
@@ -46,7 +46,7 @@
 	}
 	if text, err := d.readFile(historyFile); err == nil {
 		if stored, err := fleet.Restore(text); err != nil || stored.Fleet() != name {
-			d.logError(fmt.Errorf("%s: of no use: %w", historyFile, err))
+			d.logError(fmt.Errorf("%s: not usable: %w", historyFile, err))
 		} else {
 			s = stored
 		}
@@ -111,7 +111,7 @@
 		return nil, fmt.Errorf("fleet.folder: %w", err)
 	}
 	if len(b) < 4 || crc32.Checksum(b[4:], crcTable) != binary.BigEndian.Uint32(b) {
-		return nil, fmt.Errorf("fleet.folder: %s is not as it was written", name)
+		return nil, fmt.Errorf("fleet.folder: %s: checksum mismatch", name)
 	}
 	return b[4:], nil
 }
--- a/internal/fleetrpc/rpc.go
+++ b/internal/fleetrpc/rpc.go
@@ -378,7 +378,7 @@
 	case fasthttp.StatusConflict:
 		return reply, fmt.Errorf("%s: %w: %s", addr, ErrFleetMismatch, resp.Body())
 	default:
-		return reply, fmt.Errorf("%s: answered %d", addr, resp.StatusCode())
+		return reply, fmt.Errorf("%s: HTTP status %d", addr, resp.StatusCode())
 	}
 	if err = fleet.Decode(resp.Body(), &reply); err != nil {
 		return reply, fmt.Errorf("%s: %w", addr, err)
