--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -52,10 +52,12 @@
 
 // Errors returned to callers.
 var (
+	// ErrNotLeader means that another voter has to be asked.
 	ErrNotLeader = errors.New("this voter does not lead")
 	// ErrOutcomeUnknown means that the command may have been applied. Repeating the same request tells.
 	ErrOutcomeUnknown = errors.New("it is not known whether it was taken: ask again with the same request")
-	ErrVoterFailed    = errors.New("this voter has stopped voting")
+	// ErrVoterFailed means that the store failed, or that raft panicked and the voter stopped.
+	ErrVoterFailed = errors.New("this voter has stopped voting")
 )
 
 // InitialRaftID returns the raft ID of a voter that never lost its directory.
@@ -101,6 +103,7 @@
 	onConfirmed func(error) // set instead of heartbeat and reply
 }
 
+// proposal is a proposed command that waits for its result.
 type proposal struct {
 	command fleet.Command
 	done    func(fleet.Result, error)
@@ -413,9 +416,9 @@
 }
 
 // HistoryChanged reports whether the history changed since the last call.
-func (c *Core) HistoryChanged() (moved bool) {
-	moved, c.historyChanged = c.historyChanged, false
-	return moved
+func (c *Core) HistoryChanged() (changed bool) {
+	changed, c.historyChanged = c.historyChanged, false
+	return changed
 }
 
 // processReady handles raft's ready states. One that cannot be saved is retained, and nothing else continues
--- a/internal/fleet/actions.go
+++ b/internal/fleet/actions.go
@@ -16,6 +16,7 @@
 	numActions = iota
 )
 
+// String returns the name of the action, as operators see it.
 func (a Action) String() string { return [...]string{"handed off", "deferred", "answered"}[a] }
 
 // ActionCount counts the actions of one kind. Times are Unix milliseconds, 0 if there was no action.
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -36,6 +36,7 @@
 // Digest identifies a history up to an entry.
 type Digest [sha256.Size]byte
 
+// String returns the first 6 bytes in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:6]) }
 
 // CommandKind is what a command does.
@@ -51,6 +52,7 @@
 	RemoveVoter                           // removes a voter
 )
 
+// String returns the name of the kind, as operators see it.
 func (k CommandKind) String() string {
 	if k < AdmitMember || k > RemoveVoter {
 		return "unknown"
@@ -128,8 +130,8 @@
 }
 
 // HasRun reports whether a process of the member was admitted.
-func (m Member) HasRun(run string) bool {
-	return slices.ContainsFunc(m.Runs, func(b RunStart) bool { return b.RunID == run })
+func (m Member) HasRun(runID string) bool {
+	return slices.ContainsFunc(m.Runs, func(b RunStart) bool { return b.RunID == runID })
 }
 
 // Voter is a voting member of the consensus group.
@@ -167,10 +169,14 @@
 
 // Errors of this package.
 var (
+	// ErrMissingEntries means that entries before the given one have not been applied.
 	ErrMissingEntries = errors.New("entries are missing")
-	ErrDiverged       = errors.New("another history")
-	ErrRefused        = errors.New("refused")
-	ErrUnknownFormat  = errors.New("a form that this program does not know")
+	// ErrDiverged means that two histories differ.
+	ErrDiverged = errors.New("another history")
+	// ErrRefused means that a command is invalid in the current state.
+	ErrRefused = errors.New("refused")
+	// ErrUnknownFormat means that the encoding or its format version is not supported.
+	ErrUnknownFormat = errors.New("a form that this program does not know")
 )
 
 var encMode = func() cbor.EncMode {
--- a/internal/fleetagent/agent.go
+++ b/internal/fleetagent/agent.go
@@ -38,9 +38,9 @@
 	Voter           fleetrpc.VoterService // the voter of this process; nil: none
 	OwnsAddress     func() bool           // reports whether this process listens on the member's address
 	// ApplyVersion starts to activate a version. It calls applied once, from any goroutine, when no writes
-	// begun under an older version are outstanding; waits names the settings that need a restart. An error
+	// begun under an older version are outstanding; pendingRestart names the settings that need a restart. An error
 	// means that the version cannot be activated.
-	ApplyVersion func(v fleet.Version, applied func(waits string)) error
+	ApplyVersion func(v fleet.Version, applied func(pendingRestart string)) error
 	// CheckVersion reports whether a version's text could be activated here.
 	CheckVersion func(text []byte) error
 }
--- a/internal/fleetagent/lease_guard.go
+++ b/internal/fleetagent/lease_guard.go
@@ -47,8 +47,8 @@
 }
 
 // NewLeaseGuard returns a closed guard without recorded actions.
-func NewLeaseGuard(c Clock, run string) *LeaseGuard {
-	g := &LeaseGuard{clock: c, run: fleet.RunRecord{ID: run, StartedAt: c.UnixTime()}}
+func NewLeaseGuard(c Clock, runID string) *LeaseGuard {
+	g := &LeaseGuard{clock: c, run: fleet.RunRecord{ID: runID, StartedAt: c.UnixTime()}}
 	g.run.RecordVersion(g.run.StartedAt, 0)
 	g.setOpenUntil(math.Inf(-1))
 	return g
@@ -56,20 +56,20 @@
 
 func (g *LeaseGuard) setOpenUntil(until float64) { g.openUntil.Store(math.Float64bits(until)) }
 
-// Open reports whether new work may be taken and handed off now.
+// Allowed reports whether new work may be taken and handed off now.
 func (g *LeaseGuard) Open() bool {
 	until := math.Float64frombits(g.openUntil.Load())
 	return math.IsInf(until, 1) || !math.IsInf(until, -1) && g.clock.Now() < until
 }
 
-// InForce records that a version is active from now on.
+// VersionInForce records that a version is active from now on.
 func (g *LeaseGuard) InForce(version uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.run.RecordVersion(g.clock.UnixTime(), version)
 }
 
-// Act records an action under the active version.
+// RecordAction records an action under the active version.
 func (g *LeaseGuard) Act(a fleet.Action) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fleetrpc/rpc.go
+++ b/internal/fleetrpc/rpc.go
@@ -167,7 +167,7 @@
 	HandleHello(Hello) HelloReply
 	// HandleHeartbeat forwards a heartbeat to the leader if this voter is not the leader, unless it was
 	// forwarded already.
-	HandleHeartbeat(ctx context.Context, b fleet.Heartbeat, via bool) HeartbeatReply
+	HandleHeartbeat(ctx context.Context, hb fleet.Heartbeat, forwarded bool) HeartbeatReply
 	HandleEntries(context.Context, EntriesRequest) EntriesReply
 	// HandleAdmin answers if this voter is the leader, and otherwise returns NoLeader.
 	HandleAdmin(context.Context, AdminRequest) AdminReply
