--- a/internal/fleet/lease_manager.go
+++ b/internal/fleet/lease_manager.go
@@ -182,7 +182,7 @@
 		switch {
 		case p.heartbeat.ActiveVersion >= version || p.heartbeat.Leaving:
 			continue
-		// it is dead, or hands off no more work
+		// a newer process owns the address: p is dead, or hands off no more work
 		case slices.ContainsFunc(processes[k+1:], func(x *process) bool { return x.heartbeat.OwnsAddress }):
 			if w, waiting := waitForLease(p.leaseExpiry, "the lease of a process before"); waiting {
 				return w, true
--- a/internal/fleetagent/agent.go
+++ b/internal/fleetagent/agent.go
@@ -442,7 +442,7 @@
 	defer a.mu.Unlock()
 	s, now := a.holder.State(), a.opts.Clock.Now()
 	l := &fleetrpc.LocalStatus{Member: a.opts.Name, LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), ActiveVersion: a.holder.ActiveVersion(),
-		LeaseRemaining: max(a.holder.LeaseExpiry()-now, -1), AcceptsWork: a.guard.Open(), Problem: cmp.Or(a.followError, a.leaseRefusal), PendingRestart: a.pendingRestart}
+		LeaseRemaining: max(a.holder.LeaseExpiry()-now, -1), AcceptsWork: a.guard.Allowed(), Problem: cmp.Or(a.followError, a.leaseRefusal), PendingRestart: a.pendingRestart}
 	if n, reason := a.holder.RefusedVersion(); n > 0 {
 		l.RefusedVersion = fmt.Sprintf("version %d: %s", n, reason)
 	}
--- a/internal/fleetagent/agent_test.go
+++ b/internal/fleetagent/agent_test.go
@@ -17,8 +17,8 @@
 		t.Fatal(err)
 	}
 	g := NewLeaseGuard(NewClock(), "run")
-	g.InForce(1)
-	g.Act(fleet.HandedOff)
+	g.VersionInForce(1)
+	g.RecordAction(fleet.HandedOff)
 	f := openStateDir(dir)
 	f.write(s, []fleet.RunRecord{g.runRecord()})
 	other := openStateDir(dir)
@@ -67,24 +67,24 @@
 // TestRunRecord checks that actions are counted under the version active at their time.
 func TestRunRecord(t *testing.T) {
 	g := NewLeaseGuard(NewClock(), "run")
-	g.Act(fleet.Deferred)
-	g.InForce(3)
-	g.InForce(3)
-	g.Act(fleet.HandedOff)
-	g.Act(fleet.HandedOff)
+	g.RecordAction(fleet.Deferred)
+	g.VersionInForce(3)
+	g.VersionInForce(3)
+	g.RecordAction(fleet.HandedOff)
+	g.RecordAction(fleet.HandedOff)
 	r := g.runRecord()
 	if len(r.Versions) != 2 || r.Versions[0].Counts[fleet.Deferred].Count != 1 || r.Versions[1].Version != 3 || r.Versions[1].Counts[fleet.HandedOff].Count != 2 {
 		t.Errorf("run record: %+v", r)
 	}
-	if g.Open() {
+	if g.Allowed() {
 		t.Error("a new guard is open")
 	}
 	g.setOpenUntil(g.clock.Now() + 1e6)
-	if !g.Open() {
+	if !g.Allowed() {
 		t.Error("guard closed before its time")
 	}
 	g.close()
-	if g.Open() || !g.runRecord().CleanExit {
+	if g.Allowed() || !g.runRecord().CleanExit {
 		t.Error("guard open after close, or no clean exit recorded")
 	}
 }
--- a/internal/fleetagent/lease_guard.go
+++ b/internal/fleetagent/lease_guard.go
@@ -57,20 +57,20 @@
 func (g *LeaseGuard) setOpenUntil(until float64) { g.openUntil.Store(math.Float64bits(until)) }
 
 // Allowed reports whether new work may be taken and handed off now.
-func (g *LeaseGuard) Open() bool {
+func (g *LeaseGuard) Allowed() bool {
 	until := math.Float64frombits(g.openUntil.Load())
 	return math.IsInf(until, 1) || !math.IsInf(until, -1) && g.clock.Now() < until
 }
 
 // VersionInForce records that a version is active from now on.
-func (g *LeaseGuard) InForce(version uint64) {
+func (g *LeaseGuard) VersionInForce(version uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.run.RecordVersion(g.clock.UnixTime(), version)
 }
 
 // RecordAction records an action under the active version.
-func (g *LeaseGuard) Act(a fleet.Action) {
+func (g *LeaseGuard) RecordAction(a fleet.Action) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.run.RecordAction(g.clock.UnixTime(), a)
