--- a/internal/fleetmodel/clients.go
+++ b/internal/fleetmodel/clients.go
@@ -46,34 +46,34 @@
 	Requests int
 	Worker   string // that finished it
 	Kind     int    // of that; -1: none
-	heavy    bool   // among those that a tail makes heavier
-	leaves   float64
+	inTail   bool   // among those that a tail makes heavier
+	leftAt   float64
 }
 
 // InTime tells whether it was answered by its due time.
 func (x *Experiment) InTime(j *Job) bool {
 	c := &x.Categories[j.Category]
-	due := float64(c.DueTime) + c.DuePerHint*j.Hint
+	due := float64(c.DueTime) + c.DueStretch*j.Hint
 	return j.Outcome == Finished && j.End-j.Arrival <= max(min(due, float64(c.Expiry)), 0)
 }
 
 // Try is one request.
 type Request struct {
-	ID         string
-	Job        *Job
-	Dispatcher int
-	Deadline   float64 // when its client stops waiting
-	Retry      bool    // marked as a retry
-	sends      int
-	over       bool
-	life       int
+	ID          string
+	Job         *Job
+	Dispatcher  int
+	Deadline    float64 // when its client stops waiting
+	Retry       bool    // marked as a retry
+	handOffs    int
+	finished    bool
+	incarnation int
 }
 
 // law draws costs of a category.
-func (c *Category) law() func(*rand.Rand) float64 {
+func (c *Category) costSampler() func(*rand.Rand) float64 {
 	mean := float64(c.MeanCost)
-	capped := func(draw func(*rand.Rand) float64) func(*rand.Rand) float64 {
-		return func(r *rand.Rand) float64 { return min(draw(r), c.MaxCostFactor*mean) }
+	capped := func(sample func(*rand.Rand) float64) func(*rand.Rand) float64 {
+		return func(r *rand.Rand) float64 { return min(sample(r), c.MaxCostFactor*mean) }
 	}
 	switch c.Distribution {
 	case "fixed":
@@ -92,56 +92,56 @@
 
 // nextArrival plans the arrival after the one at a time. All draws of arrivals stand here and in arrival, in their
 // order, so that the same seed sends the same work whatever dispatchers do.
-func (w *Model) nextArrival(from float64) {
+func (m *Model) scheduleArrival(from float64) {
 	factor, shares := 0., 0.
-	for k, t := range w.Experiment.Tenants {
-		factor += t.Share * w.bursts[k]
-		shares += t.Share
+	for k, tenant := range m.Experiment.Tenants {
+		factor += tenant.Share * m.tenantRateFactors[k]
+		shares += tenant.Share
 	}
 	if shares == 0 {
 		factor, shares = 1, 1
 	}
-	gap := 1000 / (w.Experiment.ArrivalRate() * factor / shares)
-	if w.Experiment.Arrivals.Spacing == "poisson" {
-		gap *= w.arrivals.ExpFloat64()
+	gap := 1000 / (m.Experiment.ArrivalRate() * factor / shares)
+	if m.Experiment.Arrivals.Spacing == "poisson" {
+		gap *= m.arrivalRand.ExpFloat64()
 	}
 	at := from + gap
-	w.At(at, func() {
-		if !w.closed {
-			w.arrival(at)
-			w.nextArrival(at)
+	m.At(at, func() {
+		if !m.arrivalsEnded {
+			m.createJob(at)
+			m.scheduleArrival(at)
 		}
 	})
 }
 
-func (w *Model) arrival(at float64) {
-	r := w.arrivals
-	j := &Job{Number: len(w.Jobs), Category: pick(r, len(w.Experiment.Categories), func(k int) float64 { return w.Experiment.Categories[k].Share }),
-		Tenant: -1, Site: r.IntN(w.Experiment.Workers.Sites), Arrival: at, Kind: -1}
-	c := &w.Experiment.Categories[j.Category]
-	if len(w.Experiment.Tenants) > 0 {
-		j.Tenant = pick(r, len(w.Experiment.Tenants), func(k int) float64 { return w.Experiment.Tenants[k].Share * w.bursts[k] })
-	}
-	j.Cost = w.laws[j.Category](r)
+func (m *Model) createJob(at float64) {
+	rnd := m.arrivalRand
+	j := &Job{Number: len(m.Jobs), Category: pickWeighted(rnd, len(m.Experiment.Categories), func(k int) float64 { return m.Experiment.Categories[k].Share }),
+		Tenant: -1, Site: rnd.IntN(m.Experiment.Workers.Sites), Arrival: at, Kind: -1}
+	c := &m.Experiment.Categories[j.Category]
+	if len(m.Experiment.Tenants) > 0 {
+		j.Tenant = pickWeighted(rnd, len(m.Experiment.Tenants), func(k int) float64 { return m.Experiment.Tenants[k].Share * m.tenantRateFactors[k] })
+	}
+	j.Cost = m.costSamplers[j.Category](rnd)
 	j.Hint = j.Cost
 	if c.HintSigma > 0 {
-		j.Hint *= math.Exp(c.HintSigma * r.NormFloat64())
+		j.Hint *= math.Exp(c.HintSigma * rnd.NormFloat64())
 	}
-	if r.Float64() < c.NoHintShare {
+	if rnd.Float64() < c.NoHintShare {
 		j.Hint = 0
 	}
-	j.heavy = r.Float64() < 0.1
-	leave, when := r.Float64() < w.Experiment.Clients.LeaveShare, r.Float64()
-	w.Jobs = append(w.Jobs, j)
-	w.openJobs++
+	j.inTail = rnd.Float64() < 0.1
+	leave, when := rnd.Float64() < m.Experiment.Clients.LeaveShare, rnd.Float64()
+	m.Jobs = append(m.Jobs, j)
+	m.openJobs++
 	if leave {
-		w.At(at+when*float64(c.Expiry), func() { j.leaves = w.now })
+		m.At(at+when*float64(c.Expiry), func() { j.leftAt = m.now })
 	}
-	w.submit(j)
+	m.sendRequest(j)
 }
 
 // pick draws a position by weights.
-func pick(r *rand.Rand, n int, weight func(int) float64) int {
+func pickWeighted(r *rand.Rand, n int, weight func(int) float64) int {
 	sum := 0.
 	for k := range n {
 		sum += weight(k)
@@ -156,18 +156,18 @@
 }
 
 // submit sends a client's next request, to a dispatcher of its site that its front deals out.
-func (w *Model) submit(j *Job) {
-	c := &w.Experiment.Categories[j.Category]
-	left := j.Arrival + float64(c.Expiry) - w.now
-	if left < 0 || left == 0 && c.Expiry > 0 {
-		w.over(j, Unanswered)
+func (m *Model) sendRequest(j *Job) {
+	category := &m.Experiment.Categories[j.Category]
+	left := j.Arrival + float64(category.Expiry) - m.now
+	if left < 0 || left == 0 && category.Expiry > 0 {
+		m.finishJob(j, Unanswered)
 		return
 	}
 	j.Requests++
 	var near, far []*dispatcher
-	for _, d := range w.dispatchers {
+	for _, d := range m.dispatchers {
 		switch {
-		case !d.noticed:
+		case !d.inRotation:
 		case d.site == j.Site:
 			near = append(near, d)
 		default:
@@ -178,101 +178,101 @@
 		near = far
 	}
 	if len(near) == 0 {
-		w.retry(j, 0, NoDispatcher)
+		m.retryOrFinish(j, 0, NoDispatcher)
 		return
 	}
-	d := near[w.clientRnd.IntN(len(near))]
-	w.nextTry++
-	t := &Request{ID: fmt.Sprintf("%016x", w.ids+w.nextTry*0x9e3779b97f4a7c15), Job: j, Dispatcher: d.n, Deadline: w.now + left,
+	d := near[m.clientRand.IntN(len(near))]
+	m.requestCount++
+	r := &Request{ID: fmt.Sprintf("%016x", m.idBase+m.requestCount*0x9e3779b97f4a7c15), Job: j, Dispatcher: d.index, Deadline: m.now + left,
 		Retry: j.Requests > 1}
-	w.tries[t.ID] = t
-	cut := w.cut(withClients, d, j.Site)
+	m.requests[r.ID] = r
+	cut := m.isCut(clientPath, d, j.Site)
 	if !cut {
-		w.After(w.delay(j.Site, d.site), func() { w.request(d, t) })
+		m.After(m.networkDelay(j.Site, d.site), func() { m.deliverRequest(d, r) })
 	}
-	w.At(t.Deadline+float64(w.Experiment.Dispatchers.AnswerSlack)+100, func() { // more than any answer may need
-		if !t.over {
-			w.leave(t)
-			w.over(j, Unanswered)
+	m.At(r.Deadline+float64(m.Experiment.Dispatchers.AnswerSlack)+100, func() { // more than any answer may need
+		if !r.finished {
+			m.abandonRequest(r)
+			m.finishJob(j, Unanswered)
 		}
 	})
-	if w.Experiment.Clients.LeaveShare > 0 {
-		w.watchLeaving(t)
+	if m.Experiment.Clients.LeaveShare > 0 {
+		m.pollClientLeft(r)
 	}
 }
 
-func (w *Model) watchLeaving(t *Request) {
-	w.After(20, func() {
+func (m *Model) pollClientLeft(r *Request) {
+	m.After(20, func() {
 		switch {
-		case t.over:
-		case t.Job.leaves > 0:
-			w.leave(t)
-			w.over(t.Job, ClientLeft)
+		case r.finished:
+		case r.Job.leftAt > 0:
+			m.abandonRequest(r)
+			m.finishJob(r.Job, ClientLeft)
 		default:
-			w.watchLeaving(t)
+			m.pollClientLeft(r)
 		}
 	})
 }
 
 // request is the last byte of one at its dispatcher.
-func (w *Model) request(d *dispatcher, t *Request) {
-	if t.over {
+func (m *Model) deliverRequest(d *dispatcher, r *Request) {
+	if r.finished {
 		return
 	}
 	if !d.up { // refused: nobody has taken it
-		w.After(w.delay(d.site, t.Job.Site), func() {
-			if !t.over {
-				t.over = true
-				w.retry(t.Job, 0, NoDispatcher)
+		m.After(m.networkDelay(d.site, r.Job.Site), func() {
+			if !r.finished {
+				r.finished = true
+				m.retryOrFinish(r.Job, 0, NoDispatcher)
 			}
 		})
 		return
 	}
-	t.life = d.life
-	d.open[t.ID] = t
-	d.order = append(d.order, t.ID)
-	if len(d.order) > 2*len(d.open)+64 { // forget those that were answered
-		kept := d.order[:0]
-		for _, id := range d.order {
-			if d.open[id] != nil {
-				kept = append(kept, id)
+	r.incarnation = d.incarnation
+	d.openRequests[r.ID] = r
+	d.arrivalOrder = append(d.arrivalOrder, r.ID)
+	if len(d.arrivalOrder) > 2*len(d.openRequests)+64 { // forget those that were answered
+		order := d.arrivalOrder[:0]
+		for _, id := range d.arrivalOrder {
+			if d.openRequests[id] != nil {
+				order = append(order, id)
 			}
 		}
-		d.order = kept
+		d.arrivalOrder = order
 	}
-	w.Checker.RequestReceived(w.now, d.n, t.ID, t.Job.Category, t.Job.Number, t.Deadline)
-	w.port.RequestArrived(d.n, t)
+	m.Checker.RequestReceived(m.now, d.index, r.ID, r.Job.Category, r.Job.Number, r.Deadline)
+	m.driver.RequestArrived(d.index, r)
 }
 
 // leave closes the connection of a request that was not answered.
-func (w *Model) leave(t *Request) {
-	t.over = true
-	d := w.dispatchers[t.Dispatcher]
-	w.After(w.delay(t.Job.Site, d.site), func() {
-		if d.open[t.ID] == nil || d.life != t.life {
+func (m *Model) abandonRequest(r *Request) {
+	r.finished = true
+	d := m.dispatchers[r.Dispatcher]
+	m.After(m.networkDelay(r.Job.Site, d.site), func() {
+		if d.openRequests[r.ID] == nil || d.incarnation != r.incarnation {
 			return
 		}
-		delete(d.open, t.ID)
-		w.Checker.ClientLeft(w.now, t.ID)
-		w.port.ClientLeft(d.n, t)
+		delete(d.openRequests, r.ID)
+		m.Checker.ClientLeft(m.now, r.ID)
+		m.driver.ClientLeft(d.index, r)
 	})
 }
 
 // Broke is called by the driver when a client's connection ended without a whole answer. Refused: it never came up, so
 // nobody has taken the request. Else it is lost, and the audit will say so unless the dispatcher's process has died.
-func (w *Model) ConnectionBroken(t *Request, refused bool) {
-	d := w.dispatchers[t.Dispatcher]
-	if d.open[t.ID] != nil {
-		delete(d.open, t.ID)
+func (m *Model) ConnectionBroken(r *Request, refused bool) {
+	d := m.dispatchers[r.Dispatcher]
+	if d.openRequests[r.ID] != nil {
+		delete(d.openRequests, r.ID)
 	}
 	if !refused {
-		w.failed(t)
+		m.connectionFailed(r)
 		return
 	}
-	w.Checker.RequestNotReceived(t.ID)
-	if !t.over {
-		t.over = true
-		w.retry(t.Job, 0, NoDispatcher)
+	m.Checker.RequestNotReceived(r.ID)
+	if !r.finished {
+		r.finished = true
+		m.retryOrFinish(r.Job, 0, NoDispatcher)
 	}
 }
 
@@ -287,41 +287,41 @@
 )
 
 // Answer is a dispatcher's answer to a request, as its last byte leaves. A pause of 0 is no advice.
-func (w *Model) Answer(n int, id string, s Status, body string, pause float64) {
-	d := w.dispatchers[n]
-	t := w.tries[id]
-	w.Checker.Answered(w.now, id, s == Served, s == RetryLater, body)
-	if t == nil || d.open[id] == nil {
+func (m *Model) Answer(n int, id string, s Status, body string, pause float64) {
+	d := m.dispatchers[n]
+	r := m.requests[id]
+	m.Checker.Answered(m.now, id, s == Served, s == RetryLater, body)
+	if r == nil || d.openRequests[id] == nil {
 		return
 	}
-	delete(d.open, id)
-	if w.cut(withClients, d, t.Job.Site) {
+	delete(d.openRequests, id)
+	if m.isCut(clientPath, d, r.Job.Site) {
 		return
 	}
-	w.After(w.delay(d.site, t.Job.Site), func() { w.answered(t, s, body, pause) })
+	m.After(m.networkDelay(d.site, r.Job.Site), func() { m.receiveAnswer(r, s, body, pause) })
 }
 
-func (w *Model) answered(t *Request, s Status, body string, pause float64) {
-	if t.over {
+func (m *Model) receiveAnswer(r *Request, s Status, body string, pause float64) {
+	if r.finished {
 		return
 	}
-	t.over = true
-	j := t.Job
+	r.finished = true
+	j := r.Job
 	switch s {
 	case Served:
-		j.Worker = workerOf(body)
-		if x := w.byID[j.Worker]; x != nil {
-			j.Kind = x.kind
+		j.Worker = workerFromBody(body)
+		if w := m.workersByID[j.Worker]; w != nil {
+			j.Kind = w.kind
 		}
-		w.over(j, Finished)
+		m.finishJob(j, Finished)
 	case RetryLater:
-		w.retry(j, pause, Deferred)
+		m.retryOrFinish(j, pause, Deferred)
 	default:
-		w.unsure(j, WrittenOff)
+		m.handleUncertain(j, WrittenOff)
 	}
 }
 
-func workerOf(body string) string {
+func workerFromBody(body string) string {
 	for k := len(body) - 1; k >= 0; k-- {
 		if body[k] == ' ' {
 			return body[k+1:]
@@ -331,42 +331,42 @@
 }
 
 // failed is a connection that ended without an answer.
-func (w *Model) failed(t *Request) {
-	if t.over {
+func (m *Model) connectionFailed(r *Request) {
+	if r.finished {
 		return
 	}
-	t.over = true
-	w.unsure(t.Job, ConnectionLost)
+	r.finished = true
+	m.handleUncertain(r.Job, ConnectionLost)
 }
 
 // unsure is a wish that may have had its effect: only what may be repeated is asked for again.
-func (w *Model) unsure(j *Job, o Outcome) {
-	if c := &w.Experiment.Categories[j.Category]; c.Repeat == "rerunnable" || c.Repeat == "ticketed" && c.Group == "all" {
-		w.retry(j, 0, o)
+func (m *Model) handleUncertain(j *Job, outcome Outcome) {
+	if c := &m.Experiment.Categories[j.Category]; c.RepeatPolicy == "rerunnable" || c.RepeatPolicy == "ticketed" && c.DedupScope == "all" {
+		m.retryOrFinish(j, 0, outcome)
 	} else {
-		w.over(j, o)
+		m.finishJob(j, outcome)
 	}
 }
 
 // retry sends a further request after a time, or ends with the outcome.
-func (w *Model) retry(j *Job, pause float64, o Outcome) {
-	if j.Requests > w.Experiment.Clients.MaxRetries {
-		w.over(j, o)
+func (m *Model) retryOrFinish(j *Job, pause float64, outcome Outcome) {
+	if j.Requests > m.Experiment.Clients.MaxRetries {
+		m.finishJob(j, outcome)
 		return
 	}
-	if pause <= 0 || !w.Experiment.Dispatchers.HonorPauses {
-		pause = float64(w.Experiment.Clients.Backoff) * (0.5 + w.clientRnd.Float64())
+	if pause <= 0 || !m.Experiment.Dispatchers.HonorRetryAfter {
+		pause = float64(m.Experiment.Clients.Backoff) * (0.5 + m.clientRand.Float64())
 	}
-	if w.now+pause >= j.Arrival+float64(w.Experiment.Categories[j.Category].Expiry) {
-		w.over(j, o)
+	if m.now+pause >= j.Arrival+float64(m.Experiment.Categories[j.Category].Expiry) {
+		m.finishJob(j, outcome)
 		return
 	}
-	w.After(pause, func() { w.submit(j) })
+	m.After(pause, func() { m.sendRequest(j) })
 }
 
-func (w *Model) over(j *Job, o Outcome) {
+func (m *Model) finishJob(j *Job, outcome Outcome) {
 	if j.Outcome == Waiting {
-		j.Outcome, j.End = o, w.now
-		w.openJobs--
+		j.Outcome, j.End = outcome, m.now
+		m.openJobs--
 	}
 }
--- a/internal/fleetmodel/dispatchers.go
+++ b/internal/fleetmodel/dispatchers.go
@@ -11,38 +11,38 @@
 
 // Times of the stand-in for a dispatcher's own machine.
 const (
-	watchSilent = 3000 // a watch that says nothing for so long has ended
-	askSilent   = 1000 // one that was never answered
-	callGap     = 200  // between tries of a callback
-	callTries   = 10
+	watchTimeout        = 3000 // a watch that says nothing for so long has ended
+	watchRequestTimeout = 1000 // one that was never answered
+	callbackRetryDelay  = 200  // between tries of a callback
+	callbackAttempts    = 10
 )
 
-func (w *Model) startDispatcher(d *dispatcher) {
+func (m *Model) startDispatcher(d *dispatcher) {
 	d.up, d.ready, d.watching = true, false, false
-	d.life++
-	d.order = d.order[:0]
-	clear(d.open)
-	known := make([]WorkerEntry, 0, len(d.told))
-	for _, m := range d.told {
-		known = append(known, m)
+	d.incarnation++
+	d.arrivalOrder = d.arrivalOrder[:0]
+	clear(d.openRequests)
+	known := make([]WorkerEntry, 0, len(d.knownWorkers))
+	for _, entry := range d.knownWorkers {
+		known = append(known, entry)
 	}
 	slices.SortFunc(known, func(a, b WorkerEntry) int { return cmp.Compare(a.ID, b.ID) })
-	w.Checker.DispatcherStarted(w.now, d.n)
-	w.port.StartDispatcher(d.n, known)
+	m.Checker.DispatcherStarted(m.now, d.index)
+	m.driver.StartDispatcher(d.index, known)
 }
 
 // Ready is called by the driver when a dispatcher takes work.
-func (w *Model) DispatcherReady(d int) {
-	x := w.dispatchers[d]
-	if x.ready {
+func (m *Model) DispatcherReady(n int) {
+	d := m.dispatchers[n]
+	if d.ready {
 		return
 	}
-	x.ready, x.noticed = true, true
+	d.ready, d.inRotation = true, true
 }
 
 // AllReady tells whether every dispatcher takes work.
-func (w *Model) AllDispatchersReady() bool {
-	for _, d := range w.dispatchers {
+func (m *Model) AllDispatchersReady() bool {
+	for _, d := range m.dispatchers {
 		if !d.ready {
 			return false
 		}
@@ -51,152 +51,152 @@
 }
 
 // Exited is called by the driver when a dispatcher's process has ended by itself. What it had not answered is lost.
-func (w *Model) DispatcherExited(d int) {
-	if x := w.dispatchers[d]; x.up {
-		w.end(x)
-		w.After(float64(w.Experiment.Dispatchers.RestartDelay), func() { w.startDispatcher(x) })
+func (m *Model) DispatcherExited(n int) {
+	if d := m.dispatchers[n]; d.up {
+		m.processEnded(d)
+		m.After(float64(m.Experiment.Dispatchers.RestartDelay), func() { m.startDispatcher(d) })
 	}
 }
 
 // end is a process's: its connections are reset, what was out at workers goes on there.
-func (w *Model) end(d *dispatcher) {
-	d.up, d.ready, d.watching, d.frozen = false, false, false, false
-	life := d.life
-	w.Checker.DispatcherDied(w.now, d.n)
-	for _, id := range d.order {
-		if t := d.open[id]; t != nil {
-			delete(d.open, id)
-			w.After(w.delay(d.site, t.Job.Site), func() { w.failed(t) })
+func (m *Model) processEnded(d *dispatcher) {
+	d.up, d.ready, d.watching, d.paused = false, false, false, false
+	incarnation := d.incarnation
+	m.Checker.DispatcherDied(m.now, d.index)
+	for _, id := range d.arrivalOrder {
+		if r := d.openRequests[id]; r != nil {
+			delete(d.openRequests, id)
+			m.After(m.networkDelay(d.site, r.Job.Site), func() { m.connectionFailed(r) })
 		}
 	}
-	w.After(float64(w.Experiment.Network.DetectionDelay), func() {
-		if !d.ready || d.life == life {
-			d.noticed = d.ready
+	m.After(float64(m.Experiment.Network.DetectionDelay), func() {
+		if !d.ready || d.incarnation == incarnation {
+			d.inRotation = d.ready
 		}
 	})
 }
 
-func (w *Model) killDispatcher(d *dispatcher, again bool) {
+func (m *Model) killDispatcher(d *dispatcher, restart bool) {
 	if !d.up {
 		return
 	}
-	w.end(d)
-	w.port.KillDispatcher(d.n)
-	if again {
-		w.After(float64(w.Experiment.Dispatchers.RestartDelay), func() { w.startDispatcher(d) })
+	m.processEnded(d)
+	m.driver.KillDispatcher(d.index)
+	if restart {
+		m.After(float64(m.Experiment.Dispatchers.RestartDelay), func() { m.startDispatcher(d) })
 	}
 }
 
 // freeze has a process stand still: its connections stay, nothing is read or written. The clients' front sees that as it
 // sees a death.
-func (w *Model) freeze(d *dispatcher, span float64) {
-	if !d.up || d.frozen {
+func (m *Model) pauseDispatcher(d *dispatcher, duration float64) {
+	if !d.up || d.paused {
 		return
 	}
-	life := d.life
-	d.frozen = true
-	w.Checker.DispatcherPaused(w.now, d.n)
-	w.port.SetPaused(d.n, true)
-	w.After(float64(w.Experiment.Network.DetectionDelay), func() {
-		if d.life == life && d.frozen {
-			d.noticed = false
+	incarnation := d.incarnation
+	d.paused = true
+	m.Checker.DispatcherPaused(m.now, d.index)
+	m.driver.SetPaused(d.index, true)
+	m.After(float64(m.Experiment.Network.DetectionDelay), func() {
+		if d.incarnation == incarnation && d.paused {
+			d.inRotation = false
 		}
 	})
-	w.After(span, func() {
-		if d.life != life || !d.up {
+	m.After(duration, func() {
+		if d.incarnation != incarnation || !d.up {
 			return
 		}
-		d.frozen, d.noticed, d.thawed = false, d.ready, w.now
-		w.Checker.DispatcherResumed(w.now, d.n)
-		w.port.SetPaused(d.n, false)
+		d.paused, d.inRotation, d.resumedAt = false, d.ready, m.now
+		m.Checker.DispatcherResumed(m.now, d.index)
+		m.driver.SetPaused(d.index, false)
 	})
 }
 
 // Frozen tells whether a dispatcher stands still, and when it last went on.
-func (w *Model) DispatcherPaused(d int) (frozen bool, thawed float64) {
-	return w.dispatchers[d].frozen, w.dispatchers[d].thawed
+func (m *Model) DispatcherPaused(n int) (paused bool, resumedAt float64) {
+	return m.dispatchers[n].paused, m.dispatchers[n].resumedAt
 }
 
-func (w *Model) stopDispatcher(d *dispatcher) {
+func (m *Model) stopDispatcher(d *dispatcher) {
 	if !d.up {
 		return
 	}
-	life := d.life
-	w.port.StopDispatcher(d.n)
+	incarnation := d.incarnation
+	m.driver.StopDispatcher(d.index)
 	// The front deals out no more connections, clients go on with those that they have for as long as they last.
-	w.After(300, func() {
-		if d.life == life {
-			d.noticed = false
+	m.After(300, func() {
+		if d.incarnation == incarnation {
+			d.inRotation = false
 		}
 	})
-	w.After(float64(w.Experiment.Dispatchers.StopTimeout), func() {
-		if d.up && d.life == life {
-			w.killDispatcher(d, true)
+	m.After(float64(m.Experiment.Dispatchers.StopTimeout), func() {
+		if d.up && d.incarnation == incarnation {
+			m.killDispatcher(d, true)
 		}
 	})
 }
 
 // Watch is a dispatcher's wish to be told of the fleet.
-func (w *Model) Watch(n, number int, after int64) {
-	d := w.dispatchers[n]
-	life := d.life
-	d.watch, d.watching = number, true
-	if w.silent > 0 || w.cut(withDiscovery, d, d.site) {
-		w.After(askSilent, func() { w.breakWatch(d, life, number) })
+func (m *Model) Watch(n, number int, afterRevision int64) {
+	d := m.dispatchers[n]
+	incarnation := d.incarnation
+	d.watchNumber, d.watching = number, true
+	if m.discoveryOutages > 0 || m.isCut(discoveryPath, d, d.site) {
+		m.After(watchRequestTimeout, func() { m.endWatch(d, incarnation, number) })
 		return
 	}
-	w.After(w.delay(d.site, d.site), func() {
-		if d.life != life || d.watch != number || !d.up {
+	m.After(m.networkDelay(d.site, d.site), func() {
+		if d.incarnation != incarnation || d.watchNumber != number || !d.up {
 			return
 		}
-		l := DiscoveryUpdate{Watch: number, Revision: w.revision, Complete: true}
-		for _, x := range w.workers {
-			if x.listed && x.state != dispatch.Gone && !x.denied {
-				l.Workers = append(l.Workers, x.member())
+		update := DiscoveryUpdate{Watch: number, Revision: m.revision, Complete: true}
+		for _, w := range m.workers {
+			if w.listed && w.state != dispatch.Gone && !w.falselyGone {
+				update.Workers = append(update.Workers, w.entry())
 			}
 		}
-		w.tell(d, l)
+		m.deliverUpdate(d, update)
 	})
 }
 
-func (w *Model) breakWatch(d *dispatcher, life, number int) {
-	if d.up && d.life == life && d.watch == number && d.watching {
+func (m *Model) endWatch(d *dispatcher, incarnation, number int) {
+	if d.up && d.incarnation == incarnation && d.watchNumber == number && d.watching {
 		d.watching = false
-		w.port.WatchEnded(d.n, number)
+		m.driver.WatchEnded(d.index, number)
 	}
 }
 
 // tell gives a list to a dispatcher; from now on it knows.
-func (w *Model) tell(d *dispatcher, l DiscoveryUpdate) {
-	if l.Complete {
-		for id := range d.told {
-			w.Checker.WorkerListed(w.now, d.n, id, dispatch.Gone, 0)
+func (m *Model) deliverUpdate(d *dispatcher, update DiscoveryUpdate) {
+	if update.Complete {
+		for id := range d.knownWorkers {
+			m.Checker.WorkerListed(m.now, d.index, id, dispatch.Gone, 0)
 		}
-		clear(d.told)
+		clear(d.knownWorkers)
 	}
-	for _, m := range l.Workers {
-		w.Checker.WorkerListed(w.now, d.n, m.ID, m.State, m.told)
-		if m.State == dispatch.Gone {
-			delete(d.told, m.ID)
+	for _, entry := range update.Workers {
+		m.Checker.WorkerListed(m.now, d.index, entry.ID, entry.State, entry.reportedStart)
+		if entry.State == dispatch.Gone {
+			delete(d.knownWorkers, entry.ID)
 		} else {
-			d.told[m.ID] = m
+			d.knownWorkers[entry.ID] = entry
 		}
 	}
-	w.port.DiscoveryUpdated(d.n, l)
+	m.driver.DiscoveryUpdated(d.index, update)
 }
 
 // changed has discovery tell of workers, after the time that it needs.
-func (w *Model) changed(changed ...*worker) {
-	w.revision++
-	revision := w.revision
-	members := make([]WorkerEntry, len(changed))
-	for k, x := range changed {
-		members[k] = x.member()
-	}
-	for _, d := range w.dispatchers {
-		w.After(float64(w.Experiment.Network.DiscoveryDelay)*(0.5+w.netRnd.Float64())+w.listLate, func() {
-			if d.up && d.watching && w.silent == 0 && !w.cut(withDiscovery, d, d.site) {
-				w.tell(d, DiscoveryUpdate{Watch: d.watch, Revision: revision, Workers: members})
+func (m *Model) publishChange(workers ...*worker) {
+	m.revision++
+	revision := m.revision
+	entries := make([]WorkerEntry, len(workers))
+	for k, w := range workers {
+		entries[k] = w.entry()
+	}
+	for _, d := range m.dispatchers {
+		m.After(float64(m.Experiment.Network.DiscoveryDelay)*(0.5+m.networkRand.Float64())+m.discoveryExtraDelay, func() {
+			if d.up && d.watching && m.discoveryOutages == 0 && !m.isCut(discoveryPath, d, d.site) {
+				m.deliverUpdate(d, DiscoveryUpdate{Watch: d.watchNumber, Revision: revision, Workers: entries})
 			}
 		})
 	}
@@ -204,45 +204,45 @@
 
 // hush makes discovery silent for a time; watches end once they have noticed, and what changed meanwhile is told by
 // the next ones.
-func (w *Model) hush(span float64) {
-	w.silent++
-	for _, d := range w.dispatchers {
-		number, life := d.watch, d.life
-		w.After(watchSilent, func() {
-			if w.silent > 0 {
-				w.breakWatch(d, life, number)
+func (m *Model) silenceDiscovery(duration float64) {
+	m.discoveryOutages++
+	for _, d := range m.dispatchers {
+		number, incarnation := d.watchNumber, d.incarnation
+		m.After(watchTimeout, func() {
+			if m.discoveryOutages > 0 {
+				m.endWatch(d, incarnation, number)
 			}
 		})
 	}
-	w.After(span, func() {
-		if w.silent--; w.silent > 0 {
+	m.After(duration, func() {
+		if m.discoveryOutages--; m.discoveryOutages > 0 {
 			return
 		}
-		for _, d := range w.dispatchers { // a short silence: the watch goes on with the whole list, nothing is left out
+		for _, d := range m.dispatchers { // a short silence: the watch goes on with the whole list, nothing is left out
 			if d.up && d.watching {
-				w.Watch(d.n, d.watch, -1)
+				m.Watch(d.index, d.watchNumber, -1)
 			}
 		}
 	})
 }
 
 // Tell carries a message to siblings; to -1: all.
-func (w *Model) SendToPeers(from, to int, data []byte) {
+func (m *Model) SendToPeers(from, to int, data []byte) {
 	data = slices.Clone(data)
-	all := w.dispatchers
+	recipients := m.dispatchers
 	if to >= 0 {
-		all = all[to:min(to+1, len(all))]
+		recipients = recipients[to:min(to+1, len(recipients))]
 	}
-	for _, d := range all {
-		if d.n == from || !w.Experiment.Dispatchers.PeerMessages {
+	for _, d := range recipients {
+		if d.index == from || !m.Experiment.Dispatchers.PeerMessages {
 			continue
 		}
-		if w.lost > 0 && w.netRnd.Float64() < w.lost || w.cut(withSiblings, d, d.site) {
+		if m.peerLossRate > 0 && m.networkRand.Float64() < m.peerLossRate || m.isCut(peerPath, d, d.site) {
 			continue
 		}
-		w.After(w.delay(w.dispatchers[from].site, d.site)+w.late, func() {
+		m.After(m.networkDelay(m.dispatchers[from].site, d.site)+m.peerExtraDelay, func() {
 			if d.up {
-				w.port.PeerMessage(d.n, from, data)
+				m.driver.PeerMessage(d.index, from, data)
 			}
 		})
 	}
--- a/internal/fleetmodel/experiment.go
+++ b/internal/fleetmodel/experiment.go
@@ -70,13 +70,13 @@
 	PeerMessages       bool    `toml:"tell"`                       // messages between siblings
 	SecondCopies       bool    `toml:"second_copies"`
 	MayCancel          bool    `toml:"cancel"`
-	HonorPauses        bool    `toml:"pauses"` // clients heed a pause
-	MaxPause           Millis  `toml:"max_pause" min:"0"`
+	HonorRetryAfter    bool    `toml:"pauses"` // clients heed a pause
+	MaxRetryAfter      Millis  `toml:"max_pause" min:"0"`
 	MaxHandOffs        int     `toml:"max_hand_offs" min:"1" max:"64"`
 	MaxOpen            int     `toml:"max_open" min:"1"`
 	AnswerSlack        Millis  `toml:"answer_slack" min:"1"`
 	DiscoveryOnRequest bool    `toml:"ask"` // discovery tells only when asked
-	AskWithin          Millis  `toml:"ask_within" min:"1"`
+	DiscoveryAskWithin Millis  `toml:"ask_within" min:"1"`
 	ExcessCredit       float64 `toml:"excess_credit" min:"0" max:"1"`
 	RestartDelay       Millis  `toml:"restart" min:"1"` // from the end of a process to its next start
 	StopTimeout        Millis  `toml:"kill" min:"0"`    // from the order to stop to the kill
@@ -96,10 +96,10 @@
 // Workers says what all workers have in common.
 type Workers struct {
 	Sites             int     `toml:"sites" min:"1" max:"26"`
-	StartShare        float64 `toml:"start_share" min:"0.01" max:"1"` // of its capacity, as it comes up
-	WarmUp            Millis  `toml:"cold" min:"1"`                   // it is warm after so long; growth is linear
+	StartCapacity     float64 `toml:"start_share" min:"0.01" max:"1"` // of its capacity, as it comes up
+	WarmUpTime        Millis  `toml:"cold" min:"1"`                   // it is warm after so long; growth is linear
 	OverloadWindow    Millis  `toml:"fall" min:"1"`
-	OverloadFactor    float64 `toml:"fall_multiple" min:"1"`
+	OverloadMultiple  float64 `toml:"fall_multiple" min:"1"`
 	DrainGrace        Millis  `toml:"drain_grace" min:"0"`
 	OnlyDrainingBinds bool    `toml:"only_draining_binds"` // one that is called gone, or left out, may still be sent to
 	ReportStart       bool    `toml:"tell_start"`
@@ -120,11 +120,11 @@
 type Category struct {
 	Name          string  `toml:"name" need:"true"`
 	Share         float64 `toml:"share" min:"0"`
-	Repeat        string  `toml:"repeat" oneof:"rerunnable ticketed exclusive"`
-	TicketWindow  Millis  `toml:"window" min:"0"`
-	Group         string  `toml:"group" oneof:"all zone cell"`
+	RepeatPolicy  string  `toml:"repeat" oneof:"rerunnable ticketed exclusive"`
+	DedupWindow   Millis  `toml:"window" min:"0"`
+	DedupScope    string  `toml:"group" oneof:"all zone cell"`
 	DueTime       Millis  `toml:"due" min:"1"`
-	DuePerHint    float64 `toml:"stretch" min:"0"` // the due time grows by so much of the hint
+	DueStretch    float64 `toml:"stretch" min:"0"` // the due time grows by so much of the hint
 	Expiry        Millis  `toml:"expiry" min:"0"`
 	Credit        float64 `toml:"credit" min:"0"`
 	MeanCost      Millis  `toml:"cost" min:"0.001"` // mean
@@ -176,7 +176,7 @@
 
 // Defaults of a category.
 func (c *Category) Defaults() {
-	c.Share, c.Repeat, c.Group, c.DueTime, c.Expiry, c.Credit = 1, "rerunnable", "all", 1000, 5000, 1
+	c.Share, c.RepeatPolicy, c.DedupScope, c.DueTime, c.Expiry, c.Credit = 1, "rerunnable", "all", 1000, 5000, 1
 	c.MeanCost, c.Distribution, c.Shape, c.MaxCostFactor = 20, "exponential", 1.5, 1000
 }
 
@@ -189,55 +189,55 @@
 // Read makes an experiment of a file's text. An error lists every fault with its line and key.
 func ParseExperiment(file string, text []byte) (*Experiment, error) {
 	x := &Experiment{Length: 20000,
-		Dispatchers: Dispatchers{Count: 1, RoundInterval: 5, PeerMessages: true, SecondCopies: true, MayCancel: true, HonorPauses: true, MaxPause: 2000,
-			MaxHandOffs: 5, MaxOpen: 20000, AnswerSlack: 20, AskWithin: 10000, ExcessCredit: 0.1, RestartDelay: 2000, StopTimeout: 3700},
+		Dispatchers: Dispatchers{Count: 1, RoundInterval: 5, PeerMessages: true, SecondCopies: true, MayCancel: true, HonorRetryAfter: true, MaxRetryAfter: 2000,
+			MaxHandOffs: 5, MaxOpen: 20000, AnswerSlack: 20, DiscoveryAskWithin: 10000, ExcessCredit: 0.1, RestartDelay: 2000, StopTimeout: 3700},
 		Network: Network{SameSite: 0.2, CrossSite: 1, Jitter: 0.05, ConnectTimeout: 250, IdleTimeout: 15000, DiscoveryDelay: 100, DetectionDelay: 2000},
-		Workers: Workers{Sites: 1, StartShare: 0.1, WarmUp: 10000, OverloadWindow: 2000, OverloadFactor: 3, DrainGrace: 500, ReportStart: true,
+		Workers: Workers{Sites: 1, StartCapacity: 0.1, WarmUpTime: 10000, OverloadWindow: 2000, OverloadMultiple: 3, DrainGrace: 500, ReportStart: true,
 			ProgressInterval: 1000},
 		Arrivals: Arrivals{Spacing: "poisson"}, Clients: Clients{MaxRetries: 1, Backoff: 200}}
 	d := tomlfile.Parse(file, text)
 	d.Decode(x)
 	if d.Err() == nil {
-		x.check(d.AddFault)
+		x.validate(d.Fault)
 	}
 	return x, d.Err()
 }
 
 // check finds what single values do not show.
-func (x *Experiment) check(fault func(key, format string, a ...any)) {
+func (x *Experiment) validate(addFault func(key, format string, a ...any)) {
 	if len(x.Kinds) == 0 {
-		fault("kind", "at least one is needed")
+		addFault("kind", "at least one is needed")
 	}
 	if len(x.Categories) == 0 {
-		fault("category", "at least one is needed")
+		addFault("category", "at least one is needed")
 	}
 	if x.Warmup >= x.Length {
-		fault("warmup", "leaves nothing of the length")
+		addFault("warmup", "leaves nothing of the length")
 	}
 	if x.Arrivals.Rate > 0 && x.Arrivals.Load > 0 {
-		fault("arrivals.load", "rate is said as well; one of them decides")
+		addFault("arrivals.load", "rate is said as well; one of them decides")
 	}
 	if x.Arrivals.Rate == 0 && x.Arrivals.Load == 0 {
-		fault("arrivals", "a rate or a load is needed")
+		addFault("arrivals", "a rate or a load is needed")
 	}
 	if f := x.Fleet; f != nil {
 		if f.Voters > x.Dispatchers.Count {
-			fault("fleet.voters", "%d of %d dispatchers", f.Voters, x.Dispatchers.Count)
+			addFault("fleet.voters", "%d of %d dispatchers", f.Voters, x.Dispatchers.Count)
 		}
 		if f.Voters == 2 || f.Voters == 4 {
-			fault("fleet.voters", "there have to be 1, 3 or 5")
+			addFault("fleet.voters", "there have to be 1, 3 or 5")
 		}
 	}
 	if s := x.Chaos; s != nil && (len(s.Types) == 0 || s.From >= s.Until || s.Until > x.Length) {
-		fault("storm", "needs kinds of faults (what), and from before until within the day")
+		addFault("storm", "needs kinds of faults (what), and from before until within the day")
 	}
 	names := map[string]bool{}
 	unique := func(key, name string) {
 		if name == "" || strings.ContainsAny(name, "/ ,?%") {
-			fault(key, "%q cannot be used as a name", name)
+			addFault(key, "%q cannot be used as a name", name)
 		}
 		if names[key[:4]+name] {
-			fault(key, "%q is taken", name)
+			addFault(key, "%q is taken", name)
 		}
 		names[key[:4]+name] = true
 	}
@@ -246,11 +246,11 @@
 		unique(fmt.Sprintf("category.%d.name", k), c.Name)
 		shares += c.Share
 		if c.Distribution == "pareto" && c.Shape <= 1 {
-			fault(fmt.Sprintf("category.%d.shape", k), "a pareto law with a shape of %v has no mean", c.Shape)
+			addFault(fmt.Sprintf("category.%d.shape", k), "a pareto law with a shape of %v has no mean", c.Shape)
 		}
 	}
 	if shares <= 0 && len(x.Categories) > 0 {
-		fault("category", "the shares add up to nothing")
+		addFault("category", "the shares add up to nothing")
 	}
 	for k, c := range x.Kinds {
 		unique(fmt.Sprintf("kind.%d.name", k), c.Name)
@@ -261,16 +261,16 @@
 	for k, f := range x.Faults {
 		at := fmt.Sprintf("fault.%d.", k)
 		if f.Site != "" && (len(f.Site) != 1 || int(f.Site[0]-'a') >= x.Workers.Sites) {
-			fault(at+"site", "%q is no site; there are a to %c", f.Site, 'a'+x.Workers.Sites-1)
+			addFault(at+"site", "%q is no site; there are a to %c", f.Site, 'a'+x.Workers.Sites-1)
 		}
 		if f.WorkerKind != "" && !names["kind"+f.WorkerKind] {
-			fault(at+"kind", "%q is no kind", f.WorkerKind)
+			addFault(at+"kind", "%q is no kind", f.WorkerKind)
 		}
 		if f.Tenant != "" && !names["tena"+f.Tenant] {
-			fault(at+"tenant", "%q is no tenant", f.Tenant)
+			addFault(at+"tenant", "%q is no tenant", f.Tenant)
 		}
 		if f.Amount < 0 && f.Type != "clock_jump" {
-			fault(at+"amount", "%v is below 0", f.Amount)
+			addFault(at+"amount", "%v is below 0", f.Amount)
 		}
 	}
 }
--- a/internal/fleetmodel/faults.go
+++ b/internal/fleetmodel/faults.go
@@ -9,50 +9,50 @@
 	"weldmast/internal/dispatch"
 )
 
-func (w *Model) mark(format string, a ...any) {
-	w.Annotations = append(w.Annotations, Annotation{w.now, fmt.Sprintf(format, a...)})
+func (m *Model) annotate(format string, a ...any) {
+	m.Annotations = append(m.Annotations, Annotation{m.now, fmt.Sprintf(format, a...)})
 }
 
 // hit draws the workers that a fault hits: of those up of its site and kind, a count or a share, at least one.
-func (w *Model) hit(f *Fault) []*worker {
-	var all []*worker
-	for _, x := range w.workers {
-		if x.up && x.state == dispatch.Up && (f.Site == "" || SiteName(x.site) == f.Site) && (f.WorkerKind == "" || x.k.Name == f.WorkerKind) {
-			all = append(all, x)
+func (m *Model) pickWorkers(f *Fault) []*worker {
+	var candidates []*worker
+	for _, w := range m.workers {
+		if w.up && w.state == dispatch.Up && (f.Site == "" || SiteName(w.site) == f.Site) && (f.WorkerKind == "" || w.spec.Name == f.WorkerKind) {
+			candidates = append(candidates, w)
 		}
 	}
-	n := f.Count
-	if n == 0 {
-		n = int(math.Ceil(f.Share * float64(len(all))))
+	count := f.Count
+	if count == 0 {
+		count = int(math.Ceil(f.Share * float64(len(candidates))))
 	}
-	w.faultRnd.Shuffle(len(all), func(a, b int) { all[a], all[b] = all[b], all[a] })
-	return all[:min(n, len(all))]
+	m.faultRand.Shuffle(len(candidates), func(a, b int) { candidates[a], candidates[b] = candidates[b], candidates[a] })
+	return candidates[:min(count, len(candidates))]
 }
 
 // among draws dispatchers: a count, or a share if none is given.
-func (w *Model) among(f *Fault) []*dispatcher {
+func (m *Model) pickDispatchers(f *Fault) []*dispatcher {
 	if len(f.Dispatchers) > 0 {
-		var all []*dispatcher
+		var selected []*dispatcher
 		for _, d := range f.Dispatchers {
-			if d >= 0 && d < len(w.dispatchers) {
-				all = append(all, w.dispatchers[d])
+			if d >= 0 && d < len(m.dispatchers) {
+				selected = append(selected, m.dispatchers[d])
 			}
 		}
-		return all
+		return selected
 	}
-	n := f.Count
-	if n == 0 {
-		n = int(math.Ceil(f.Share * float64(len(w.dispatchers))))
+	count := f.Count
+	if count == 0 {
+		count = int(math.Ceil(f.Share * float64(len(m.dispatchers))))
 	}
-	var all []*dispatcher
-	for _, k := range w.faultRnd.Perm(len(w.dispatchers))[:min(n, len(w.dispatchers))] {
-		all = append(all, w.dispatchers[k])
+	var selected []*dispatcher
+	for _, k := range m.faultRand.Perm(len(m.dispatchers))[:min(count, len(m.dispatchers))] {
+		selected = append(selected, m.dispatchers[k])
 	}
-	return all
+	return selected
 }
 
 // Strike lets a fault begin now, whatever its time.
-func (w *Model) InjectFault(f Fault) { w.strike(&f) }
+func (m *Model) InjectFault(f Fault) { m.applyFault(&f) }
 
 // View is a worker as it is now.
 type WorkerView struct {
@@ -67,21 +67,21 @@
 }
 
 // Look shows all workers but those that were replaced.
-func (w *Model) WorkerViews() (all []WorkerView) {
-	for _, x := range w.workers {
-		v := WorkerView{ID: x.id, Kind: x.kind, Site: x.site, State: "up", Running: len(x.running), Queued: len(x.queue), Finished: x.done}
+func (m *Model) WorkerViews() (all []WorkerView) {
+	for _, w := range m.workers {
+		v := WorkerView{ID: w.id, Kind: w.kind, Site: w.site, State: "up", Running: len(w.running), Queued: len(w.queue), Finished: w.finished}
 		switch {
-		case x.silent:
+		case w.unreachable:
 			v.State = "silent"
-		case !x.up && x.retired:
+		case !w.up && w.replaced:
 			continue
-		case !x.up:
+		case !w.up:
 			v.State = "down"
-		case x.state == dispatch.Draining:
+		case w.state == dispatch.Draining:
 			v.State = "draining"
 		}
-		if x.up {
-			v.Warmth = w.warmth(x, w.now)
+		if w.up {
+			v.Warmth = m.warmth(w, m.now)
 		}
 		all = append(all, v)
 	}
@@ -89,226 +89,226 @@
 }
 
 // strike lets a fault begin; what lasts ends after its time, 0: never.
-func (w *Model) strike(f *Fault) {
-	span := float64(f.Duration)
-	until := func(undo func()) {
-		if span > 0 {
-			w.After(span, undo)
+func (m *Model) applyFault(f *Fault) {
+	duration := float64(f.Duration)
+	afterDuration := func(undo func()) {
+		if duration > 0 {
+			m.After(duration, undo)
 		}
 	}
-	amount := func(absent float64) float64 {
+	amountOr := func(fallback float64) float64 {
 		if f.Amount == 0 {
-			return absent
+			return fallback
 		}
 		return f.Amount
 	}
-	each := func(do, undo func(*worker)) int {
-		hit := w.hit(f)
-		for _, x := range hit {
-			w.change(x, func() { do(x) })
+	changeEach := func(apply, undo func(*worker)) int {
+		affected := m.pickWorkers(f)
+		for _, w := range affected {
+			m.changeRate(w, func() { apply(w) })
 		}
-		until(func() {
-			for _, x := range hit {
-				w.change(x, func() { undo(x) })
+		afterDuration(func() {
+			for _, w := range affected {
+				m.changeRate(w, func() { undo(w) })
 			}
 		})
-		return len(hit)
+		return len(affected)
 	}
-	n := -1
+	count := -1
 	switch f.Type {
 	case "kill":
-		hit := w.hit(f)
-		for _, x := range hit {
-			w.kill(x, span)
+		affected := m.pickWorkers(f)
+		for _, w := range affected {
+			m.killWorker(w, duration)
 		}
-		n = len(hit)
+		count = len(affected)
 	case "vanish", "site_loss":
-		hit := w.hit(f)
-		for _, x := range hit {
-			w.vanish(x, span)
+		affected := m.pickWorkers(f)
+		for _, w := range affected {
+			m.loseMachine(w, duration)
 		}
-		n = len(hit)
+		count = len(affected)
 	case "cut":
-		w.cuts = append(w.cuts, f)
-		until(func() { w.heal(f) })
+		m.activeCuts = append(m.activeCuts, f)
+		afterDuration(func() { m.endCut(f) })
 	case "drain":
-		hit := w.hit(f)
-		for _, x := range hit {
-			w.drain(x, span, false)
+		affected := m.pickWorkers(f)
+		for _, w := range affected {
+			m.drainWorker(w, duration, false)
 		}
-		n = len(hit)
+		count = len(affected)
 	case "deploy":
-		hit := w.hit(f)
-		batch := int(max(amount(1), 1))
-		for k, x := range hit {
-			w.After(span*float64(k/batch), func() { w.drain(x, 0, true) })
+		affected := m.pickWorkers(f)
+		batch := int(max(amountOr(1), 1))
+		for k, w := range affected {
+			m.After(duration*float64(k/batch), func() { m.drainWorker(w, 0, true) })
 		}
-		n = len(hit)
+		count = len(affected)
 	case "slow":
-		a := amount(0.25)
-		n = each(func(x *worker) { x.slow *= a }, func(x *worker) { x.slow /= a })
+		value := amountOr(0.25)
+		count = changeEach(func(w *worker) { w.speedFactor *= value }, func(w *worker) { w.speedFactor /= value })
 	case "neighbour":
-		a := min(amount(0.5), 0.99)
-		n = each(func(x *worker) { x.taken = a }, func(x *worker) { x.taken = 0 })
+		value := min(amountOr(0.5), 0.99)
+		count = changeEach(func(w *worker) { w.stolenShare = value }, func(w *worker) { w.stolenShare = 0 })
 	case "fail":
-		a := amount(1)
-		n = each(func(x *worker) { x.fails = a }, func(x *worker) { x.fails = 0 })
+		value := amountOr(1)
+		count = changeEach(func(w *worker) { w.failureRate = value }, func(w *worker) { w.failureRate = 0 })
 	case "tail":
-		w.tail = amount(10)
-		until(func() { w.tail = 1 })
+		m.tailCostFactor = amountOr(10)
+		afterDuration(func() { m.tailCostFactor = 1 })
 	case "burst":
-		for k, t := range w.Experiment.Tenants {
+		for k, t := range m.Experiment.Tenants {
 			if f.Tenant == "" || t.Name == f.Tenant {
-				w.bursts[k] *= amount(4)
-				until(func() { w.bursts[k] /= amount(4) })
+				m.tenantRateFactors[k] *= amountOr(4)
+				afterDuration(func() { m.tenantRateFactors[k] /= amountOr(4) })
 			}
 		}
 	case "discovery_silent":
-		w.hush(span)
+		m.silenceDiscovery(duration)
 	case "discovery_late":
-		w.listLate = amount(2000)
-		until(func() { w.listLate = 0 })
+		m.discoveryExtraDelay = amountOr(2000)
+		afterDuration(func() { m.discoveryExtraDelay = 0 })
 	case "list_wrong": // it calls workers gone that run and serve
-		hit := w.hit(f)
-		deny := func(on bool) {
-			for _, x := range hit {
-				x.denied = on
+		affected := m.pickWorkers(f)
+		setFalselyGone := func(on bool) {
+			for _, w := range affected {
+				w.falselyGone = on
 			}
-			w.changed(hit...)
+			m.publishChange(affected...)
 		}
-		deny(true)
-		until(func() { deny(false) })
-		n = len(hit)
+		setFalselyGone(true)
+		afterDuration(func() { setFalselyGone(false) })
+		count = len(affected)
 	case "messages_lost":
-		w.lost = amount(1)
-		until(func() { w.lost = 0 })
+		m.peerLossRate = amountOr(1)
+		afterDuration(func() { m.peerLossRate = 0 })
 	case "messages_late":
-		w.late = amount(200)
-		until(func() { w.late = 0 })
+		m.peerExtraDelay = amountOr(200)
+		afterDuration(func() { m.peerExtraDelay = 0 })
 	case "callbacks_repeat":
-		w.repeat = amount(1)
-		until(func() { w.repeat = 0 })
+		m.callbackRepeatRate = amountOr(1)
+		afterDuration(func() { m.callbackRepeatRate = 0 })
 	case "callbacks_late":
-		w.backLate = amount(100)
-		until(func() { w.backLate = 0 })
+		m.callbackMaxExtraDelay = amountOr(100)
+		afterDuration(func() { m.callbackMaxExtraDelay = 0 })
 	case "dispatcher_kill":
-		for _, d := range w.among(f) {
-			w.killDispatcher(d, true)
+		for _, d := range m.pickDispatchers(f) {
+			m.killDispatcher(d, true)
 		}
 	case "dispatcher_stop":
-		for k, d := range w.among(f) {
-			w.After(span*float64(k), func() { w.stopDispatcher(d) })
+		for k, d := range m.pickDispatchers(f) {
+			m.After(duration*float64(k), func() { m.stopDispatcher(d) })
 		}
 	case "dispatcher_reload":
-		for _, d := range w.among(f) {
+		for _, d := range m.pickDispatchers(f) {
 			if d.up {
-				w.port.ReloadDispatcher(d.n)
+				m.driver.ReloadDispatcher(d.index)
 			}
 		}
 	case "dispatcher_upgrade":
-		for k, d := range w.among(f) {
-			w.After(span*float64(k), func() {
-				if d.up && !d.frozen { // beside one that hangs a newer process shares its address: another trouble
-					w.port.UpgradeDispatcher(d.n)
+		for k, d := range m.pickDispatchers(f) {
+			m.After(duration*float64(k), func() {
+				if d.up && !d.paused { // beside one that hangs a newer process shares its address: another trouble
+					m.driver.UpgradeDispatcher(d.index)
 				}
 			})
 		}
 	case "dispatcher_freeze":
-		for _, d := range w.among(f) {
-			w.freeze(d, span)
+		for _, d := range m.pickDispatchers(f) {
+			m.pauseDispatcher(d, duration)
 		}
 	case "link_cut", "link_oneway", "link_late", "link_held", "link_reset", "link_trickle", "link_half", "folder_full", "folder_gone",
 		"folder_empty", "folder_older", "folder_flipped", "publish", "publish_twice":
-		var hit []int
-		for _, d := range w.among(f) {
-			hit = append(hit, d.n)
+		var affected []int
+		for _, d := range m.pickDispatchers(f) {
+			affected = append(affected, d.index)
 		}
-		w.port.SetFleetFault(f, hit, true)
-		until(func() { w.port.SetFleetFault(f, hit, false) })
+		m.driver.SetFleetFault(f, affected, true)
+		afterDuration(func() { m.driver.SetFleetFault(f, affected, false) })
 		if f.Type == "folder_empty" || f.Type == "folder_older" || f.Type == "folder_flipped" { // found so at the next start
-			for _, d := range hit {
-				w.killDispatcher(w.dispatchers[d], true)
+			for _, d := range affected {
+				m.killDispatcher(m.dispatchers[d], true)
 			}
 		}
 	case "clients_flood":
-		for _, d := range w.among(f) {
-			w.port.FloodConnections(d.n, amount(200), max(span, 1000))
+		for _, d := range m.pickDispatchers(f) {
+			m.driver.FloodConnections(d.index, amountOr(200), max(duration, 1000))
 		}
 	case "clock_jump": // workers' machines: what they say of their start is off by so much
-		hit := w.hit(f)
-		for _, x := range hit {
-			x.clock += f.Amount
+		affected := m.pickWorkers(f)
+		for _, w := range affected {
+			w.clockOffset += f.Amount
 		}
-		w.changed(hit...)
-		n = len(hit)
+		m.publishChange(affected...)
+		count = len(affected)
 	}
-	if n >= 0 {
-		w.mark("%s of %d workers", f.Type, n)
+	if count >= 0 {
+		m.annotate("%s of %d workers", f.Type, count)
 	} else {
-		w.mark("%s", f.Type)
+		m.annotate("%s", f.Type)
 	}
 	switch f.Type {
 	case "publish", "publish_twice", "deploy", "dispatcher_stop", "dispatcher_kill", "dispatcher_reload", "dispatcher_upgrade", "clock_jump":
 	default:
-		if span > 0 {
-			w.After(span, func() { w.mark("%s ends", f.Type) })
+		if duration > 0 {
+			m.After(duration, func() { m.annotate("%s ends", f.Type) })
 		}
 	}
 }
 
 // heal ends a cut: what was written into it arrives now.
-func (w *Model) heal(f *Fault) {
-	for k, c := range w.cuts {
+func (m *Model) endCut(f *Fault) {
+	for k, c := range m.activeCuts {
 		if c == f {
-			w.cuts = append(w.cuts[:k], w.cuts[k+1:]...)
+			m.activeCuts = append(m.activeCuts[:k], m.activeCuts[k+1:]...)
 			break
 		}
 	}
-	for _, x := range w.workers {
-		if x.silent {
+	for _, w := range m.workers {
+		if w.unreachable {
 			continue
 		}
-		held := x.limbo
-		x.limbo = nil
-		for _, h := range held {
-			d := w.dispatchers[h.Dispatcher]
+		undelivered := w.undelivered
+		w.undelivered = nil
+		for _, h := range undelivered {
+			d := m.dispatchers[h.Dispatcher]
 			switch {
-			case w.cut(withWorkers, d, x.site):
-				x.limbo = append(x.limbo, h)
-			case h.off: // its connection was closed: nothing is sent again
-			case d.life != h.life:
+			case m.isCut(workerPath, d, w.site):
+				w.undelivered = append(w.undelivered, h)
+			case h.cancelled: // its connection was closed: nothing is sent again
+			case d.incarnation != h.dispatcherIncarnation:
 			default:
-				h.arrives = w.now + w.delay(d.site, x.site)
-				w.At(h.arrives, func() { w.arrive(h) })
+				h.arrival = m.now + m.networkDelay(d.site, w.site)
+				m.At(h.arrival, func() { m.handOffArrived(h) })
 			}
 		}
 	}
 	if f.Path == "discovery" {
-		for _, d := range w.dispatchers {
+		for _, d := range m.dispatchers {
 			if d.up && d.watching {
-				w.Watch(d.n, d.watch, -1)
+				m.Watch(d.index, d.watchNumber, -1)
 			}
 		}
 	}
 }
 
 // sample notes each second how busy each kind was.
-func (w *Model) sample(start float64) {
-	before := make([]float64, len(w.Experiment.Kinds))
+func (m *Model) sampleLoad(start float64) {
+	before := make([]float64, len(m.Experiment.Kinds))
 	var next func()
 	next = func() {
-		s := LoadSample{BusyCores: make([]float64, len(w.Experiment.Kinds))}
-		for _, x := range w.workers {
-			w.work(x)
-			s.BusyCores[x.kind] += x.busy
+		s := LoadSample{BusyCores: make([]float64, len(m.Experiment.Kinds))}
+		for _, w := range m.workers {
+			m.advanceWorker(w)
+			s.BusyCores[w.kind] += w.busyCoreMs
 		}
 		for k := range s.BusyCores {
 			s.BusyCores[k], before[k] = (s.BusyCores[k]-before[k])/1000, s.BusyCores[k]
 		}
-		w.LoadSamples = append(w.LoadSamples, s)
-		if !w.Done() {
-			w.After(1000, next)
+		m.LoadSamples = append(m.LoadSamples, s)
+		if !m.Done() {
+			m.After(1000, next)
 		}
 	}
-	w.At(start+1000, next)
+	m.At(start+1000, next)
 }
--- a/internal/fleetmodel/misbehaving_dispatcher_test.go
+++ b/internal/fleetmodel/misbehaving_dispatcher_test.go
@@ -11,112 +11,112 @@
 
 // crook is a dispatcher made to be wrong in one way. It sends each request to the next worker in turn, and answers when
 // one is done.
-type crook struct {
-	w       *Model
-	way     string
-	list    []string
-	turn    int
-	clients map[string]*Request
-	out     map[string][]*HandOff
-	states  map[string]dispatch.WorkerState
+type misbehaving struct {
+	model    *Model
+	fault    string
+	workers  []string
+	rotation int
+	requests map[string]*Request
+	handOffs map[string][]*HandOff
+	states   map[string]dispatch.State
 }
 
-func (c *crook) send(d int, t *Request, to string) {
-	c.out[t.ID] = append(c.out[t.ID], c.w.HandOff(d, t.ID, to, nil))
+func (c *misbehaving) send(d int, t *Request, to string) {
+	c.handOffs[t.ID] = append(c.handOffs[t.ID], c.model.HandOff(d, t.ID, to, nil))
 }
 
-func (c *crook) next() string {
-	for range c.list {
-		c.turn++
-		if id := c.list[c.turn%len(c.list)]; c.states[id] == dispatch.Up {
+func (c *misbehaving) next() string {
+	for range c.workers {
+		c.rotation++
+		if id := c.workers[c.rotation%len(c.workers)]; c.states[id] == dispatch.Up {
 			return id
 		}
 	}
 	return ""
 }
 
-func (c *crook) RequestArrived(d int, t *Request) {
-	c.clients[t.ID] = t
+func (c *misbehaving) RequestArrived(d int, t *Request) {
+	c.requests[t.ID] = t
 	to := c.next()
-	switch c.way {
+	switch c.fault {
 	case "drained worker":
-		to = c.list[t.Job.Number%len(c.list)]
+		to = c.workers[t.Job.Number%len(c.workers)]
 	case "one cold worker":
-		to = c.list[0]
+		to = c.workers[0]
 	}
 	if to == "" {
 		c.answer(d, t.ID, RetryLater, "")
 		return
 	}
-	if c.send(d, t, to); c.way == "come again at once" {
+	if c.send(d, t, to); c.fault == "come again at once" {
 		c.answer(d, t.ID, RetryLater, "")
 	}
-	if c.way == "a second copy" {
+	if c.fault == "a second copy" {
 		c.send(d, t, c.next())
 	}
-	if c.way == "too many hand-offs" {
+	if c.fault == "too many hand-offs" {
 		for range 5 {
-			c.w.CancelHandOff(c.out[t.ID][len(c.out[t.ID])-1])
+			c.model.CancelHandOff(c.handOffs[t.ID][len(c.handOffs[t.ID])-1])
 			c.send(d, t, c.next())
 		}
 	}
-	if c.way == "an id of its own" {
-		c.w.HandOff(d, "made-up", to, nil)
+	if c.fault == "an id of its own" {
+		c.model.HandOff(d, "made-up", to, nil)
 	}
 }
 
-func (c *crook) answer(d int, id string, s Status, body string) {
-	if c.clients[id] != nil {
-		delete(c.clients, id)
-		c.w.Answer(d, id, s, body, 0)
+func (c *misbehaving) answer(d int, id string, s Status, body string) {
+	if c.requests[id] != nil {
+		delete(c.requests, id)
+		c.model.Answer(d, id, s, body, 0)
 	}
 }
 
-func (c *crook) ClientLeft(int, *Request) {}
-func (c *crook) HandOffEnded(d int, h *HandOff, how HandOffResult) {
+func (c *misbehaving) ClientLeft(int, *Request) {}
+func (c *misbehaving) HandOffEnded(d int, h *HandOff, how HandOffResult) {
 	switch how {
 	case Rejected, ConnectFailed:
-		if t := c.clients[h.ID]; t != nil && len(c.out[h.ID]) < 5 {
+		if t := c.requests[h.ID]; t != nil && len(c.handOffs[h.ID]) < 5 {
 			c.send(d, t, c.next())
 		} else {
 			c.answer(d, h.ID, RetryLater, "")
 		}
 	case ConnectionReset, Failed:
-		c.lost(d, h.ID)
+		c.handOffLost(d, h.ID)
 	}
 }
 
 // lost is a hand-off that may have run.
-func (c *crook) lost(d int, id string) {
-	t := c.clients[id]
+func (c *misbehaving) handOffLost(d int, id string) {
+	t := c.requests[id]
 	switch {
 	case t == nil:
-	case c.way == "exclusive again":
+	case c.fault == "exclusive again":
 		c.send(d, t, c.next())
-	case c.way == "come again after a loss":
+	case c.fault == "come again after a loss":
 		c.answer(d, id, RetryLater, "")
 	default:
 		c.answer(d, id, OtherStatus, "")
 	}
 }
 
-func (c *crook) Callback(d int, b Callback) bool {
+func (c *misbehaving) Callback(d int, b Callback) bool {
 	switch b.State {
 	case "lost":
-		c.lost(d, b.ID)
+		c.handOffLost(d, b.ID)
 	case "done":
-		t := c.clients[b.ID]
+		t := c.requests[b.ID]
 		switch {
 		case t == nil:
-		case c.way == "no answer":
-		case c.way == "two answers":
+		case c.fault == "no answer":
+		case c.fault == "two answers":
 			c.answer(d, b.ID, Served, b.Result)
-			c.w.Answer(d, b.ID, Served, b.Result, 0)
-		case c.way == "made up":
+			c.model.Answer(d, b.ID, Served, b.Result, 0)
+		case c.fault == "made up":
 			c.answer(d, b.ID, Served, "all is well")
-		case c.way == "late answer":
-			c.w.At(t.Deadline+100, func() { c.answer(d, b.ID, Served, b.Result) })
-		case c.way == "hand-off after the answer":
+		case c.fault == "late answer":
+			c.model.At(t.Deadline+100, func() { c.answer(d, b.ID, Served, b.Result) })
+		case c.fault == "hand-off after the answer":
 			c.answer(d, b.ID, Served, b.Result)
 			c.send(d, t, c.next())
 		default:
@@ -126,29 +126,29 @@
 	return true
 }
 
-func (c *crook) DiscoveryUpdated(d int, l DiscoveryUpdate) {
+func (c *misbehaving) DiscoveryUpdated(d int, l DiscoveryUpdate) {
 	for _, m := range l.Workers {
 		if _, known := c.states[m.ID]; !known {
-			c.list = append(c.list, m.ID)
+			c.workers = append(c.workers, m.ID)
 		}
 		c.states[m.ID] = m.State
 	}
-	c.w.DispatcherReady(d)
+	c.model.DispatcherReady(d)
 }
-func (c *crook) WatchEnded(int, int)                    {}
-func (c *crook) PeerMessage(int, int, []byte)           {}
-func (c *crook) StartDispatcher(d int, _ []WorkerEntry) { c.w.Watch(d, 1, -1) }
-func (c *crook) WorkerStarted(string)                   {}
-func (c *crook) WorkerStopped(string)                   {}
-func (c *crook) KillDispatcher(int)                     {}
-func (c *crook) StopDispatcher(int)                     {}
-func (c *crook) ReloadDispatcher(int)                   {}
-func (c *crook) UpgradeDispatcher(int)                  {}
-func (c *crook) FloodConnections(int, float64, float64) {}
-func (c *crook) SetPaused(int, bool)                    {}
-func (c *crook) SetFleetFault(*Fault, []int, bool)      {}
+func (c *misbehaving) WatchEnded(int, int)                    {}
+func (c *misbehaving) PeerMessage(int, int, []byte)           {}
+func (c *misbehaving) StartDispatcher(d int, _ []WorkerEntry) { c.model.Watch(d, 1, -1) }
+func (c *misbehaving) WorkerStarted(string)                   {}
+func (c *misbehaving) WorkerStopped(string)                   {}
+func (c *misbehaving) KillDispatcher(int)                     {}
+func (c *misbehaving) StopDispatcher(int)                     {}
+func (c *misbehaving) ReloadDispatcher(int)                   {}
+func (c *misbehaving) UpgradeDispatcher(int)                  {}
+func (c *misbehaving) FloodConnections(int, float64, float64) {}
+func (c *misbehaving) SetPaused(int, bool)                    {}
+func (c *misbehaving) SetFleetFault(*Fault, []int, bool)      {}
 
-const crooked = `
+const misbehavingText = `
 length = "4s"
 [dispatchers]
 second_copies = %v
@@ -175,7 +175,7 @@
 
 // TestConvicts: each way of being wrong is convicted by its rule, names a work item and comes when it is done; the
 // same dispatcher without the fault is clean.
-func TestConvicts(t *testing.T) {
+func TestDetectsEachFault(t *testing.T) {
 	for _, c := range []struct {
 		way, repeat, fault string
 		copies             bool
@@ -202,7 +202,7 @@
 		{"one cold worker", "rerunnable", "cold", true, invariants.NoColdOverload, 2000},
 	} {
 		t.Run(c.way+" "+c.repeat+" "+c.fault, func(t *testing.T) {
-			text := fmt.Sprintf(crooked, c.copies, c.repeat)
+			text := fmt.Sprintf(misbehavingText, c.copies, c.repeat)
 			if c.fault == "cold" {
 				text += "[workers]\nfall = \"200ms\"\nstart_share = 0.05\n"
 				c.fault = "kill"
@@ -215,8 +215,8 @@
 				t.Fatal(err)
 			}
 			w := New(x, 7)
-			b := &crook{w: w, way: c.way, clients: map[string]*Request{}, out: map[string][]*HandOff{},
-				states: map[string]dispatch.WorkerState{}}
+			b := &misbehaving{model: w, fault: c.way, requests: map[string]*Request{}, handOffs: map[string][]*HandOff{},
+				states: map[string]dispatch.State{}}
 			w.Begin(b, 1000)
 			for !w.Done() && !math.IsInf(w.Next(), 1) {
 				w.Step()
--- a/internal/fleetmodel/model.go
+++ b/internal/fleetmodel/model.go
@@ -68,12 +68,12 @@
 
 // Member is a worker as discovery lists it.
 type WorkerEntry struct {
-	ID        string
-	Site      int
-	Kind      int
-	State     dispatch.WorkerState
-	StartTime float64 // on the model's clock; below 0: long ago
-	told      float64 // the same where it is true, else below 0
+	ID            string
+	Site          int
+	Kind          int
+	State         dispatch.State
+	StartTime     float64 // on the model's clock; below 0: long ago
+	reportedStart float64 // the same where it is true, else below 0
 }
 
 // Listing is what discovery tells at once.
@@ -86,16 +86,16 @@
 
 // event is something that happens at a time; those of one time happen in the order in which they were planned.
 type event struct {
-	at  float64
-	seq uint64
-	do  func()
+	at     float64
+	order  uint64
+	action func()
 }
 
 type events []*event
 
 func (q events) Len() int { return len(q) }
 func (q events) Less(a, b int) bool {
-	return q[a].at < q[b].at || q[a].at == q[b].at && q[a].seq < q[b].seq
+	return q[a].at < q[b].at || q[a].at == q[b].at && q[a].order < q[b].order
 }
 func (q events) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
 func (q *events) Push(x any)   { *q = append(*q, x.(*event)) }
@@ -109,37 +109,37 @@
 
 // World is one experiment being played. Its methods must be called by one goroutine at a time.
 type Model struct {
-	Experiment  *Experiment
-	Checker     *invariants.Checker
-	Jobs        []*Job       // in order of arrival
-	Annotations []Annotation // faults as they came
-	LoadSamples []LoadSample
-	port        Driver
-	now         float64
-	seq         uint64
-	queue       events
-	arrivals    *rand.Rand
-	netRnd      *rand.Rand
-	faultRnd    *rand.Rand
-	clientRnd   *rand.Rand
-	workers     []*worker
-	byID        map[string]*worker
-	dispatchers []*dispatcher
-	tries       map[string]*Request
-	revision    int64
-	openJobs    int
-	closed      bool // no more arrivals
-	nextTry     uint64
-	cuts        []*Fault
-	bursts      []float64 // factor of each tenant's rate
-	tail        float64   // factor of the heaviest costs
-	silent      int       // faults that hold discovery
-	listLate    float64
-	lost, late  float64 // of siblings' messages
-	repeat      float64 // share of callbacks told twice
-	backLate    float64
-	laws        []func(*rand.Rand) float64
-	ids         uint64
+	Experiment                   *Experiment
+	Checker                      *invariants.Checker
+	Jobs                         []*Job       // in order of arrival
+	Annotations                  []Annotation // faults as they came
+	LoadSamples                  []LoadSample
+	driver                       Driver
+	now                          float64
+	seq                          uint64
+	events                       events
+	arrivalRand                  *rand.Rand
+	networkRand                  *rand.Rand
+	faultRand                    *rand.Rand
+	clientRand                   *rand.Rand
+	workers                      []*worker
+	workersByID                  map[string]*worker
+	dispatchers                  []*dispatcher
+	requests                     map[string]*Request
+	revision                     int64
+	openJobs                     int
+	arrivalsEnded                bool // no more arrivals
+	requestCount                 uint64
+	activeCuts                   []*Fault
+	tenantRateFactors            []float64 // factor of each tenant's rate
+	tailCostFactor               float64   // factor of the heaviest costs
+	discoveryOutages             int       // faults that hold discovery
+	discoveryExtraDelay          float64
+	peerLossRate, peerExtraDelay float64 // of siblings' messages
+	callbackRepeatRate           float64 // share of callbacks told twice
+	callbackMaxExtraDelay        float64
+	costSamplers                 []func(*rand.Rand) float64
+	idBase                       uint64
 }
 
 // Mark is a moment in the timeline that a reader should see.
@@ -155,20 +155,20 @@
 
 // dispatcher is one as the model sees it from outside.
 type dispatcher struct {
-	n        int
-	site     int
-	up       bool // its process lives
-	ready    bool
-	noticed  bool // the clients' front deals out connections to it
-	life     int  // number of its process
-	watch    int
-	watching bool
-	told     map[string]WorkerEntry
-	open     map[string]*Request // of clients that wait, and
-	order    []string            // their ids by arrival
-	talked   []float64           // with each worker, last
-	frozen   bool                // its process stands still
-	thawed   float64             // when it last went on
+	index        int
+	site         int
+	up           bool // its process lives
+	ready        bool
+	inRotation   bool // the clients' front deals out connections to it
+	incarnation  int  // number of its process
+	watchNumber  int
+	watching     bool
+	knownWorkers map[string]WorkerEntry
+	openRequests map[string]*Request // of clients that wait, and
+	arrivalOrder []string            // their ids by arrival
+	lastSentAt   []float64           // with each worker, last
+	paused       bool                // its process stands still
+	resumedAt    float64             // when it last went on
 }
 
 // New makes a world at time 0. The driver calls Begin next.
@@ -178,141 +178,141 @@
 		h.Write([]byte(name))
 		return rand.New(rand.NewPCG(seed, h.Sum64()))
 	}
-	w := &Model{Experiment: x, arrivals: stream("arrivals"), netRnd: stream("network"), faultRnd: stream("faults"),
-		clientRnd: stream("clients"), byID: map[string]*worker{}, tries: map[string]*Request{}, tail: 1,
-		ids: stream("ids").Uint64()}
-	w.Checker = invariants.New(x.rules())
+	m := &Model{Experiment: x, arrivalRand: stream("arrivals"), networkRand: stream("network"), faultRand: stream("faults"),
+		clientRand: stream("clients"), workersByID: map[string]*worker{}, requests: map[string]*Request{}, tailCostFactor: 1,
+		idBase: stream("ids").Uint64()}
+	m.Checker = invariants.New(x.checkerConfig())
 	for range x.Tenants {
-		w.bursts = append(w.bursts, 1)
+		m.tenantRateFactors = append(m.tenantRateFactors, 1)
 	}
 	for k := range x.Categories {
-		w.laws = append(w.laws, x.Categories[k].law())
+		m.costSamplers = append(m.costSamplers, x.Categories[k].costSampler())
 	}
 	n := 0
 	for k := range x.Kinds {
 		for range x.Kinds[k].Count {
-			w.addWorker(k, n%x.Workers.Sites, -1)
+			m.addWorker(k, n%x.Workers.Sites, -1)
 			n++
 		}
 	}
 	for d := range x.Dispatchers.Count {
-		w.dispatchers = append(w.dispatchers, &dispatcher{n: d, site: d % x.Workers.Sites, told: map[string]WorkerEntry{},
-			open: map[string]*Request{}})
+		m.dispatchers = append(m.dispatchers, &dispatcher{index: d, site: d % x.Workers.Sites, knownWorkers: map[string]WorkerEntry{},
+			openRequests: map[string]*Request{}})
 	}
-	return w
+	return m
 }
 
 // rules are what the audit judges by.
-func (x *Experiment) rules() invariants.Config {
+func (x *Experiment) checkerConfig() invariants.Config {
 	r := invariants.Config{SecondCopies: x.Dispatchers.SecondCopies, DrainGrace: float64(x.Workers.DrainGrace),
 		OnlyDrainingBinds: x.Workers.OnlyDrainingBinds,
 		AnswerSlack:       float64(x.Dispatchers.AnswerSlack), MaxHandOffs: x.Dispatchers.MaxHandOffs,
-		StartShare: x.Workers.StartShare, WarmUp: float64(x.Workers.WarmUp), OverloadWindow: float64(x.Workers.OverloadWindow),
-		OverloadFactor: x.Workers.OverloadFactor, MeanCost: x.MeanCost()}
+		StartCapacity: x.Workers.StartCapacity, WarmUpTime: float64(x.Workers.WarmUpTime), OverloadWindow: float64(x.Workers.OverloadWindow),
+		OverloadMultiple: x.Workers.OverloadMultiple, MeanCost: x.MeanCost()}
 	for _, c := range x.Categories {
-		r.Categories = append(r.Categories, invariants.Category{Name: c.Name, Repeat: c.repeat(), Group: c.group(),
-			TicketWindow: float64(c.TicketWindow)})
+		r.Categories = append(r.Categories, invariants.Category{Name: c.Name, RepeatPolicy: c.repeatPolicy(), DedupScope: c.dedupScope(),
+			DedupWindow: float64(c.DedupWindow)})
 	}
 	return r
 }
 
-func (c *Category) repeat() dispatch.RepeatPolicy {
-	return map[string]dispatch.RepeatPolicy{"rerunnable": dispatch.Rerunnable, "ticketed": dispatch.Ticketed,
-		"exclusive": dispatch.Exclusive}[c.Repeat]
+func (c *Category) repeatPolicy() dispatch.Repeat {
+	return map[string]dispatch.Repeat{"rerunnable": dispatch.Rerunnable, "ticketed": dispatch.Ticketed,
+		"exclusive": dispatch.Exclusive}[c.RepeatPolicy]
 }
 
-func (c *Category) group() dispatch.DedupScope {
-	return map[string]dispatch.DedupScope{"all": dispatch.DedupAll, "zone": dispatch.DedupZone, "cell": dispatch.DedupCell}[c.Group]
+func (c *Category) dedupScope() dispatch.Group {
+	return map[string]dispatch.Group{"all": dispatch.GroupAll, "zone": dispatch.GroupZone, "cell": dispatch.GroupCell}[c.DedupScope]
 }
 
 // Begin starts the dispatchers, plans the faults and the first arrival. Clients come from start on.
-func (w *Model) Begin(port Driver, start float64) {
-	w.port = port
-	for _, d := range w.dispatchers {
-		d.talked = make([]float64, len(w.workers))
-		for k := range d.talked {
-			d.talked[k] = math.Inf(-1)
+func (m *Model) Begin(driver Driver, start float64) {
+	m.driver = driver
+	for _, d := range m.dispatchers {
+		d.lastSentAt = make([]float64, len(m.workers))
+		for k := range d.lastSentAt {
+			d.lastSentAt[k] = math.Inf(-1)
 		}
-		w.startDispatcher(d)
+		m.startDispatcher(d)
 	}
-	for k := range w.Experiment.Faults {
-		f := &w.Experiment.Faults[k]
-		w.At(start+float64(f.At), func() { w.strike(f) })
+	for k := range m.Experiment.Faults {
+		f := &m.Experiment.Faults[k]
+		m.At(start+float64(f.At), func() { m.applyFault(f) })
 	}
-	w.At(start, func() { w.nextArrival(start) })
-	w.At(start+float64(w.Experiment.Length), func() { w.closed = true })
-	w.sample(start)
+	m.At(start, func() { m.scheduleArrival(start) })
+	m.At(start+float64(m.Experiment.Length), func() { m.arrivalsEnded = true })
+	m.sampleLoad(start)
 }
 
 // Now is the model's time.
-func (w *Model) Now() float64 { return w.now }
+func (m *Model) Now() float64 { return m.now }
 
 // At plans something; what lies in the past happens next.
-func (w *Model) At(at float64, do func()) {
+func (w *Model) At(at float64, action func()) {
 	w.seq++
-	heap.Push(&w.queue, &event{max(at, w.now), w.seq, do})
+	heap.Push(&w.events, &event{max(at, w.now), w.seq, action})
 }
 
 // After plans something after a time.
-func (w *Model) After(span float64, do func()) { w.At(w.now+span, do) }
+func (m *Model) After(delay float64, action func()) { m.At(m.now+delay, action) }
 
 // Next is when the next thing is planned; infinite: never.
 func (w *Model) Next() float64 {
-	if len(w.queue) == 0 {
+	if len(w.events) == 0 {
 		return math.Inf(1)
 	}
-	return w.queue[0].at
+	return w.events[0].at
 }
 
 // Step does the next thing that is planned.
-func (w *Model) Step() {
-	e := heap.Pop(&w.queue).(*event)
-	w.now = e.at
-	e.do()
+func (m *Model) Step() {
+	next := heap.Pop(&m.events).(*event)
+	m.now = next.at
+	next.action()
 }
 
 // Advance does all that is due by a time, and stands there then.
-func (w *Model) Advance(to float64) {
-	for w.Next() <= to {
-		w.Step()
+func (m *Model) Advance(to float64) {
+	for m.Next() <= to {
+		m.Step()
 	}
-	w.now = max(w.now, to)
+	m.now = max(m.now, to)
 }
 
 // Silent tells whether discovery says nothing just now.
-func (w *Model) DiscoverySilent() bool { return w.silent > 0 }
+func (m *Model) DiscoverySilent() bool { return m.discoveryOutages > 0 }
 
 // Over tells that no more work comes and every client has its end.
-func (w *Model) Done() bool { return w.closed && w.openJobs == 0 }
+func (m *Model) Done() bool { return m.arrivalsEnded && m.openJobs == 0 }
 
 // delay of one message between two sites.
-func (w *Model) delay(a, b int) float64 {
+func (w *Model) networkDelay(a, b int) float64 {
 	t := float64(w.Experiment.Network.SameSite)
 	if a != b {
 		t = float64(w.Experiment.Network.CrossSite)
 	}
 	if j := float64(w.Experiment.Network.Jitter); j > 0 {
-		t += j * w.netRnd.ExpFloat64()
+		t += j * w.networkRand.ExpFloat64()
 	}
 	return t
 }
 
 // side is who speaks on a path that may be cut.
-type side int
+type networkPath int
 
 const (
-	withWorkers side = iota
-	withClients
-	withSiblings
-	withDiscovery
+	workerPath networkPath = iota
+	clientPath
+	peerPath
+	discoveryPath
 )
 
 // cut tells whether nothing gets through now between dispatchers of one site and those of the other side there.
-func (w *Model) cut(s side, d *dispatcher, site int) bool {
-	for _, f := range w.cuts {
-		of := map[string]side{"workers": withWorkers, "clients": withClients, "siblings": withSiblings,
-			"discovery": withDiscovery}[f.Path]
-		if of == s && (f.Site == "" || SiteName(site) == f.Site) && (f.Count == 0 || d.n < f.Count) {
+func (m *Model) isCut(s networkPath, d *dispatcher, site int) bool {
+	for _, f := range m.activeCuts {
+		of := map[string]networkPath{"workers": workerPath, "clients": clientPath, "siblings": peerPath,
+			"discovery": discoveryPath}[f.Path]
+		if of == s && (f.Site == "" || SiteName(site) == f.Site) && (f.Count == 0 || d.index < f.Count) {
 			return true
 		}
 	}
--- a/internal/fleetmodel/settings.go
+++ b/internal/fleetmodel/settings.go
@@ -11,12 +11,12 @@
 )
 
 // us is a time as the settings have it.
-func us(s Millis) int64 { return int64(s * 1000) }
+func micros(s Millis) int64 { return int64(s * 1000) }
 
 type object = map[string]any
 
 // Settings is the `settings` of one dispatcher's configuration.
-func (x *Experiment) Settings(number int) map[string]any {
+func (x *Experiment) Settings(index int) map[string]any {
 	d, n, k := &x.Dispatchers, &x.Network, &x.Workers
 	var sites, kinds []string
 	for s := range k.Sites {
@@ -26,13 +26,13 @@
 		kinds = append(kinds, kind.Name)
 	}
 	var categories, tenants []any
-	stretch, only := []float64{}, []int{}
+	stretches, classKinds := []float64{}, []int{}
 	for _, c := range x.Categories {
-		categories = append(categories, object{"name": c.Name, "expiry": us(c.Expiry), "due_time": us(c.DueTime),
-			"semantics": map[string]string{"rerunnable": "repeatable", "ticketed": "by_key", "exclusive": "once"}[c.Repeat],
-			"group":     c.Group, "window": us(c.TicketWindow), "credit": c.Credit})
-		stretch = append(stretch, c.DuePerHint)
-		only = append(only, -1)
+		categories = append(categories, object{"name": c.Name, "expiry": micros(c.Expiry), "due_time": micros(c.DueTime),
+			"semantics": map[string]string{"rerunnable": "repeatable", "ticketed": "by_key", "exclusive": "once"}[c.RepeatPolicy],
+			"group":     c.DedupScope, "window": micros(c.DedupWindow), "credit": c.Credit})
+		stretches = append(stretches, c.DueStretch)
+		classKinds = append(classKinds, -1)
 	}
 	shares := 0.
 	for _, t := range x.Tenants {
@@ -49,21 +49,21 @@
 	if d.DiscoveryOnRequest {
 		discovery = "ask"
 	}
-	return object{"siblings": d.Count, "position": number, "granularity": us(d.RoundInterval), "discovery": discovery,
-		"localities": sites, "locality": SiteName(number % k.Sites), "machine_types": kinds, "excess_credit": d.ExcessCredit,
+	return object{"siblings": d.Count, "position": index, "granularity": micros(d.RoundInterval), "discovery": discovery,
+		"localities": sites, "locality": SiteName(index % k.Sites), "machine_types": kinds, "excess_credit": d.ExcessCredit,
 		"allowed": object{"max_hand_offs": d.MaxHandOffs, "may_cancel": d.MayCancel, "second_copies": d.SecondCopies,
-			"peers": d.PeerMessages && d.Count > 1, "retry_after": d.HonorPauses, "max_retry_after": us(d.MaxPause),
-			"conn_idle": us(n.IdleTimeout), "connect_timeout": us(n.ConnectTimeout), "open_cap": d.MaxOpen},
-		"safety": object{"answer_slack": us(d.AnswerSlack), "ask_within": us(d.AskWithin), "start_capacity": k.StartShare,
-			"cold": us(k.WarmUp), "fall": us(k.OverloadWindow), "fall_multiple": k.OverloadFactor, "drain_grace": us(k.DrainGrace), "only_draining_binds": k.OnlyDrainingBinds},
-		"family_info": object{"tells_start": k.ReportStart, "progress": us(k.ProgressInterval), "class_stretch": stretch,
-			"class_kind": only},
+			"peers": d.PeerMessages && d.Count > 1, "retry_after": d.HonorRetryAfter, "max_retry_after": micros(d.MaxRetryAfter),
+			"conn_idle": micros(n.IdleTimeout), "connect_timeout": micros(n.ConnectTimeout), "open_cap": d.MaxOpen},
+		"safety": object{"answer_slack": micros(d.AnswerSlack), "ask_within": micros(d.DiscoveryAskWithin), "start_capacity": k.StartCapacity,
+			"cold": micros(k.WarmUpTime), "fall": micros(k.OverloadWindow), "fall_multiple": k.OverloadMultiple, "drain_grace": micros(k.DrainGrace), "only_draining_binds": k.OnlyDrainingBinds},
+		"family_info": object{"tells_start": k.ReportStart, "progress": micros(k.ProgressInterval), "class_stretch": stretches,
+			"class_kind": classKinds},
 		"realms": tenants, "categories": categories}
 }
 
 // Dispatch is the same as the decisions take it.
-func (x *Experiment) DispatchSettings(number int, seed uint64) (dispatch.Settings, error) {
-	text, err := json.Marshal(x.Settings(number))
+func (x *Experiment) DispatchSettings(index int, seed uint64) (dispatch.Settings, error) {
+	text, err := json.Marshal(x.Settings(index))
 	if err != nil {
 		return dispatch.Settings{}, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/fleetmodel/workers.go
+++ b/internal/fleetmodel/workers.go
@@ -13,521 +13,521 @@
 
 // worker is one process that runs jobs: slots at once, sharing its cores, the rest in a queue, first come first served.
 type worker struct {
-	n       int
-	id      string
-	kind    int
-	k       *Kind
-	site    int
-	state   dispatch.WorkerState // as discovery has it
-	listed  bool
-	denied  bool    // discovery calls it gone, which is not so
-	up      bool    // the process lives
-	silent  bool    // nothing gets to it or from it
-	since   float64 // its start; below 0: long ago
-	clock   float64 // its machine's clock is off by so much
-	life    int
-	slow    float64 // factor on its speed
-	taken   float64 // part of its cores that a neighbour has
-	fails   float64 // share of hand-offs that it fails at once
-	running []*run
-	queue   []*run
-	at      float64 // the running were worked on until then
-	turn    uint64  // number of the present plan for the next end
-	busy    float64 // core milliseconds
-	sent    []spent // in the last fall window, while cold
-	limbo   []*HandOff
-	done    int  // jobs that it finished
-	retired bool // replaced by another
+	index       int
+	id          string
+	kind        int
+	spec        *Kind
+	site        int
+	state       dispatch.State // as discovery has it
+	listed      bool
+	falselyGone bool    // discovery calls it gone, which is not so
+	up          bool    // the process lives
+	unreachable bool    // nothing gets to it or from it
+	startTime   float64 // its start; below 0: long ago
+	clockOffset float64 // its machine's clock is off by so much
+	incarnation int
+	speedFactor float64 // factor on its speed
+	stolenShare float64 // part of its cores that a neighbour has
+	failureRate float64 // share of hand-offs that it fails at once
+	running     []*execution
+	queue       []*execution
+	advancedTo  float64    // the running were worked on until then
+	planSeq     uint64     // number of the present plan for the next end
+	busyCoreMs  float64    // core milliseconds
+	recentWork  []sentWork // in the last fall window, while cold
+	undelivered []*HandOff
+	finished    int  // jobs that it finished
+	replaced    bool // replaced by another
 }
 
-type spent struct{ at, cost float64 }
+type sentWork struct{ at, cost float64 }
 
 // run is a job at a worker.
-type run struct {
-	h    *HandOff
-	cost float64
-	left float64
+type execution struct {
+	handOff   *HandOff
+	cost      float64
+	remaining float64
 }
 
 // HandOff is one on its way or out.
 type HandOff struct {
-	ID         string
-	Dispatcher int
-	Number     int // number among those of its request
-	Worker     string
-	Tag        any // the driver's
-	t          *Request
-	w          *worker
-	life       int // of the dispatcher
-	wlife      int // of the worker, as it arrived
-	arrives    float64
-	off        bool // given up by the dispatcher
-	closed     bool // the dispatcher has seen its connection's end
+	ID                    string
+	Dispatcher            int
+	Number                int // number among those of its request
+	Worker                string
+	Tag                   any // the driver's
+	request               *Request
+	worker                *worker
+	dispatcherIncarnation int // of the dispatcher
+	workerIncarnation     int // of the worker, as it arrived
+	arrival               float64
+	cancelled             bool // given up by the dispatcher
+	closed                bool // the dispatcher has seen its connection's end
 }
 
-func (w *Model) addWorker(kind, site int, since float64) *worker {
-	x := &worker{n: len(w.workers), id: fmt.Sprintf("w%d", len(w.workers)), kind: kind, k: &w.Experiment.Kinds[kind], site: site,
-		listed: true, up: true, since: since, slow: 1, at: w.now}
-	w.workers = append(w.workers, x)
-	w.byID[x.id] = x
-	for _, d := range w.dispatchers {
-		d.talked = append(d.talked, math.Inf(-1))
+func (m *Model) addWorker(kind, site int, startTime float64) *worker {
+	w := &worker{index: len(m.workers), id: fmt.Sprintf("w%d", len(m.workers)), kind: kind, spec: &m.Experiment.Kinds[kind], site: site,
+		listed: true, up: true, startTime: startTime, speedFactor: 1, advancedTo: m.now}
+	m.workers = append(m.workers, w)
+	m.workersByID[w.id] = w
+	for _, d := range m.dispatchers {
+		d.lastSentAt = append(d.lastSentAt, math.Inf(-1))
 	}
-	w.Checker.WorkerStarted(w.now, x.id, site, x.k.capacity(), since)
-	return x
+	m.Checker.WorkerStarted(m.now, w.id, site, w.spec.capacity(), startTime)
+	return w
 }
 
 // Workers names all workers so far, with their kinds and sites, in order of their numbers.
-func (w *Model) Workers() (all []WorkerEntry) {
-	for _, x := range w.workers {
-		all = append(all, x.member())
+func (m *Model) Workers() (all []WorkerEntry) {
+	for _, w := range m.workers {
+		all = append(all, w.entry())
 	}
 	return all
 }
 
-func (x *worker) member() WorkerEntry {
-	m := WorkerEntry{ID: x.id, Site: x.site, Kind: x.kind, State: x.state, StartTime: x.since, told: x.since}
-	if x.denied {
-		m.State = dispatch.Gone
+func (w *worker) entry() WorkerEntry {
+	entry := WorkerEntry{ID: w.id, Site: w.site, Kind: w.kind, State: w.state, StartTime: w.startTime, reportedStart: w.startTime}
+	if w.falselyGone {
+		entry.State = dispatch.Gone
 	}
-	if x.since >= 0 && x.clock != 0 { // by its machine's clock: nobody can know when it started
-		m.StartTime, m.told = max(x.since+x.clock, 0), math.Inf(-1)
+	if w.startTime >= 0 && w.clockOffset != 0 { // by its machine's clock: nobody can know when it started
+		entry.StartTime, entry.reportedStart = max(w.startTime+w.clockOffset, 0), math.Inf(-1)
 	}
-	return m
+	return entry
 }
 
 // warmth is the part of its capacity that the worker has.
-func (w *Model) warmth(x *worker, at float64) float64 {
-	if x.since < 0 {
+func (m *Model) warmth(w *worker, at float64) float64 {
+	if w.startTime < 0 {
 		return 1
 	}
-	s := w.Experiment.Workers.StartShare
-	return s + (1-s)*min(max(at-x.since, 0)/float64(w.Experiment.Workers.WarmUp), 1)
+	s := m.Experiment.Workers.StartCapacity
+	return s + (1-s)*min(max(at-w.startTime, 0)/float64(m.Experiment.Workers.WarmUpTime), 1)
 }
 
 // pace is the speed of each running job, but for the warmth.
-func (x *worker) pace() float64 {
-	cores := float64(x.k.Cores) * (1 - x.taken)
-	return x.k.Speed * x.slow * min(1, cores/float64(max(len(x.running), 1)))
+func (w *worker) speedPerJob() float64 {
+	cores := float64(w.spec.Cores) * (1 - w.stolenShare)
+	return w.spec.Speed * w.speedFactor * min(1, cores/float64(max(len(w.running), 1)))
 }
 
 // work brings a worker's running jobs up to now.
-func (w *Model) work(x *worker) {
-	if span := w.now - x.at; span > 0 && len(x.running) > 0 {
-		mean := w.warmArea(x, x.at, w.now)
-		for _, r := range x.running {
-			r.left -= mean * x.pace()
+func (m *Model) advanceWorker(w *worker) {
+	if elapsed := m.now - w.advancedTo; elapsed > 0 && len(w.running) > 0 {
+		warmth := m.warmthIntegral(w, w.advancedTo, m.now)
+		for _, e := range w.running {
+			e.remaining -= warmth * w.speedPerJob()
 		}
-		x.busy += span * min(float64(len(x.running)), float64(x.k.Cores))
+		w.busyCoreMs += elapsed * min(float64(len(w.running)), float64(w.spec.Cores))
 	}
-	x.at = w.now
+	w.advancedTo = m.now
 }
 
 // warmArea is the integral of the warmth.
-func (w *Model) warmArea(x *worker, from, to float64) float64 {
-	end := x.since + float64(w.Experiment.Workers.WarmUp)
-	if x.since < 0 || from >= end {
+func (m *Model) warmthIntegral(w *worker, from, to float64) float64 {
+	end := w.startTime + float64(m.Experiment.Workers.WarmUpTime)
+	if w.startTime < 0 || from >= end {
 		return to - from
 	}
-	cold := min(to, end)
-	return (cold-from)*(w.warmth(x, from)+w.warmth(x, cold))/2 + max(to-end, 0)
+	warmFrom := min(to, end)
+	return (warmFrom-from)*(m.warmth(w, from)+m.warmth(w, warmFrom))/2 + max(to-end, 0)
 }
 
 // takes is how long a worker needs from now for so much of the integral of its warmth.
-func (w *Model) takes(x *worker, area float64) float64 {
-	end := x.since + float64(w.Experiment.Workers.WarmUp)
-	if x.since < 0 || w.now >= end {
-		return area
+func (m *Model) timeForWarmth(w *worker, warmth float64) float64 {
+	end := w.startTime + float64(m.Experiment.Workers.WarmUpTime)
+	if w.startTime < 0 || m.now >= end {
+		return warmth
 	}
-	if cold := w.warmArea(x, w.now, end); area >= cold {
-		return end - w.now + area - cold
+	if rest := m.warmthIntegral(w, m.now, end); warmth >= rest {
+		return end - m.now + warmth - rest
 	}
-	now := w.warmth(x, w.now)
-	grow := (1 - w.Experiment.Workers.StartShare) / float64(w.Experiment.Workers.WarmUp)
-	return 2 * area / (now + math.Sqrt(now*now+2*grow*area))
+	now := m.warmth(w, m.now)
+	slope := (1 - m.Experiment.Workers.StartCapacity) / float64(m.Experiment.Workers.WarmUpTime)
+	return 2 * warmth / (now + math.Sqrt(now*now+2*slope*warmth))
 }
 
 // plan has the next end of a running job come at its time.
-func (w *Model) plan(x *worker) {
-	x.turn++
-	if len(x.running) == 0 || !x.up {
+func (m *Model) scheduleNextEnd(w *worker) {
+	w.planSeq++
+	if len(w.running) == 0 || !w.up {
 		return
 	}
-	next := x.running[0]
-	for _, r := range x.running {
-		if r.left < next.left {
-			next = r
+	next := w.running[0]
+	for _, e := range w.running {
+		if e.remaining < next.remaining {
+			next = e
 		}
 	}
-	turn, pace := x.turn, x.pace()
-	if pace <= 0 {
+	seq, speed := w.planSeq, w.speedPerJob()
+	if speed <= 0 {
 		return
 	}
-	w.After(w.takes(x, max(next.left, 0)/pace), func() {
-		if x.turn != turn {
+	m.After(m.timeForWarmth(w, max(next.remaining, 0)/speed), func() {
+		if w.planSeq != seq {
 			return
 		}
-		w.work(x)
-		next.left = 0
-		w.finish(x, next)
+		m.advanceWorker(w)
+		next.remaining = 0
+		m.finishExecution(w, next)
 	})
 }
 
 // change is called round whatever changes a worker's pace.
-func (w *Model) change(x *worker, do func()) {
-	w.work(x)
-	do()
-	w.plan(x)
+func (m *Model) changeRate(w *worker, apply func()) {
+	m.advanceWorker(w)
+	apply()
+	m.scheduleNextEnd(w)
 }
 
 // Send is a dispatcher's hand-off; its first byte leaves now. What comes of it goes through Port.Ended.
-func (w *Model) HandOff(n int, id, workerID string, tag any) *HandOff {
-	d, x, t := w.dispatchers[n], w.byID[workerID], w.tries[id]
-	h := &HandOff{ID: id, Dispatcher: n, Worker: workerID, Tag: tag, t: t, w: x, life: d.life, arrives: w.now}
+func (m *Model) HandOff(n int, id, workerID string, tag any) *HandOff {
+	d, w, r := m.dispatchers[n], m.workersByID[workerID], m.requests[id]
+	h := &HandOff{ID: id, Dispatcher: n, Worker: workerID, Tag: tag, request: r, worker: w, dispatcherIncarnation: d.incarnation, arrival: m.now}
 	hint := 0.
-	if t != nil {
-		hint = t.Job.Hint
-		h.Number = t.sends
-		t.sends++
+	if r != nil {
+		hint = r.Job.Hint
+		h.Number = r.handOffs
+		r.handOffs++
 	}
-	w.Checker.HandOffSent(w.now, n, id, h.Number, workerID, hint)
+	m.Checker.HandOffSent(m.now, n, id, h.Number, workerID, hint)
 	switch {
-	case x == nil || t == nil:
-		w.After(0, func() { w.shown(h, ConnectFailed) })
-	case x.silent || w.cut(withWorkers, d, x.site):
-		if w.now-d.talked[x.n] > float64(w.Experiment.Network.IdleTimeout) {
-			w.After(float64(w.Experiment.Network.ConnectTimeout), func() { w.shown(h, ConnectFailed) })
+	case w == nil || r == nil:
+		m.After(0, func() { m.reportResult(h, ConnectFailed) })
+	case w.unreachable || m.isCut(workerPath, d, w.site):
+		if m.now-d.lastSentAt[w.index] > float64(m.Experiment.Network.IdleTimeout) {
+			m.After(float64(m.Experiment.Network.ConnectTimeout), func() { m.reportResult(h, ConnectFailed) })
 			return h
 		}
-		x.limbo = append(x.limbo, h) // written to a connection that is still open, to nobody
-	case !x.up:
-		w.After(2*w.delay(d.site, x.site), func() { w.shown(h, ConnectFailed) })
+		w.undelivered = append(w.undelivered, h) // written to a connection that is still open, to nobody
+	case !w.up:
+		m.After(2*m.networkDelay(d.site, w.site), func() { m.reportResult(h, ConnectFailed) })
 	default:
-		d.talked[x.n] = w.now
-		h.arrives = w.now + w.delay(d.site, x.site)
-		w.At(h.arrives, func() { w.arrive(h) })
+		d.lastSentAt[w.index] = m.now
+		h.arrival = m.now + m.networkDelay(d.site, w.site)
+		m.At(h.arrival, func() { m.handOffArrived(h) })
 	}
 	return h
 }
 
 // GiveUp is a dispatcher's wish that a worker drop a hand-off: the connection is closed, and a DELETE follows.
-func (w *Model) CancelHandOff(h *HandOff) {
-	if h.off {
+func (m *Model) CancelHandOff(h *HandOff) {
+	if h.cancelled {
 		return
 	}
-	h.off = true
-	w.Checker.HandOffCancelled(w.now, h.ID, h.Number)
-	d, x := w.dispatchers[h.Dispatcher], h.w
-	if x == nil || x.silent || !x.up || w.cut(withWorkers, d, x.site) {
-		w.After(0, func() { w.shown(h, Cancelled) })
+	h.cancelled = true
+	m.Checker.HandOffCancelled(m.now, h.ID, h.Number)
+	d, w := m.dispatchers[h.Dispatcher], h.worker
+	if w == nil || w.unreachable || !w.up || m.isCut(workerPath, d, w.site) {
+		m.After(0, func() { m.reportResult(h, Cancelled) })
 		return
 	}
-	at := max(w.now+w.delay(d.site, x.site), h.arrives)
-	w.At(at, func() { w.drop(h) })
-	if !w.Experiment.Dispatchers.SecondCopies { // its end counts when the worker has said so
-		at += w.delay(d.site, x.site)
+	at := max(m.now+m.networkDelay(d.site, w.site), h.arrival)
+	m.At(at, func() { m.cancelAtWorker(h) })
+	if !m.Experiment.Dispatchers.SecondCopies { // its end counts when the worker has said so
+		at += m.networkDelay(d.site, w.site)
 	}
-	w.At(at, func() { w.shown(h, Cancelled) })
+	m.At(at, func() { m.reportResult(h, Cancelled) })
 }
 
 // drop takes a job away from a worker.
-func (w *Model) drop(h *HandOff) {
-	x := h.w
-	for k, r := range x.queue {
-		if r.h == h {
-			x.queue = slices.Delete(x.queue, k, k+1)
+func (m *Model) cancelAtWorker(h *HandOff) {
+	w := h.worker
+	for k, e := range w.queue {
+		if e.handOff == h {
+			w.queue = slices.Delete(w.queue, k, k+1)
 			return
 		}
 	}
-	for k, r := range x.running {
-		if r.h == h {
-			w.change(x, func() { x.running = slices.Delete(x.running, k, k+1) })
-			w.serve(x)
+	for k, e := range w.running {
+		if e.handOff == h {
+			m.changeRate(w, func() { w.running = slices.Delete(w.running, k, k+1) })
+			m.startQueued(w)
 			return
 		}
 	}
 }
 
 // shown tells the dispatcher of a hand-off what its connection shows.
-func (w *Model) shown(h *HandOff, how HandOffResult) {
-	d := w.dispatchers[h.Dispatcher]
-	if !d.up || d.life != h.life || h.closed && how != Cancelled {
+func (m *Model) reportResult(h *HandOff, result HandOffResult) {
+	d := m.dispatchers[h.Dispatcher]
+	if !d.up || d.incarnation != h.dispatcherIncarnation || h.closed && result != Cancelled {
 		return
 	}
-	if h.off && how != Cancelled && how != ConnectFailed { // it no longer listens
+	if h.cancelled && result != Cancelled && result != ConnectFailed { // it no longer listens
 		return
 	}
-	h.closed = how != Accepted
-	switch how {
+	h.closed = result != Accepted
+	switch result {
 	case Rejected, ConnectFailed:
-		w.Checker.HandOffNotRun(w.now, h.ID, h.Number)
+		m.Checker.HandOffNotRun(m.now, h.ID, h.Number)
 	case ConnectionReset, Failed:
-		w.Checker.HandOffEnded(w.now, h.ID, h.Number)
+		m.Checker.HandOffEnded(m.now, h.ID, h.Number)
 	}
-	w.port.HandOffEnded(h.Dispatcher, h, how)
+	m.driver.HandOffEnded(h.Dispatcher, h, result)
 }
 
 // arrive is the last byte of a hand-off at its worker.
-func (w *Model) arrive(h *HandOff) {
-	x, d := h.w, w.dispatchers[h.Dispatcher]
-	back := func(how HandOffResult) {
-		if !x.silent && !w.cut(withWorkers, d, x.site) {
-			w.After(w.delay(x.site, d.site), func() { w.shown(h, how) })
+func (m *Model) handOffArrived(h *HandOff) {
+	w, d := h.worker, m.dispatchers[h.Dispatcher]
+	report := func(result HandOffResult) {
+		if !w.unreachable && !m.isCut(workerPath, d, w.site) {
+			m.After(m.networkDelay(w.site, d.site), func() { m.reportResult(h, result) })
 		}
 	}
-	h.wlife = x.life
+	h.workerIncarnation = w.incarnation
 	switch {
-	case x.silent:
-		x.limbo = append(x.limbo, h)
+	case w.unreachable:
+		w.undelivered = append(w.undelivered, h)
 		return
-	case !x.up:
-		back(ConnectionReset)
+	case !w.up:
+		report(ConnectionReset)
 		return
-	case x.fails > 0 && w.faultRnd.Float64() < x.fails:
-		back(Failed)
+	case w.failureRate > 0 && m.faultRand.Float64() < w.failureRate:
+		report(Failed)
 		return
-	case w.weigh(x, h): // pushed over
-		back(ConnectionReset)
+	case m.overloadsColdWorker(w, h): // pushed over
+		report(ConnectionReset)
 		return
-	case x.state != dispatch.Up || len(x.running) >= x.k.Slots && len(x.queue) >= x.k.QueueLimit:
-		back(Rejected)
+	case w.state != dispatch.Up || len(w.running) >= w.spec.Slots && len(w.queue) >= w.spec.QueueLimit:
+		report(Rejected)
 		return
 	}
-	cost := h.t.Job.Cost
-	if h.t.Job.heavy {
-		cost *= w.tail
+	cost := h.request.Job.Cost
+	if h.request.Job.inTail {
+		cost *= m.tailCostFactor
 	}
-	r := &run{h: h, cost: cost, left: cost}
-	back(Accepted)
-	x.queue = append(x.queue, r)
-	w.serve(x)
+	e := &execution{handOff: h, cost: cost, remaining: cost}
+	report(Accepted)
+	w.queue = append(w.queue, e)
+	m.startQueued(w)
 }
 
 // weigh adds up what a cold worker is sent; pushed beyond what it stands, it falls over. One work item alone never
 // pushes it.
-func (w *Model) weigh(x *worker, h *HandOff) bool {
-	if x.since < 0 || w.now >= x.since+float64(w.Experiment.Workers.WarmUp) {
-		x.sent = nil
+func (m *Model) overloadsColdWorker(w *worker, h *HandOff) bool {
+	if w.startTime < 0 || m.now >= w.startTime+float64(m.Experiment.Workers.WarmUpTime) {
+		w.recentWork = nil
 		return false
 	}
-	window := float64(w.Experiment.Workers.OverloadWindow)
-	x.sent = slices.DeleteFunc(x.sent, func(s spent) bool { return s.at <= w.now-window })
-	x.sent = append(x.sent, spent{w.now, h.t.Job.Hint})
+	window := float64(m.Experiment.Workers.OverloadWindow)
+	w.recentWork = slices.DeleteFunc(w.recentWork, func(s sentWork) bool { return s.at <= m.now-window })
+	w.recentWork = append(w.recentWork, sentWork{m.now, h.request.Job.Hint})
 	sum := 0.
-	for _, s := range x.sent {
+	for _, s := range w.recentWork {
 		sum += s.cost
 	}
-	if len(x.sent) < 2 || sum <= 1.2*w.Experiment.Workers.OverloadFactor*w.warmth(x, w.now)*x.k.capacity()*window {
+	if len(w.recentWork) < 2 || sum <= 1.2*m.Experiment.Workers.OverloadMultiple*m.warmth(w, m.now)*w.spec.capacity()*window {
 		return false
 	}
-	w.mark("%s pushed over while cold", x.id)
-	w.kill(x, 5000)
+	m.annotate("%s pushed over while cold", w.id)
+	m.killWorker(w, 5000)
 	return true
 }
 
 // serve starts what has a slot.
-func (w *Model) serve(x *worker) {
-	if len(x.queue) == 0 || len(x.running) >= x.k.Slots {
+func (m *Model) startQueued(w *worker) {
+	if len(w.queue) == 0 || len(w.running) >= w.spec.Slots {
 		return
 	}
-	w.change(x, func() {
-		for len(x.queue) > 0 && len(x.running) < x.k.Slots {
-			r := x.queue[0]
-			x.queue = x.queue[1:]
-			x.running = append(x.running, r)
-			w.Checker.JobStarted(w.now, r.h.ID, r.h.Number, r.h.t.Job.Number)
-			if w.Experiment.Workers.ReportStart {
-				w.call(x, r.h, Callback{ID: r.h.ID, From: x.id, State: "started"})
+	m.changeRate(w, func() {
+		for len(w.queue) > 0 && len(w.running) < w.spec.Slots {
+			e := w.queue[0]
+			w.queue = w.queue[1:]
+			w.running = append(w.running, e)
+			m.Checker.JobStarted(m.now, e.handOff.ID, e.handOff.Number, e.handOff.request.Job.Number)
+			if m.Experiment.Workers.ReportStart {
+				m.sendCallback(w, e.handOff, Callback{ID: e.handOff.ID, From: w.id, State: "started"})
 			}
-			if p := float64(w.Experiment.Workers.ProgressInterval); p > 0 && r.left > p*x.pace()/2 {
-				w.progress(x, r, x.life)
+			if p := float64(m.Experiment.Workers.ProgressInterval); p > 0 && e.remaining > p*w.speedPerJob()/2 {
+				m.scheduleProgress(w, e, w.incarnation)
 			}
 		}
 	})
 }
 
 // progress is told at intervals while a job runs.
-func (w *Model) progress(x *worker, r *run, life int) {
-	w.After(float64(w.Experiment.Workers.ProgressInterval), func() {
-		if x.life != life || !x.up || !slices.Contains(x.running, r) {
+func (m *Model) scheduleProgress(w *worker, e *execution, incarnation int) {
+	m.After(float64(m.Experiment.Workers.ProgressInterval), func() {
+		if w.incarnation != incarnation || !w.up || !slices.Contains(w.running, e) {
 			return
 		}
-		w.change(x, func() {})
-		w.call(x, r.h, Callback{ID: r.h.ID, From: x.id, State: "running", Progress: min(max(1-r.left/r.cost, 0), 1)})
-		w.progress(x, r, life)
+		m.changeRate(w, func() {})
+		m.sendCallback(w, e.handOff, Callback{ID: e.handOff.ID, From: w.id, State: "running", Progress: min(max(1-e.remaining/e.cost, 0), 1)})
+		m.scheduleProgress(w, e, incarnation)
 	})
 }
 
-func (w *Model) finish(x *worker, r *run) {
-	k := slices.Index(x.running, r)
-	w.change(x, func() { x.running = slices.Delete(x.running, k, k+1) })
-	x.done++
-	result := r.h.ID + " by " + x.id
-	w.Checker.JobFinished(r.h.ID, result)
-	w.call(x, r.h, Callback{ID: r.h.ID, From: x.id, State: "done", Result: result})
-	w.serve(x)
+func (m *Model) finishExecution(w *worker, e *execution) {
+	k := slices.Index(w.running, e)
+	m.changeRate(w, func() { w.running = slices.Delete(w.running, k, k+1) })
+	w.finished++
+	result := e.handOff.ID + " by " + w.id
+	m.Checker.JobFinished(e.handOff.ID, result)
+	m.sendCallback(w, e.handOff, Callback{ID: e.handOff.ID, From: w.id, State: "done", Result: result})
+	m.startQueued(w)
 }
 
 // call carries a callback to the dispatcher that handed the job off, with further tries while nobody answers.
-func (w *Model) call(x *worker, h *HandOff, c Callback) {
-	w.callAgain(x, h, c, x.life, callTries)
-	if w.repeat > 0 && w.netRnd.Float64() < w.repeat {
-		w.After(50*w.netRnd.Float64(), func() { w.callAgain(x, h, c, x.life, 1) })
+func (m *Model) sendCallback(w *worker, h *HandOff, c Callback) {
+	m.attemptCallback(w, h, c, w.incarnation, callbackAttempts)
+	if m.callbackRepeatRate > 0 && m.networkRand.Float64() < m.callbackRepeatRate {
+		m.After(50*m.networkRand.Float64(), func() { m.attemptCallback(w, h, c, w.incarnation, 1) })
 	}
 }
 
-func (w *Model) callAgain(x *worker, h *HandOff, c Callback, life, tries int) {
-	d := w.dispatchers[h.Dispatcher]
-	again := func() {
-		if tries > 1 {
-			w.After(callGap, func() { w.callAgain(x, h, c, life, tries-1) })
+func (m *Model) attemptCallback(w *worker, h *HandOff, c Callback, incarnation, attempts int) {
+	d := m.dispatchers[h.Dispatcher]
+	retry := func() {
+		if attempts > 1 {
+			m.After(callbackRetryDelay, func() { m.attemptCallback(w, h, c, incarnation, attempts-1) })
 		}
 	}
-	if x.silent || x.life != life && c.State != "lost" { // what died tells nothing more; its machine's agent may
+	if w.unreachable || w.incarnation != incarnation && c.State != "lost" { // what died tells nothing more; its machine's agent may
 		return
 	}
-	if w.cut(withWorkers, d, x.site) {
-		again()
+	if m.isCut(workerPath, d, w.site) {
+		retry()
 		return
 	}
-	w.After(w.delay(x.site, d.site)+w.backLate*w.netRnd.Float64(), func() {
+	m.After(m.networkDelay(w.site, d.site)+m.callbackMaxExtraDelay*m.networkRand.Float64(), func() {
 		if !d.up {
-			again()
+			retry()
 			return
 		}
-		if d.life == h.life { // it knows as it acts on it
+		if d.incarnation == h.dispatcherIncarnation { // it knows as it acts on it
 			switch c.State {
 			case "returned":
-				w.Checker.HandOffNotRun(w.now, h.ID, h.Number)
+				m.Checker.HandOffNotRun(m.now, h.ID, h.Number)
 			case "done", "failed", "lost":
-				w.Checker.HandOffEnded(w.now, h.ID, h.Number)
+				m.Checker.HandOffEnded(m.now, h.ID, h.Number)
 			}
 		}
-		if !w.port.Callback(h.Dispatcher, c) {
-			again()
+		if !m.driver.Callback(h.Dispatcher, c) {
+			retry()
 		}
 	})
 }
 
 // kill ends a worker's process; the agent of its machine tells what was lost with it. It is back, cold, after a time;
 // 0: never.
-func (w *Model) kill(x *worker, back float64) {
-	if !x.up {
+func (m *Model) killWorker(w *worker, restartAfter float64) {
+	if !w.up {
 		return
 	}
-	w.work(x)
-	if !x.silent {
-		w.port.WorkerStopped(x.id)
-	}
-	lost := append(slices.Clone(x.running), x.queue...)
-	x.up = false
-	x.life++
-	x.turn++
-	x.running, x.queue, x.sent = nil, nil, nil
-	for _, r := range lost {
-		if !x.silent {
-			h := r.h
-			w.After(5, func() { w.call(x, h, Callback{ID: h.ID, From: x.id, State: "lost"}) })
+	m.advanceWorker(w)
+	if !w.unreachable {
+		m.driver.WorkerStopped(w.id)
+	}
+	lost := append(slices.Clone(w.running), w.queue...)
+	w.up = false
+	w.incarnation++
+	w.planSeq++
+	w.running, w.queue, w.recentWork = nil, nil, nil
+	for _, e := range lost {
+		if !w.unreachable {
+			h := e.handOff
+			m.After(5, func() { m.sendCallback(w, h, Callback{ID: h.ID, From: w.id, State: "lost"}) })
 		}
 	}
-	life := x.life
-	w.After(float64(w.Experiment.Network.DetectionDelay), func() {
-		if !x.up && x.life == life && x.state != dispatch.Gone {
-			x.state = dispatch.Gone
-			w.changed(x)
+	incarnation := w.incarnation
+	m.After(float64(m.Experiment.Network.DetectionDelay), func() {
+		if !w.up && w.incarnation == incarnation && w.state != dispatch.Gone {
+			w.state = dispatch.Gone
+			m.publishChange(w)
 		}
 	})
-	if back > 0 {
-		w.After(back, func() { w.revive(x) })
+	if restartAfter > 0 {
+		m.After(restartAfter, func() { m.restartWorker(w) })
 	}
 }
 
 // revive brings a worker back, cold.
-func (w *Model) revive(x *worker) {
-	if x.up {
+func (m *Model) restartWorker(w *worker) {
+	if w.up {
 		return
 	}
-	x.up, x.silent, x.state, x.since, x.at = true, false, dispatch.Up, w.now, w.now
-	x.life++
-	for _, h := range x.limbo { // connections from before are reset
-		w.After(w.delay(x.site, w.dispatchers[h.Dispatcher].site), func() { w.shown(h, ConnectionReset) })
+	w.up, w.unreachable, w.state, w.startTime, w.advancedTo = true, false, dispatch.Up, m.now, m.now
+	w.incarnation++
+	for _, h := range w.undelivered { // connections from before are reset
+		m.After(m.networkDelay(w.site, m.dispatchers[h.Dispatcher].site), func() { m.reportResult(h, ConnectionReset) })
 	}
-	x.limbo = nil
-	w.port.WorkerStarted(x.id)
-	w.Checker.WorkerStarted(w.now, x.id, x.site, x.k.capacity(), w.now)
-	w.changed(x)
+	w.undelivered = nil
+	m.driver.WorkerStarted(w.id)
+	m.Checker.WorkerStarted(m.now, w.id, w.site, w.spec.capacity(), m.now)
+	m.publishChange(w)
 }
 
 // vanish makes a worker's machine silent; what it had is lost without a word.
-func (w *Model) vanish(x *worker, back float64) {
-	if x.up {
-		x.silent = true
-		w.kill(x, back)
+func (m *Model) loseMachine(w *worker, restartAfter float64) {
+	if w.up {
+		w.unreachable = true
+		m.killWorker(w, restartAfter)
 	}
 }
 
 // drain has discovery say that the worker wants nothing new. After a time it wants work again, or is replaced once it
 // is empty by another, cold.
-func (w *Model) drain(x *worker, span float64, replace bool) {
-	if !x.up || x.state != dispatch.Up {
+func (m *Model) drainWorker(w *worker, duration float64, replace bool) {
+	if !w.up || w.state != dispatch.Up {
 		return
 	}
-	life := x.life
-	x.state = dispatch.Draining
-	w.changed(x)
+	incarnation := w.incarnation
+	w.state = dispatch.Draining
+	m.publishChange(w)
 	if !replace {
-		w.After(span, func() {
-			if x.up && x.life == life && x.state == dispatch.Draining {
-				x.state = dispatch.Up
-				w.changed(x)
+		m.After(duration, func() {
+			if w.up && w.incarnation == incarnation && w.state == dispatch.Draining {
+				w.state = dispatch.Up
+				m.publishChange(w)
 			}
 		})
 		return
 	}
-	w.emptied(x, life)
+	m.replaceWhenEmpty(w, incarnation)
 }
 
-func (w *Model) emptied(x *worker, life int) {
-	w.After(100, func() {
-		if x.life != life {
+func (m *Model) replaceWhenEmpty(w *worker, incarnation int) {
+	m.After(100, func() {
+		if w.incarnation != incarnation {
 			return
 		}
-		if len(x.running)+len(x.queue) > 0 {
-			w.emptied(x, life)
+		if len(w.running)+len(w.queue) > 0 {
+			m.replaceWhenEmpty(w, incarnation)
 			return
 		}
-		x.up, x.state, x.retired = false, dispatch.Gone, true
-		x.life++
-		w.port.WorkerStopped(x.id)
-		w.changed(x)
-		w.After(500, func() {
-			y := w.addWorker(x.kind, x.site, w.now)
-			w.port.WorkerStarted(y.id)
-			w.changed(y)
+		w.up, w.state, w.replaced = false, dispatch.Gone, true
+		w.incarnation++
+		m.driver.WorkerStopped(w.id)
+		m.publishChange(w)
+		m.After(500, func() {
+			replacement := m.addWorker(w.kind, w.site, m.now)
+			m.driver.WorkerStarted(replacement.id)
+			m.publishChange(replacement)
 		})
 	})
 }
 
 // Finish is when a job of that cost would end if it reached the worker now; infinite: never. It is the truth, for the
 // bound that no dispatcher can reach.
-func (w *Model) FinishTime(id string, cost float64) float64 {
-	x := w.byID[id]
-	if x == nil || !x.up || x.silent || x.state != dispatch.Up || len(x.running) >= x.k.Slots && len(x.queue) >= x.k.QueueLimit {
+func (m *Model) FinishTime(workerID string, cost float64) float64 {
+	w := m.workersByID[workerID]
+	if w == nil || !w.up || w.unreachable || w.state != dispatch.Up || len(w.running) >= w.spec.Slots && len(w.queue) >= w.spec.QueueLimit {
 		return math.Inf(1)
 	}
-	left := cost
-	for _, r := range x.queue {
-		left += r.left
+	work := cost
+	for _, e := range w.queue {
+		work += e.remaining
 	}
-	done := w.warmArea(x, x.at, w.now) * x.pace()
-	for _, r := range x.running {
-		left += max(r.left-done, 0)
+	done := m.warmthIntegral(w, w.advancedTo, m.now) * w.speedPerJob()
+	for _, e := range w.running {
+		work += max(e.remaining-done, 0)
 	}
-	each := x.k.Speed * x.slow * w.warmth(x, w.now)
-	cores := float64(x.k.Cores) * (1 - x.taken)
-	free := len(x.running) < x.k.Slots && float64(len(x.running)) < cores
+	perJob := w.spec.Speed * w.speedFactor * m.warmth(w, m.now)
+	cores := float64(w.spec.Cores) * (1 - w.stolenShare)
+	free := len(w.running) < w.spec.Slots && float64(len(w.running)) < cores
 	if free {
-		return cost / each
+		return cost / perJob
 	}
-	return max(left/(each*cores), cost/each)
+	return max(work/(perJob*cores), cost/perJob)
 }
--- a/internal/invariants/cold_budget_test.go
+++ b/internal/invariants/cold_budget_test.go
@@ -12,7 +12,7 @@
 func TestColdBudget(t *testing.T) {
 	const mean = 10.
 	for n, holds := range map[float64]int{4: 4, 25: 30, 100: 120, 400: 442, 2500: 2602} {
-		a := New(Config{Categories: []Category{{}}, MaxHandOffs: 1, WarmUp: 1e12, OverloadWindow: 1000, OverloadFactor: 1, StartShare: 0.5, MeanCost: mean})
+		a := New(Config{Categories: []Category{{}}, MaxHandOffs: 1, WarmUpTime: 1e12, OverloadWindow: 1000, OverloadMultiple: 1, StartCapacity: 0.5, MeanCost: mean})
 		a.WorkerStarted(0, "w", 0, n*mean/0.5/1000, 0)
 		for d := range 30 {
 			a.DispatcherStarted(0, d)
--- a/internal/invariants/fleet_checker.go
+++ b/internal/invariants/fleet_checker.go
@@ -56,45 +56,45 @@
 
 // moment is how long after its going on a process's hand-off may still be one that it looked for before; on a machine that
 // is busy with many of them.
-const moment = 150
+const resumeSlack = 150
 
-func (f *FleetChecker) convict(at float64, rule Rule, s ObservedHandOff, format string, a ...any) {
+func (f *FleetChecker) report(at float64, rule Rule, s ObservedHandOff, format string, a ...any) {
 	f.Violations = append(f.Violations, Violation{At: at, Rule: rule, ID: s.ID, Dispatcher: s.Dispatcher, Worker: s.Worker, Detail: fmt.Sprintf(format, a...)})
 }
 
 // Unhealed: a member was not current in time.
-func (f *FleetChecker) NotRecovered(at float64, what string) {
-	f.convict(at, FleetRecovered, ObservedHandOff{Dispatcher: -1}, "%s", what)
+func (f *FleetChecker) NotRecovered(at float64, detail string) {
+	f.report(at, FleetRecovered, ObservedHandOff{Dispatcher: -1}, "%s", detail)
 }
 
 // Judge gives the verdicts. Final is the audit as the fleet told it once all was over, members its names by dispatcher;
 // unix turns the judge's time into Unix time.
 func (f *FleetChecker) Check(final *fleet.Audit, members []string, unix func(float64) float64) {
-	f.fences()
-	f.order()
+	f.checkFences()
+	f.checkHistory()
 	if final == nil {
-		f.convict(0, AuditComplete, ObservedHandOff{Dispatcher: -1}, "no audit was to be had")
+		f.report(0, AuditComplete, ObservedHandOff{Dispatcher: -1}, "no audit was to be had")
 		return
 	}
-	f.booked(final, members, unix)
+	f.checkAudit(final, members, unix)
 }
 
-func (f *FleetChecker) fences() {
+func (f *FleetChecker) checkFences() {
 	for _, s := range f.HandOffs {
 		version, known := f.VersionByRelease[s.Release]
 		if !known {
-			f.convict(s.At, SingleHistory, s, "handed off under release %q, which nobody published", s.Release)
+			f.report(s.At, SingleHistory, s, "handed off under release %q, which nobody published", s.Release)
 			continue
 		}
 		for fence, at := range f.FenceCompleted {
-			if version >= fence || s.At <= at+leniency {
+			if version >= fence || s.At <= at+messageSlack {
 				continue
 			}
-			if s.SenderResumed > 0 && s.At < s.SenderResumed+moment {
+			if s.SenderResumed > 0 && s.At < s.SenderResumed+resumeSlack {
 				f.LateAfterResume++
 				continue
 			}
-			f.convict(s.At, FenceRespected, s, "handed off under version %d, %.1f ms after the fence of version %d was told to be complete", version, s.At-at, fence)
+			f.report(s.At, FenceRespected, s, "handed off under version %d, %.1f ms after the fence of version %d was told to be complete", version, s.At-at, fence)
 		}
 	}
 	slices.SortFunc(f.Violations, func(a, b Violation) int {
@@ -107,7 +107,7 @@
 
 // order holds the operators' calls against one history: there has to be an order of them, each between its beginning and
 // its end, in which each publish is the next version once, and each reading sees the newest.
-func (f *FleetChecker) order() {
+func (f *FleetChecker) checkHistory() {
 	type state struct {
 		newest uint64
 		made   string // requests with their versions
@@ -134,25 +134,25 @@
 	}
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{state{}} },
-		Step: func(s, in, out any) []any {
-			st, i, o := s.(state), in.(input), out.(output)
-			if i.request == "" {
-				if o.version == st.newest {
-					return []any{st}
+		Step: func(prev, in, out any) []any {
+			s, request, reply := prev.(state), in.(input), out.(output)
+			if request.request == "" {
+				if reply.version == s.newest {
+					return []any{s}
 				}
 				return nil
 			}
-			if v, ok := find(st.made, i.request); ok {
-				if !o.known || o.version == v {
-					return []any{st}
+			if v, ok := versionOf(s.made, request.request); ok {
+				if !reply.known || reply.version == v {
+					return []any{s}
 				}
 				return nil
 			}
-			next := state{st.newest + 1, fmt.Sprintf("%s%s=%d;", st.made, i.request, st.newest+1)}
-			if !o.known {
-				return []any{st, next}
+			next := state{s.newest + 1, fmt.Sprintf("%s%s=%d;", s.made, request.request, s.newest+1)}
+			if !reply.known {
+				return []any{s, next}
 			}
-			if o.version == next.newest {
+			if reply.version == next.newest {
 				return []any{next}
 			}
 			return nil
@@ -160,34 +160,34 @@
 		Equal: func(a, b any) bool { return a == b },
 	}
 	if !porcupine.CheckOperations(model.ToModel(), history) {
-		f.convict(end, SingleHistory, ObservedHandOff{Dispatcher: -1}, "what %d operators' calls were told fits no one order", len(history))
+		f.report(end, SingleHistory, ObservedHandOff{Dispatcher: -1}, "what %d operators' calls were told fits no one order", len(history))
 	}
 }
 
 // find reads a version from the texts above.
-func find(made, request string) (v uint64, ok bool) {
-	for at := 0; at < len(made); {
-		end := at
-		for made[end] != ';' {
+func versionOf(versions, request string) (v uint64, ok bool) {
+	for start := 0; start < len(versions); {
+		end := start
+		for versions[end] != ';' {
 			end++
 		}
 		var name string
-		eq := at
-		for made[eq] != '=' {
-			eq++
+		equals := start
+		for versions[equals] != '=' {
+			equals++
 		}
-		if name = made[at:eq]; name == request {
-			fmt.Sscan(made[eq+1:end], &v)
+		if name = versions[start:equals]; name == request {
+			fmt.Sscan(versions[equals+1:end], &v)
 			return v, true
 		}
-		at = end + 1
+		start = end + 1
 	}
 	return 0, false
 }
 
 // booked looks for each hand-off that a worker saw in the audit: in a line of its sender under its version whose first and
 // last act enclose it, or in a span of its sender called unknown.
-func (f *FleetChecker) booked(final *fleet.Audit, members []string, unix func(float64) float64) {
+func (f *FleetChecker) checkAudit(final *fleet.Audit, members []string, unix func(float64) float64) {
 	type key struct {
 		member  string
 		version uint64
@@ -202,34 +202,34 @@
 	for _, g := range final.Gaps {
 		gaps[g.Member] = append(gaps[g.Member], g)
 	}
-	seen := map[key]uint64{}
+	observed := map[key]uint64{}
 	for _, s := range f.HandOffs {
 		k := key{members[s.Dispatcher], f.VersionByRelease[s.Release]}
 		at := unix(s.At)
-		unknown := slices.ContainsFunc(gaps[k.member], func(g fleet.ReportGap) bool {
-			return at >= g.Interval.From-leniency && (g.Interval.To == 0 || at <= g.Interval.To+leniency)
+		unknown := slices.ContainsFunc(gaps[k.member], func(g fleet.Gap) bool {
+			return at >= g.Span.From-messageSlack && (g.Span.To == 0 || at <= g.Span.To+messageSlack)
 		})
 		if unknown {
 			continue
 		}
-		seen[k]++
-		if !slices.ContainsFunc(lines[k], func(l fleet.AuditLine) bool {
-			t := l.Actions.Counts[fleet.HandedOff]
-			return t.Count > 0 && at >= t.First-leniency && at <= t.Last+connectMost
+		observed[k]++
+		if !slices.ContainsFunc(lines[k], func(l fleet.Line) bool {
+			handedOff := l.Acts.Kinds[fleet.HandedOff]
+			return handedOff.Count > 0 && at >= handedOff.First-messageSlack && at <= handedOff.Last+maxConnectTime
 		}) {
-			f.convict(s.At, AuditComplete, s, "handed off under version %d, which the audit of %s has not", k.version, k.member)
+			f.report(s.At, AuditComplete, s, "handed off under version %d, which the audit of %s has not", k.version, k.member)
 		}
 	}
-	for k, n := range seen {
-		booked := uint64(0)
+	for k, n := range observed {
+		recorded := uint64(0)
 		for _, l := range lines[k] {
-			booked += l.Actions.Counts[fleet.HandedOff].Count
+			recorded += l.Acts.Kinds[fleet.HandedOff].Count
 		}
-		if n > booked {
-			f.convict(0, AuditComplete, ObservedHandOff{Dispatcher: slices.Index(members, k.member)}, "%d hand-offs under version %d were seen, the audit has %d", n, k.version, booked)
+		if n > recorded {
+			f.report(0, AuditComplete, ObservedHandOff{Dispatcher: slices.Index(members, k.member)}, "%d hand-offs under version %d were seen, the audit has %d", n, k.version, recorded)
 		}
 	}
 }
 
 // connectMost is how much later than it is booked a hand-off may reach a worker, at most: its connection has to come up.
-const connectMost = 1000
+const maxConnectTime = 1000
--- a/internal/lab/worlds.go
+++ b/internal/lab/worlds.go
@@ -35,13 +35,13 @@
 	span := func(values ...float64) fleetmodel.Millis { return fleetmodel.Millis(of(values...)) }
 	x.Length = span(1000, 3000, 6000)
 	d := &x.Dispatchers
-	d.Count, d.PeerMessages, d.SecondCopies, d.MayCancel, d.HonorPauses = 1+draw(4), yes(), yes(), yes(), yes()
+	d.Count, d.PeerMessages, d.SecondCopies, d.MayCancel, d.HonorRetryAfter = 1+draw(4), yes(), yes(), yes(), yes()
 	d.DiscoveryOnRequest, d.MaxHandOffs, d.MaxOpen = draw(4) == 0, 1+draw(5), int(of(5, 50, 20000))
 	d.RestartDelay, d.StopTimeout = span(100, 1000), span(500, 3700)
 	x.Network.CrossSite, x.Network.Jitter = span(1, 20), span(0, 0.05, 2)
 	x.Network.DiscoveryDelay, x.Network.DetectionDelay, x.Network.IdleTimeout = span(1, 100, 400), span(100, 2000), span(50, 15000)
 	x.Workers.Sites = 1 + draw(3)
-	x.Workers.WarmUp, x.Workers.OverloadWindow, x.Workers.StartShare = span(500, 3000, 10000), span(500, 2000), of(0.05, 0.1, 0.5)
+	x.Workers.WarmUpTime, x.Workers.OverloadWindow, x.Workers.StartCapacity = span(500, 3000, 10000), span(500, 2000), of(0.05, 0.1, 0.5)
 	x.Workers.ReportStart, x.Workers.ProgressInterval = yes(), span(0, 100, 1000)
 	x.Kinds = nil
 	for k := range 1 + draw(3) {
@@ -56,9 +56,9 @@
 	for k := range 1 + draw(3) {
 		c := fleetmodel.Category{Name: string(rune('a' + k))}
 		c.Defaults()
-		c.Repeat = []string{"rerunnable", "ticketed", "exclusive"}[draw(3)]
-		c.Group = []string{"all", "zone"}[draw(2)]
-		c.TicketWindow, c.DueTime, c.Expiry = span(0, 200, 2000), span(50, 500), span(100, 1000, 3000)
+		c.RepeatPolicy = []string{"rerunnable", "ticketed", "exclusive"}[draw(3)]
+		c.DedupScope = []string{"all", "zone"}[draw(2)]
+		c.DedupWindow, c.DueTime, c.Expiry = span(0, 200, 2000), span(50, 500), span(100, 1000, 3000)
 		c.MeanCost, c.Distribution, c.HintSigma = span(2, 20, 100), []string{"fixed", "exponential", "pareto"}[draw(3)], of(0, 0.5)
 		c.NoHintShare, c.MaxCostFactor = of(0, 0.2, 1), 50
 		x.Categories = append(x.Categories, c)
--- a/internal/virtualtime/fault_cases_test.go
+++ b/internal/virtualtime/fault_cases_test.go
@@ -8,7 +8,7 @@
 )
 
 // hard is a small world for one hard case: its exclusive and rerunnable work is quick, so much is under way.
-const hard = `
+const faultCase = `
 length = "4s"
 [dispatchers]
 count = 2
@@ -38,74 +38,80 @@
 `
 
 // TestHardCases: each plays a few seeds, breaks no rule, and must have had its effect.
-func TestHardCases(t *testing.T) {
+func TestFaultCases(t *testing.T) {
 	for _, c := range []struct {
 		name, more string
-		effect     func(w *fleetmodel.Model, n map[fleetmodel.Outcome]int) bool
+		effect     func(model *fleetmodel.Model, outcomes map[fleetmodel.Outcome]int) bool
 	}{
 		{"workers die with hand-offs before their 202, after it, and between start and callback", // a slow wire holds each state open
 			"[[fault]]\nat = \"1s\"\nfor = \"200ms\"\nwhat = \"kill\"\ncount = 5\n[[fault]]\nat = \"2s\"\nfor = \"200ms\"\nwhat = \"kill\"\ncount = 6\n",
-			func(_ *fleetmodel.Model, n map[fleetmodel.Outcome]int) bool { return n[fleetmodel.WrittenOff] > 0 }},
+			func(_ *fleetmodel.Model, outcomes map[fleetmodel.Outcome]int) bool {
+				return outcomes[fleetmodel.WrittenOff] > 0
+			}},
 		{"callbacks overtake the 202 and one another, repeat, and come after the final answer",
 			"[[fault]]\nat = 0\nfor = \"4s\"\nwhat = \"callbacks_late\"\namount = 1200\n[[fault]]\nat = 0\nfor = \"4s\"\nwhat = \"callbacks_repeat\"\n",
-			func(_ *fleetmodel.Model, n map[fleetmodel.Outcome]int) bool {
-				return n[fleetmodel.WrittenOff]+n[fleetmodel.Deferred] > 0
+			func(_ *fleetmodel.Model, outcomes map[fleetmodel.Outcome]int) bool {
+				return outcomes[fleetmodel.WrittenOff]+outcomes[fleetmodel.Deferred] > 0
 			}},
 		{"expiries that fall into the instant of the answer", // fixed: 20.4 ms there and back
 			"",
-			func(_ *fleetmodel.Model, n map[fleetmodel.Outcome]int) bool {
-				return n[fleetmodel.Finished] > 100 && n[fleetmodel.WrittenOff] > 100
+			func(_ *fleetmodel.Model, outcomes map[fleetmodel.Outcome]int) bool {
+				return outcomes[fleetmodel.Finished] > 100 && outcomes[fleetmodel.WrittenOff] > 100
 			}},
 		{"a cut that heals, both sides holding old state",
 			"[[fault]]\nat = \"1s\"\nfor = \"700ms\"\nwhat = \"cut\"\n[[fault]]\nat = \"2500ms\"\nfor = \"1200ms\"\nwhat = \"cut\"\nsite = \"a\"\n",
-			func(_ *fleetmodel.Model, n map[fleetmodel.Outcome]int) bool { return n[fleetmodel.WrittenOff] > 0 }},
+			func(_ *fleetmodel.Model, outcomes map[fleetmodel.Outcome]int) bool {
+				return outcomes[fleetmodel.WrittenOff] > 0
+			}},
 		{"a rolling deploy during a site loss",
 			"[[fault]]\nat = \"1s\"\nfor = \"100ms\"\nwhat = \"deploy\"\n[[fault]]\nat = \"1200ms\"\nfor = \"1s\"\nwhat = \"site_loss\"\nsite = \"a\"\n",
-			func(w *fleetmodel.Model, _ map[fleetmodel.Outcome]int) bool { return len(w.Workers()) > 6 }},
+			func(model *fleetmodel.Model, _ map[fleetmodel.Outcome]int) bool { return len(model.Workers()) > 6 }},
 		{"a dispatcher killed with hundreds open",
 			"[[fault]]\nat = \"1s\"\nfor = \"2s\"\nwhat = \"slow\"\namount = 0.05\n[[fault]]\nat = \"1800ms\"\nwhat = \"dispatcher_kill\"\n",
-			func(_ *fleetmodel.Model, n map[fleetmodel.Outcome]int) bool { return n[fleetmodel.ConnectionLost] > 50 }},
+			func(_ *fleetmodel.Model, outcomes map[fleetmodel.Outcome]int) bool {
+				return outcomes[fleetmodel.ConnectionLost] > 50
+			}},
 		{"the same two faults at the same instant",
 			"[[fault]]\nat = \"1s\"\nfor = \"1s\"\nwhat = \"vanish\"\n[[fault]]\nat = \"1s\"\nfor = \"1s\"\nwhat = \"dispatcher_kill\"\n",
-			func(w *fleetmodel.Model, n map[fleetmodel.Outcome]int) bool {
-				return len(w.Annotations) >= 2 && n[fleetmodel.ConnectionLost] > 0
+			func(model *fleetmodel.Model, outcomes map[fleetmodel.Outcome]int) bool {
+				return len(model.Annotations) >= 2 && outcomes[fleetmodel.ConnectionLost] > 0
 			}},
 		{"stopped and killed while starting",
 			"[[fault]]\nat = \"1s\"\nwhat = \"dispatcher_kill\"\n[[fault]]\nat = \"1300ms\"\nwhat = \"dispatcher_stop\"\n[[fault]]\nat = \"1301ms\"\nwhat = \"dispatcher_kill\"\n",
-			func(_ *fleetmodel.Model, n map[fleetmodel.Outcome]int) bool {
-				return n[fleetmodel.NoDispatcher]+n[fleetmodel.ConnectionLost] > 0
+			func(_ *fleetmodel.Model, outcomes map[fleetmodel.Outcome]int) bool {
+				return outcomes[fleetmodel.NoDispatcher]+outcomes[fleetmodel.ConnectionLost] > 0
 			}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			total := map[fleetmodel.Outcome]int{}
 			for seed := range uint64(4) {
-				text := hard + c.more
-				x, err := fleetmodel.ParseExperiment("hard", []byte(text))
+				text := faultCase + c.more
+				experiment, err := fleetmodel.ParseExperiment("hard", []byte(text))
 				if err != nil {
 					t.Fatal(err)
 				}
 				if c.more == "" {
-					for k := range x.Categories {
-						x.Categories[k].Distribution, x.Categories[k].Expiry = "fixed", 20.4+fleetmodel.Millis(seed)*0.2
+					for k := range experiment.Categories {
+						experiment.Categories[k].Distribution, experiment.Categories[k].Expiry = "fixed", 20.4+fleetmodel.Millis(seed)*0.2
 					}
-					x.Network.Jitter, x.Dispatchers.RoundInterval = 0, 0.1
+					experiment.Network.Jitter, experiment.Dispatchers.RoundInterval = 0, 0.1
 				}
-				w, _, err := Run(t.Context(), x, seed, nil, nil)
+				model, _, err := Run(t.Context(), experiment, seed, nil, nil)
 				if err != nil {
 					t.Fatal(err)
 				}
-				n := map[fleetmodel.Outcome]int{}
-				for _, j := range w.Jobs {
-					n[j.Outcome]++
+				outcomes := map[fleetmodel.Outcome]int{}
+				for _, j := range model.Jobs {
+					outcomes[j.Outcome]++
 					total[j.Outcome]++
 				}
-				for _, v := range w.Checker.Violations[:min(3, len(w.Checker.Violations))] {
+				for _, v := range model.Checker.Violations[:min(3, len(model.Checker.Violations))] {
 					t.Errorf("seed %d: %v", seed, v)
 				}
-				if n[fleetmodel.Waiting] > 0 || len(w.Jobs) < 1500 {
-					t.Errorf("seed %d: %d waiting of %d", seed, n[fleetmodel.Waiting], len(w.Jobs))
+				if outcomes[fleetmodel.Waiting] > 0 || len(model.Jobs) < 1500 {
+					t.Errorf("seed %d: %d waiting of %d", seed, outcomes[fleetmodel.Waiting], len(model.Jobs))
 				}
-				if seed == 3 && !c.effect(w, total) {
+				if seed == 3 && !c.effect(model, total) {
 					t.Errorf("it had no effect: %s", fmt.Sprint(total))
 				}
 			}
--- a/internal/virtualtime/fleet.go
+++ b/internal/virtualtime/fleet.go
@@ -39,268 +39,268 @@
 }
 
 const (
-	fleetLink  = 0.5 // ms, one way; twice that at most
-	fleetApply = 2   // ms until the reducer has a version in force
-	fleetPoll  = 2000
-	ledMost    = 256 // states that are kept for other members
+	linkDelay       = 0.5 // ms, one way; twice that at most
+	applyDelay      = 2   // ms until the reducer has a version in force
+	pollTimeout     = 2000
+	maxSharedStates = 256 // states that are kept for other members
 )
 
 type fleetEvent struct {
-	at  float64
-	seq int
-	do  func()
+	at     float64
+	order  int
+	action func()
 }
 
 type fleetQueue []fleetEvent
 
 func (q fleetQueue) Len() int { return len(q) }
 func (q fleetQueue) Less(a, b int) bool {
-	return q[a].at < q[b].at || q[a].at == q[b].at && q[a].seq < q[b].seq
+	return q[a].at < q[b].at || q[a].at == q[b].at && q[a].order < q[b].order
 }
 func (q fleetQueue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
 func (q *fleetQueue) Push(x any)   { *q = append(*q, x.(fleetEvent)) }
 func (q *fleetQueue) Pop() any     { x := (*q)[len(*q)-1]; *q = (*q)[:len(*q)-1]; return x }
 
 // kept is a voter's store.
-type kept struct{ k consensus.PersistedState }
+type voterStore struct{ persisted council.Kept }
 
-func (s *kept) Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
+func (s *voterStore) Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	if snapshot.GetMetadata().GetIndex() > 0 {
-		s.k.Snapshot, s.k.Entries = snapshot, nil
+		s.persisted.Snapshot, s.persisted.Entries = snapshot, nil
 	}
 	if hard != nil {
-		s.k.HardState = hard
+		s.persisted.Hard = hard
 	}
 	if len(entries) > 0 {
-		s.k.Entries = append(slices.DeleteFunc(s.k.Entries, func(e *pb.Entry) bool { return e.GetIndex() >= entries[0].GetIndex() }), entries...)
+		s.persisted.Entries = append(slices.DeleteFunc(s.persisted.Entries, func(e *pb.Entry) bool { return e.GetIndex() >= entries[0].GetIndex() }), entries...)
 	}
 	return nil
 }
 
-func (s *kept) Compact(snapshot *pb.Snapshot, _ uint64) error {
-	s.k.Snapshot = snapshot
-	s.k.Entries = slices.DeleteFunc(s.k.Entries, func(e *pb.Entry) bool { return e.GetIndex() <= snapshot.GetMetadata().GetIndex() })
+func (s *voterStore) Compact(snapshot *pb.Snapshot, _ uint64) error {
+	s.persisted.Snapshot = snapshot
+	s.persisted.Entries = slices.DeleteFunc(s.persisted.Entries, func(e *pb.Entry) bool { return e.GetIndex() <= snapshot.GetMetadata().GetIndex() })
 	return nil
 }
 
 // waiter is a long poll at a voter.
-type waiter struct {
-	m, run int
-	call   int
+type pollRequest struct {
+	member, run int
+	pollSeq     int
 }
 
 type fleetMember struct {
-	self   *fleet.LeaseHolder
-	run    fleet.RunRecord
-	runs   int
-	up     bool
-	still  float64 // it stands still until then
-	cut    bool
-	call   int // of its poll
-	bytes  float64
-	leader int
+	leaseHolder *fleet.Self
+	run         fleet.Run
+	runCount    int
+	up          bool
+	pausedUntil float64 // it stands still until then
+	cut         bool
+	pollSeq     int // of its poll
+	bytes       float64
+	leader      int
 }
 
 // spread is a version on its way to all.
-type spread struct {
-	at   float64
-	most bool // 99% have it
+type publication struct {
+	at        float64
+	reached99 bool // 99% have it
 }
 
-type fleetPlay struct {
-	d       FleetScenario
-	f       fleet.Timing
-	now     float64
-	rnd     *rand.Rand
-	queue   fleetQueue
-	seq     int
-	cores   []*consensus.Core
-	stores  []*kept
-	seats   map[uint64]int
-	members []*fleetMember
-	load    float64
-	r       FleetResult
-	told    map[uint64]float64 // fences, by version
-	pending map[uint64]*spread // publishes that are on their way, by version
+type fleetSim struct {
+	scenario       FleetScenario
+	timing         fleet.Figures
+	now            float64
+	rnd            *rand.Rand
+	queue          fleetQueue
+	seq            int
+	cores          []*council.Core
+	stores         []*voterStore
+	voterIndex     map[uint64]int
+	members        []*fleetMember
+	leaderMessages float64
+	result         FleetResult
+	fenceCompleted map[uint64]float64      // fences, by version
+	publications   map[uint64]*publication // publishes that are on their way, by version
 	// States that entries led to, by their digests, and these from the oldest on.
-	shared   bool
-	led      map[fleet.Digest]*fleet.State
-	ledOrder []fleet.Digest
+	shared       bool
+	derived      map[fleet.Digest]*fleet.State
+	derivedOrder []fleet.Digest
 }
 
 // PlayFleet plays a day.
-func RunFleet(d FleetScenario) FleetResult { return playFleet(d, true) }
+func RunFleet(scenario FleetScenario) FleetResult { return simulateFleet(scenario, true) }
 
 // playFleet is the same; not shared: each member works out by itself what entries lead to.
-func playFleet(d FleetScenario, shared bool) FleetResult {
-	p := &fleetPlay{d: d, shared: shared, f: fleet.Timing{Beat: 250, Lease: 1000, Drift: 0.01}, rnd: rand.New(rand.NewPCG(d.Seed, 0x666c6474)), seats: map[uint64]int{},
-		told: map[uint64]float64{}, pending: map[uint64]*spread{}, led: map[fleet.Digest]*fleet.State{}}
+func simulateFleet(scenario FleetScenario, shared bool) FleetResult {
+	s := &fleetSim{scenario: scenario, shared: shared, timing: fleet.Figures{Beat: 250, Lease: 1000, Drift: 0.01}, rnd: rand.New(rand.NewPCG(scenario.Seed, 0x666c6474)), voterIndex: map[uint64]int{},
+		fenceCompleted: map[uint64]float64{}, publications: map[uint64]*publication{}, derived: map[fleet.Digest]*fleet.State{}}
 	var voters []fleet.Voter
-	for k := range d.Voters {
+	for k := range scenario.Voters {
 		name := fmt.Sprintf("m%04d", k)
-		voters = append(voters, fleet.Voter{Name: name, Address: name, RaftID: consensus.InitialRaftID("lab", name)})
-		p.seats[voters[k].RaftID] = k
+		voters = append(voters, fleet.Voter{Name: name, Address: name, Seat: council.FirstSeat("lab", name)})
+		s.voterIndex[voters[k].Seat] = k
 	}
-	for range d.Voters {
-		p.stores = append(p.stores, &kept{consensus.InitialState("lab", voters)})
-		p.cores = append(p.cores, nil)
+	for range scenario.Voters {
+		s.stores = append(s.stores, &voterStore{council.First("lab", voters)})
+		s.cores = append(s.cores, nil)
 	}
-	for k := range d.Voters {
-		p.voter(k)
+	for k := range scenario.Voters {
+		s.startVoter(k)
 	}
-	for k := range d.Members {
-		p.members = append(p.members, &fleetMember{leader: -1})
-		p.at(p.rnd.Float64()*p.f.Beat, func() { p.begin(k) })
+	for k := range scenario.Members {
+		s.members = append(s.members, &fleetMember{leader: -1})
+		s.at(s.rnd.Float64()*s.timing.Beat, func() { s.startMember(k) })
 	}
-	p.at(1, p.tick)
-	for n := 0; 4000+3000*float64(n) < d.Length-6000; n++ {
+	s.at(1, s.tick)
+	for n := 0; 4000+3000*float64(n) < scenario.Length-6000; n++ {
 		at := 4000 + 3000*float64(n)
-		p.at(at, func() { p.publish(n, 0) })
-		if d.CutShare > 0 && n%2 == 1 {
-			p.at(at-5, func() { p.cut(true) })
-			p.at(at+3000, func() { p.cut(false) })
+		s.at(at, func() { s.publish(n, 0) })
+		if scenario.CutShare > 0 && n%2 == 1 {
+			s.at(at-5, func() { s.cutMembers(true) })
+			s.at(at+3000, func() { s.cutMembers(false) })
 		}
 	}
-	for range d.Faults {
-		k, at, span := p.rnd.IntN(d.Members), 3000+p.rnd.Float64()*max(d.Length-9000, 0), 100+p.rnd.Float64()*2500
-		switch p.rnd.IntN(4) {
+	for range scenario.Faults {
+		k, at, span := s.rnd.IntN(scenario.Members), 3000+s.rnd.Float64()*max(scenario.Length-9000, 0), 100+s.rnd.Float64()*2500
+		switch s.rnd.IntN(4) {
 		case 0:
-			p.at(at, func() { p.kill(k) })
-			p.at(at+span, func() { p.begin(k) })
+			s.at(at, func() { s.stopMember(k) })
+			s.at(at+span, func() { s.startMember(k) })
 		case 1:
-			p.at(at, func() { p.members[k].cut = true })
-			p.at(at+span, func() { p.members[k].cut = false })
+			s.at(at, func() { s.members[k].cut = true })
+			s.at(at+span, func() { s.members[k].cut = false })
 		case 2:
-			p.at(at, func() { p.members[k].still = p.now + span })
+			s.at(at, func() { s.members[k].pausedUntil = s.now + span })
 		case 3:
-			v := p.rnd.IntN(d.Voters)
-			p.at(at, func() { p.cores[v] = nil })
-			p.at(at+span, func() { p.voter(v) })
+			v := s.rnd.IntN(scenario.Voters)
+			s.at(at, func() { s.cores[v] = nil })
+			s.at(at+span, func() { s.startVoter(v) })
 		}
 	}
-	for len(p.queue) > 0 && p.now < d.Length && p.r.Violation == "" {
-		e := heap.Pop(&p.queue).(fleetEvent)
-		p.now = e.at
-		e.do()
+	for len(s.queue) > 0 && s.now < scenario.Length && s.result.Violation == "" {
+		e := heap.Pop(&s.queue).(fleetEvent)
+		s.now = e.at
+		e.action()
 	}
-	if p.r.Violation == "" {
-		p.end()
+	if s.result.Violation == "" {
+		s.finish()
 	}
-	return p.r
+	return s.result
 }
 
-func (p *fleetPlay) at(when float64, do func()) {
-	p.seq++
-	heap.Push(&p.queue, fleetEvent{max(when, p.now), p.seq, do})
+func (s *fleetSim) at(when float64, action func()) {
+	s.seq++
+	heap.Push(&s.queue, fleetEvent{max(when, s.now), s.seq, action})
 }
 
-func (p *fleetPlay) voter(k int) {
-	c, err := consensus.NewCore(p.f, consensus.InitialRaftID("lab", fmt.Sprintf("m%04d", k)), p.stores[k].k, p.stores[k], p.rnd.Uint64(), p.now)
+func (s *fleetSim) startVoter(k int) {
+	c, err := council.NewCore(s.timing, council.FirstSeat("lab", fmt.Sprintf("m%04d", k)), s.stores[k].persisted, s.stores[k], s.rnd.Uint64(), s.now)
 	if err != nil {
-		p.broken("voter %d: %v", k, err)
+		s.violated("voter %d: %v", k, err)
 		return
 	}
-	p.cores[k] = c
+	s.cores[k] = c
 }
 
-func (p *fleetPlay) broken(format string, a ...any) {
-	if p.r.Violation == "" {
-		p.r.Violation = fmt.Sprintf("at %.0f ms: ", p.now) + fmt.Sprintf(format, a...)
+func (s *fleetSim) violated(format string, a ...any) {
+	if s.result.Violation == "" {
+		s.result.Violation = fmt.Sprintf("at %.0f ms: ", s.now) + fmt.Sprintf(format, a...)
 	}
 }
 
-func (p *fleetPlay) begin(k int) {
-	m := p.members[k]
+func (s *fleetSim) startMember(k int) {
+	m := s.members[k]
 	if m.up {
 		return
 	}
 	state := fleet.NewState("lab")
-	if m.self != nil { // its folder
-		state = m.self.State()
-	}
-	m.runs++
-	m.up, m.run = true, fleet.RunRecord{ID: fmt.Sprint(k, "-", m.runs), StartedAt: p.now}
-	m.run.RecordVersion(p.now, 0)
-	m.self = fleet.NewLeaseHolder(p.f, fmt.Sprintf("m%04d", k), "1.0.0", fleet.StopWhenIsolated, state, p.now)
-	p.bring(k)
-	p.beat(k, m.runs, true)
-	p.poll(k, m.runs)
+	if m.leaseHolder != nil { // its folder
+		state = m.leaseHolder.State()
+	}
+	m.runCount++
+	m.up, m.run = true, fleet.Run{ID: fmt.Sprint(k, "-", m.runCount), Began: s.now}
+	m.run.Since(s.now, 0)
+	m.leaseHolder = fleet.NewSelf(s.timing, fmt.Sprintf("m%04d", k), "1.0.0", fleet.Stop, state, s.now)
+	s.applyNext(k)
+	s.sendHeartbeat(k, m.runCount, true)
+	s.startPoll(k, m.runCount)
 }
 
-func (p *fleetPlay) kill(k int) { p.members[k].up = false }
+func (s *fleetSim) stopMember(k int) { s.members[k].up = false }
 
-func (p *fleetPlay) cut(on bool) {
-	for k := range int(p.d.CutShare * float64(p.d.Members)) {
-		p.members[p.d.Members-1-k].cut = on
+func (s *fleetSim) cutMembers(on bool) {
+	for k := range int(s.scenario.CutShare * float64(s.scenario.Members)) {
+		s.members[s.scenario.Members-1-k].cut = on
 	}
 }
 
 // carry brings a message between a member and a voter, either way, with its bytes on the member's account.
-func (p *fleetPlay) carry(k int, size int, do func()) {
-	m := p.members[k]
+func (s *fleetSim) transmit(k int, size int, action func()) {
+	m := s.members[k]
 	m.bytes += float64(size)
-	if m.cut || p.rnd.Float64() < p.d.MessageLoss {
+	if m.cut || s.rnd.Float64() < s.scenario.MessageLoss {
 		return
 	}
-	p.at(p.now+fleetLink*(1+p.rnd.Float64()), func() {
+	s.at(s.now+linkDelay*(1+s.rnd.Float64()), func() {
 		if !m.cut {
-			do()
+			action()
 		}
 	})
 }
 
 // lives tells whether a process of a member is there to act; one that stands still does it when it goes on.
-func (p *fleetPlay) lives(k, run int, do func()) {
-	m := p.members[k]
-	if !m.up || m.runs != run {
+func (s *fleetSim) whenRunning(k, run int, action func()) {
+	m := s.members[k]
+	if !m.up || m.runCount != run {
 		return
 	}
-	if p.now < m.still {
-		p.at(m.still, func() { p.lives(k, run, do) })
+	if s.now < m.pausedUntil {
+		s.at(m.pausedUntil, func() { s.whenRunning(k, run, action) })
 		return
 	}
-	do()
+	action()
 }
 
 // beat tells the council once; further ones follow, unless it is one between others.
-func (p *fleetPlay) beat(k, run int, further bool) {
-	p.lives(k, run, func() {
-		m := p.members[k]
-		if further {
-			p.at(p.now+p.f.Beat, func() { p.beat(k, run, true) })
+func (s *fleetSim) sendHeartbeat(k, run int, repeat bool) {
+	s.whenRunning(k, run, func() {
+		m := s.members[k]
+		if repeat {
+			s.at(s.now+s.timing.Beat, func() { s.sendHeartbeat(k, run, true) })
 		}
-		s := m.self.State()
-		m.run.KnownUntil = p.now
-		b := fleet.Heartbeat{Fleet: "lab", Format: fleet.FormatVersion, Member: fmt.Sprintf("m%04d", k), Address: fmt.Sprint("a", k), RunID: m.run.ID, OwnsAddress: true, IsolationPolicy: fleet.StopWhenIsolated,
-			ProgramVersion: "1.0.0", LastSeq: s.LastSeq(), Digest: s.Digest(), ActiveVersion: m.self.ActiveVersion(), Lease: p.f.Lease, Drift: p.f.Drift, Runs: []fleet.RunRecord{m.run.Clone()}}
+		state := m.leaseHolder.State()
+		m.run.Saved = s.now
+		heartbeat := fleet.Beat{Fleet: "lab", Format: fleet.Format, Member: fmt.Sprintf("m%04d", k), Address: fmt.Sprint("a", k), Run: m.run.ID, Bound: true, Alone: fleet.Stop,
+			Program: "1.0.0", N: state.N(), Digest: state.Digest(), InForce: m.leaseHolder.InForce(), Lease: s.timing.Lease, Drift: s.timing.Drift, Runs: []fleet.Run{m.run.Clone()}}
 		v := m.leader
 		if v < 0 {
-			v = p.rnd.IntN(p.d.Voters)
+			v = s.rnd.IntN(s.scenario.Voters)
 		}
 		m.leader = -1 // until it answers
-		sent := p.now
-		p.carry(k, len(fleet.Encode(b)), func() {
-			c := p.cores[v]
+		sent := s.now
+		s.transmit(k, len(fleet.Encode(heartbeat)), func() {
+			c := s.cores[v]
 			if c == nil {
 				return
 			}
-			p.count(v)
-			c.Heartbeat(p.now, b, func(r fleet.LeaseRenewal, err error) {
-				p.count(v)
+			s.countAtLeader(v)
+			c.Beat(s.now, heartbeat, func(renewal fleet.Renewal, err error) {
+				s.countAtLeader(v)
 				if err != nil { // it says who leads
-					lead := p.lead(v)
-					p.carry(k, 64, func() { p.lives(k, run, func() { m.leader = lead }) })
+					leader := s.leaderOf(v)
+					s.transmit(k, 64, func() { s.whenRunning(k, run, func() { m.leader = leader }) })
 					return
 				}
-				p.carry(k, len(fleet.Encode(r)), func() {
-					p.lives(k, run, func() {
+				s.transmit(k, len(fleet.Encode(renewal)), func() {
+					s.whenRunning(k, run, func() {
 						m.leader = v
-						m.self.HandleRenewal(sent, r)
-						if r.NewestVersion > m.self.State().NewestVersion() { // the poll that is under way may hang
-							p.poll(k, run)
+						m.leaseHolder.Renewed(sent, renewal)
+						if renewal.Newest > m.leaseHolder.State().Newest() { // the poll that is under way may hang
+							s.startPoll(k, run)
 						}
-						if r.RetryAfter > 0 {
-							p.at(p.now+r.RetryAfter, func() { p.beat(k, run, false) })
+						if renewal.Again > 0 {
+							s.at(s.now+renewal.Again, func() { s.sendHeartbeat(k, run, false) })
 						}
 					})
 				})
@@ -309,9 +309,9 @@
 	})
 }
 
-func (p *fleetPlay) lead(v int) int {
-	if c := p.cores[v]; c != nil {
-		if k, ok := p.seats[c.Leader()]; ok {
+func (s *fleetSim) leaderOf(v int) int {
+	if c := s.cores[v]; c != nil {
+		if k, ok := s.voterIndex[c.Lead()]; ok {
 			return k
 		}
 	}
@@ -319,231 +319,231 @@
 }
 
 // count counts a message at a voter that leads.
-func (p *fleetPlay) count(v int) {
-	if c := p.cores[v]; c != nil && c.Leases() != nil {
-		p.load++
+func (s *fleetSim) countAtLeader(v int) {
+	if c := s.cores[v]; c != nil && c.Book() != nil {
+		s.leaderMessages++
 	}
 }
 
-func (p *fleetPlay) poll(k, run int) {
-	p.lives(k, run, func() {
-		m := p.members[k]
-		m.call++
-		m.call++
-		call, v := m.call, p.rnd.IntN(p.d.Voters)
-		p.at(p.now+fleetPoll+1000, func() { // no answer: another voter, after a drawn pause
-			if m.call == call {
-				p.at(p.now+300*p.rnd.Float64(), func() { p.poll(k, run) })
+func (s *fleetSim) startPoll(k, run int) {
+	s.whenRunning(k, run, func() {
+		m := s.members[k]
+		m.pollSeq++
+		m.pollSeq++
+		seq, v := m.pollSeq, s.rnd.IntN(s.scenario.Voters)
+		s.at(s.now+pollTimeout+1000, func() { // no answer: another voter, after a drawn pause
+			if m.pollSeq == seq {
+				s.at(s.now+300*s.rnd.Float64(), func() { s.startPoll(k, run) })
 			}
 		})
-		n, digest := m.self.State().LastSeq(), m.self.State().Digest()
-		p.carry(k, 96, func() {
-			p.count(v)
-			p.serve(v, waiter{k, run, call}, n, digest, p.now+fleetPoll)
+		n, digest := m.leaseHolder.State().N(), m.leaseHolder.State().Digest()
+		s.transmit(k, 96, func() {
+			s.countAtLeader(v)
+			s.answerPoll(v, pollRequest{k, run, seq}, n, digest, s.now+pollTimeout)
 		})
 	})
 }
 
 // serve answers a poll once there is something, or once it has waited long enough.
-func (p *fleetPlay) serve(v int, w waiter, n uint64, digest fleet.Digest, until float64) {
-	var look func()
-	look = func() {
-		c := p.cores[v]
+func (s *fleetSim) answerPoll(v int, poll pollRequest, n uint64, digest fleet.Digest, deadline float64) {
+	var attempt func()
+	attempt = func() {
+		c := s.cores[v]
 		if c == nil {
 			return
 		}
-		entries, snapshot, fork := c.EntriesAfter(n, digest)
-		if fork {
-			p.broken("two histories: member %d at %d", w.m, n)
+		entries, snapshot, diverged := c.Entries(n, digest)
+		if diverged {
+			s.violated("two histories: member %d at %d", poll.member, n)
 			return
 		}
-		if len(entries) == 0 && snapshot == nil && p.now < until {
-			p.at(p.now+2, look)
+		if len(entries) == 0 && snapshot == nil && s.now < deadline {
+			s.at(s.now+2, attempt)
 			return
 		}
-		p.count(v)
-		p.carry(w.m, len(fleet.Encode(entries))+len(snapshot)+32, func() {
-			p.lives(w.m, w.run, func() {
-				m := p.members[w.m]
-				if m.call != w.call {
+		s.countAtLeader(v)
+		s.transmit(poll.member, len(fleet.Encode(entries))+len(snapshot)+32, func() {
+			s.whenRunning(poll.member, poll.run, func() {
+				m := s.members[poll.member]
+				if m.pollSeq != poll.pollSeq {
 					return
 				}
 				if snapshot != nil {
-					s, err := fleet.Restore(snapshot)
+					restored, err := fleet.Restore(snapshot)
 					if err == nil {
-						err = m.self.ReplaceState(s)
+						err = m.leaseHolder.Replace(restored)
 					}
 					if err != nil {
-						p.broken("member %d: %v", w.m, err)
+						s.violated("member %d: %v", poll.member, err)
 					}
-				} else if err := p.follow(m.self, entries); err != nil {
-					p.broken("member %d: %v", w.m, err)
+				} else if err := s.followEntries(m.leaseHolder, entries); err != nil {
+					s.violated("member %d: %v", poll.member, err)
 				}
-				p.bring(w.m)
-				p.poll(w.m, w.run)
+				s.applyNext(poll.member)
+				s.startPoll(poll.member, poll.run)
 			})
 		})
 	}
-	look()
+	attempt()
 }
 
 // follow takes further entries. What an entry leads to from the one before it, its digest tells: it is worked out by the first
 // member that comes there and taken over by the others, as processors cost nothing here. Whatever does not fit is the member's
 // own to refuse.
-func (p *fleetPlay) follow(m *fleet.LeaseHolder, entries []fleet.Entry) error {
+func (s *fleetSim) followEntries(holder *fleet.Self, entries []fleet.Entry) error {
 	for k, e := range entries {
-		s := m.State()
-		if e.Seq <= s.LastSeq() {
+		state := holder.State()
+		if e.N <= state.N() {
 			continue
 		}
-		if led := p.led[e.Digest]; p.shared && led != nil && e.Seq == s.LastSeq()+1 && e.PrevDigest == s.Digest() {
-			if err := m.ReplaceState(led.Clone()); err != nil {
+		if known := s.derived[e.Digest]; s.shared && known != nil && e.N == state.N()+1 && e.Prev == state.Digest() {
+			if err := holder.Replace(known.Clone()); err != nil {
 				return err
 			}
 			continue
 		}
-		if err := m.ApplyEntries(entries[k : k+1]); err != nil {
+		if err := holder.Follow(entries[k : k+1]); err != nil {
 			return err
 		}
-		p.led[e.Digest] = m.State()
-		if p.ledOrder = append(p.ledOrder, e.Digest); len(p.ledOrder) > ledMost {
-			delete(p.led, p.ledOrder[0])
-			p.ledOrder = p.ledOrder[1:]
+		s.derived[e.Digest] = holder.State()
+		if s.derivedOrder = append(s.derivedOrder, e.Digest); len(s.derivedOrder) > maxSharedStates {
+			delete(s.derived, s.derivedOrder[0])
+			s.derivedOrder = s.derivedOrder[1:]
 		}
 	}
 	return nil
 }
 
-func (p *fleetPlay) bring(k int) {
-	m := p.members[k]
-	run := m.runs
-	if v, ok := m.self.NextVersion(); ok {
-		p.at(p.now+fleetApply, func() {
-			p.lives(k, run, func() {
-				m.self.VersionApplied(v.Number)
-				m.run.RecordVersion(p.now, v.Number)
-				p.bring(k)
+func (s *fleetSim) applyNext(k int) {
+	m := s.members[k]
+	run := m.runCount
+	if v, ok := m.leaseHolder.Next(); ok {
+		s.at(s.now+applyDelay, func() {
+			s.whenRunning(k, run, func() {
+				m.leaseHolder.Applied(v.Number)
+				m.run.Since(s.now, v.Number)
+				s.applyNext(k)
 			})
 		})
 	}
 }
 
 // publish asks the leader, again and again until it answers.
-func (p *fleetPlay) publish(n, tries int) {
+func (s *fleetSim) publish(n, attempts int) {
 	request := fmt.Sprint("r", n)
-	if tries > 200 {
-		p.broken("%s is never answered", request)
+	if attempts > 200 {
+		s.violated("%s is never answered", request)
 		return
 	}
 	answered := false
-	for _, c := range p.cores {
-		if c != nil && c.Leases() != nil {
-			c.Propose(p.now, fleet.Command{Kind: fleet.PublishVersion, RequestID: request, Text: []byte(`{"mark":"` + request + `"}`), Fence: n%2 == 1}, func(r fleet.Result, err error) {
+	for _, c := range s.cores {
+		if c != nil && c.Book() != nil {
+			c.Propose(s.now, fleet.Command{Kind: fleet.Published, Request: request, Text: []byte(`{"mark":"` + request + `"}`), Fence: n%2 == 1}, func(r fleet.Result, err error) {
 				if err == nil && !answered {
 					answered = true
-					p.r.Published++
-					p.pending[r.Version] = &spread{at: p.now}
+					s.result.Published++
+					s.publications[r.Version] = &publication{at: s.now}
 				}
 			})
 			break
 		}
 	}
-	p.at(p.now+100, func() {
+	s.at(s.now+100, func() {
 		if !answered {
-			p.publish(n, tries+1)
+			s.publish(n, attempts+1)
 		}
 	})
 }
 
 // tick has voters step, messages between them carried, fences told and acts judged, each millisecond.
-func (p *fleetPlay) tick() {
-	for v, c := range p.cores {
+func (s *fleetSim) tick() {
+	for v, c := range s.cores {
 		if c == nil {
 			continue
 		}
-		c.Tick(p.now)
-		for _, m := range c.TakeMessages(p.now) {
-			to := p.seats[m.To]
-			if c.Leases() != nil {
-				p.load++
+		c.Step(s.now)
+		for _, message := range c.Take(s.now) {
+			to := s.voterIndex[message.To]
+			if c.Book() != nil {
+				s.leaderMessages++
 			}
-			if p.rnd.Float64() < p.d.MessageLoss {
+			if s.rnd.Float64() < s.scenario.MessageLoss {
 				continue
 			}
-			p.at(p.now+fleetLink*(1+p.rnd.Float64()), func() {
-				if c := p.cores[to]; c != nil {
-					p.count(to)
-					c.Receive(p.now, m.Data)
+			s.at(s.now+linkDelay*(1+s.rnd.Float64()), func() {
+				if c := s.cores[to]; c != nil {
+					s.countAtLeader(to)
+					c.Receive(s.now, message.Data)
 				}
-				if m.IsSnapshot && p.cores[v] != nil {
-					p.cores[v].ReportSnapshot(p.now, m.To, true)
+				if message.Snap && s.cores[v] != nil {
+					s.cores[v].SnapshotSent(s.now, message.To, true)
 				}
 			})
 		}
-		if b := c.Leases(); b != nil && int(p.now)%10 == 0 {
-			if f := c.State().FencedVersion(); f > 0 && p.told[f] == 0 {
-				if at, _ := b.FenceStatus(p.now, p.now, f, c.State()); at > 0 {
-					p.told[f] = p.now
-					p.r.FencesCompleted++
+		if b := c.Book(); b != nil && int(s.now)%10 == 0 {
+			if f := c.State().Fenced(); f > 0 && s.fenceCompleted[f] == 0 {
+				if at, _ := b.Fence(s.now, s.now, f, c.State()); at > 0 {
+					s.fenceCompleted[f] = s.now
+					s.result.FencesCompleted++
 				}
 			}
 		}
 	}
-	if int(p.now)%5 == 0 {
-		p.look()
+	if int(s.now)%5 == 0 {
+		s.checkMembers()
 	}
-	p.at(p.now+1, p.tick)
+	s.at(s.now+1, s.tick)
 }
 
 // look judges what members could do now, and how far versions have spread.
-func (p *fleetPlay) look() {
+func (s *fleetSim) checkMembers() {
 	fence := uint64(0)
-	for v := range p.told {
+	for v := range s.fenceCompleted {
 		fence = max(fence, v)
 	}
-	for k, m := range p.members {
-		if m.up && p.now >= m.still && m.self.ActiveVersion() < fence && m.self.AcceptUntil(p.now) > p.now {
-			p.broken("member %d acts on version %d, the fence of %d was told at %.0f", k, m.self.ActiveVersion(), fence, p.told[fence])
+	for k, m := range s.members {
+		if m.up && s.now >= m.pausedUntil && m.leaseHolder.InForce() < fence && m.leaseHolder.OpenUntil(s.now) > s.now {
+			s.violated("member %d acts on version %d, the fence of %d was told at %.0f", k, m.leaseHolder.InForce(), fence, s.fenceCompleted[fence])
 		}
 	}
-	for _, v := range slices.Sorted(maps.Keys(p.pending)) {
-		x := p.pending[v]
-		have, reach, all := 0, 0, 0
-		for _, m := range p.members {
-			if m.up && m.self.ActiveVersion() >= v {
+	for _, v := range slices.Sorted(maps.Keys(s.publications)) {
+		publication := s.publications[v]
+		have, reachable, all := 0, 0, 0
+		for _, m := range s.members {
+			if m.up && m.leaseHolder.InForce() >= v {
 				all++
 			}
-			if m.up && !m.cut && p.now >= m.still {
-				if reach++; m.self.ActiveVersion() >= v {
+			if m.up && !m.cut && s.now >= m.pausedUntil {
+				if reachable++; m.leaseHolder.InForce() >= v {
 					have++
 				}
 			}
 		}
-		if have*100 >= reach*99 && !x.most {
-			x.most = true
-			p.r.TimeTo99 = append(p.r.TimeTo99, p.now-x.at)
+		if have*100 >= reachable*99 && !publication.reached99 {
+			publication.reached99 = true
+			s.result.TimeTo99 = append(s.result.TimeTo99, s.now-publication.at)
 		}
-		if all == len(p.members) {
-			p.r.TimeToAll = append(p.r.TimeToAll, p.now-x.at)
-			delete(p.pending, v)
+		if all == len(s.members) {
+			s.result.TimeToAll = append(s.result.TimeToAll, s.now-publication.at)
+			delete(s.publications, v)
 		}
 	}
 }
 
-func (p *fleetPlay) end() {
+func (s *fleetSim) finish() {
 	bytes := 0.
-	for _, m := range p.members {
+	for _, m := range s.members {
 		bytes += m.bytes
 	}
-	p.r.LeaderMessageRate = p.load / p.d.Length * 1000
-	p.r.MemberByteRate = bytes / float64(len(p.members)) / p.d.Length * 1000
-	if len(p.pending) > 0 {
-		lacks := ""
-		for k, m := range p.members {
-			if !m.up || m.self.ActiveVersion() < slices.Max(slices.Collect(maps.Keys(p.pending))) {
-				lacks += fmt.Sprintf(" member %d (runs: %v, version %d of %d known)", k, m.up, m.self.ActiveVersion(), m.self.State().NewestVersion())
+	s.result.LeaderMessageRate = s.leaderMessages / s.scenario.Length * 1000
+	s.result.MemberByteRate = bytes / float64(len(s.members)) / s.scenario.Length * 1000
+	if len(s.publications) > 0 {
+		lagging := ""
+		for k, m := range s.members {
+			if !m.up || m.leaseHolder.InForce() < slices.Max(slices.Collect(maps.Keys(s.publications))) {
+				lagging += fmt.Sprintf(" member %d (runs: %v, version %d of %d known)", k, m.up, m.leaseHolder.InForce(), m.leaseHolder.State().Newest())
 			}
 		}
-		p.broken("%d versions never came into force at all members: %s", len(p.pending), lacks)
+		s.violated("%d versions never came into force at all members: %s", len(s.publications), lagging)
 	}
 }
--- a/internal/virtualtime/fleet_test.go
+++ b/internal/virtualtime/fleet_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestFleet plays small fleets with faults: no two histories, nobody acting behind a fence that was told.
-func TestFleet(t *testing.T) {
+func TestFleetUnderFaults(t *testing.T) {
 	published, fences := 0, 0
 	for seed := range uint64(40) {
 		r := RunFleet(FleetScenario{Members: 7, Voters: []int{1, 3, 5}[seed%3], Seed: seed, MessageLoss: 0.1, CutShare: 0.3, Faults: 8, Length: 30000})
@@ -23,7 +23,7 @@
 }
 
 // TestFleetRepeats: the same seed is the same day, elections included.
-func TestFleetRepeats(t *testing.T) {
+func TestFleetIsDeterministic(t *testing.T) {
 	d := FleetScenario{Members: 20, Voters: 5, Seed: 3, MessageLoss: 0.1, CutShare: 0.2, Faults: 10, Length: 20000}
 	a, b := RunFleet(d), RunFleet(d)
 	if a.LeaderMessageRate != b.LeaderMessageRate || a.MemberByteRate != b.MemberByteRate || len(a.TimeToAll) != len(b.TimeToAll) {
@@ -32,10 +32,10 @@
 }
 
 // TestShared: that members take over from one another what an entry leads to changes nothing of what comes of a day.
-func TestShared(t *testing.T) {
+func TestSharedStatesChangeNothing(t *testing.T) {
 	for seed := range uint64(6) {
 		d := FleetScenario{Members: 12, Voters: 3, Seed: seed, MessageLoss: 0.1, CutShare: 0.2, Faults: 6, Length: 16000}
-		if diff := cmp.Diff(playFleet(d, false), playFleet(d, true)); diff != "" {
+		if diff := cmp.Diff(simulateFleet(d, false), simulateFleet(d, true)); diff != "" {
 			t.Errorf("seed %d (-each by itself +shared):\n%s", seed, diff)
 		}
 	}
