--- a/internal/fleetmodel/clients.go
+++ b/internal/fleetmodel/clients.go
@@ -1,4 +1,4 @@
-// This file owns clients: what they send, when, and what they make of answers.
+// This file models clients: what they send, when they send it, and how they react to answers.
 
 package fleetmodel
 
@@ -10,66 +10,66 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Outcome is how a client's wish ended for it.
+// Outcome is how a job ended from its client's point of view.
 type Outcome int
 
 // The outcomes.
 const (
 	Waiting        Outcome = iota
 	Finished               // answered with its result
-	Deferred               // told to come again, and did not or no longer
+	Deferred               // told to retry later, and did not retry or may not any more
 	WrittenOff             // told that it failed
 	ConnectionLost         // its connection ended without an answer
-	Unanswered             // no answer by its deadline and some more
-	ClientLeft             // went away of its own accord
-	NoDispatcher           // found no dispatcher at all
+	Unanswered             // no answer by its deadline plus a margin
+	ClientLeft             // the client closed its connection by its own choice
+	NoDispatcher           // no dispatcher could be reached
 )
 
 func (o Outcome) String() string {
 	return [...]string{"waiting", "finished", "deferred", "written off", "lost", "unanswered", "left", "refused"}[o]
 }
 
-// Outcomes are all that a wish can end with.
+// Outcomes are all outcomes that a job can end with.
 var Outcomes = []Outcome{Finished, Deferred, WrittenOff, ConnectionLost, Unanswered, ClientLeft, NoDispatcher}
 
-// Job is what one client wants, by one request or several.
+// Job is one piece of work that a client wants done. It takes one request or several.
 type Job struct {
 	Number   int
 	Category int
 	Tenant   int // -1: none
 	Site     int
-	Arrival  float64 // when it wanted it
+	Arrival  float64 // when the client wanted it
 	Cost     float64
-	Hint     float64 // 0: none
+	Hint     float64 // estimated cost; 0: none
 	Outcome  Outcome
-	End      float64 // when the client knew
+	End      float64 // when the client learned the outcome
 	Requests int
-	Worker   string // that finished it
-	Kind     int    // of that; -1: none
-	inTail   bool   // among those that a tail makes heavier
+	Worker   string // the worker that finished it
+	Kind     int    // the kind of Worker; -1: none
+	inTail   bool   // belongs to the tenth whose cost a tail fault multiplies
 	leftAt   float64
 }
 
-// InTime tells whether it was answered by its due time.
+// InTime reports whether the job finished by its due time.
 func (x *Experiment) InTime(j *Job) bool {
 	c := &x.Categories[j.Category]
 	due := float64(c.DueTime) + c.DueStretch*j.Hint
 	return j.Outcome == Finished && j.End-j.Arrival <= max(min(due, float64(c.Expiry)), 0)
 }
 
-// Try is one request.
+// Request is one request of a client for a job.
 type Request struct {
 	ID          string
 	Job         *Job
 	Dispatcher  int
 	Deadline    float64 // when its client stops waiting
-	Retry       bool    // marked as a retry
+	Retry       bool    // a further request for the same job
 	handOffs    int
 	finished    bool
 	incarnation int
 }
 
-// law draws costs of a category.
+// costSampler returns a function that samples costs from the category's distribution.
 func (c *Category) costSampler() func(*rand.Rand) float64 {
 	mean := float64(c.MeanCost)
 	capped := func(sample func(*rand.Rand) float64) func(*rand.Rand) float64 {
@@ -90,8 +90,9 @@
 	return capped(func(r *rand.Rand) float64 { return distuv.Exponential{Rate: 1 / mean, Src: r}.Rand() })
 }
 
-// nextArrival plans the arrival after the one at a time. All draws of arrivals stand here and in arrival, in their
-// order, so that the same seed sends the same work whatever dispatchers do.
+// scheduleArrival schedules the arrival that follows one at time from. All random numbers of arrivals are
+// drawn here and in createJob, in a fixed order, so that a seed always sends the same work, whatever the
+// dispatchers do.
 func (m *Model) scheduleArrival(from float64) {
 	factor, shares := 0., 0.
 	for k, tenant := range m.Experiment.Tenants {
@@ -140,7 +141,7 @@
 	m.sendRequest(j)
 }
 
-// pick draws a position by weights.
+// pickWeighted samples an index by weight.
 func pickWeighted(r *rand.Rand, n int, weight func(int) float64) int {
 	sum := 0.
 	for k := range n {
@@ -155,7 +156,8 @@
 	return n - 1
 }
 
-// submit sends a client's next request, to a dispatcher of its site that its front deals out.
+// sendRequest sends a client's next request to a random dispatcher of its site that is in rotation, or to one
+// of another site if its own has none.
 func (m *Model) sendRequest(j *Job) {
 	category := &m.Experiment.Categories[j.Category]
 	left := j.Arrival + float64(category.Expiry) - m.now
@@ -190,7 +192,7 @@
 	if !cut {
 		m.After(m.networkDelay(j.Site, d.site), func() { m.deliverRequest(d, r) })
 	}
-	m.At(r.Deadline+float64(m.Experiment.Dispatchers.AnswerSlack)+100, func() { // more than any answer may need
+	m.At(r.Deadline+float64(m.Experiment.Dispatchers.AnswerSlack)+100, func() { // longer than any answer may take
 		if !r.finished {
 			m.abandonRequest(r)
 			m.finishJob(j, Unanswered)
@@ -214,12 +216,12 @@
 	})
 }
 
-// request is the last byte of one at its dispatcher.
+// deliverRequest runs when the last byte of a request reaches its dispatcher.
 func (m *Model) deliverRequest(d *dispatcher, r *Request) {
 	if r.finished {
 		return
 	}
-	if !d.up { // refused: nobody has taken it
+	if !d.up { // connection refused: no process received the request
 		m.After(m.networkDelay(d.site, r.Job.Site), func() {
 			if !r.finished {
 				r.finished = true
@@ -231,7 +233,7 @@
 	r.incarnation = d.incarnation
 	d.openRequests[r.ID] = r
 	d.arrivalOrder = append(d.arrivalOrder, r.ID)
-	if len(d.arrivalOrder) > 2*len(d.openRequests)+64 { // forget those that were answered
+	if len(d.arrivalOrder) > 2*len(d.openRequests)+64 { // drop the IDs of answered requests
 		order := d.arrivalOrder[:0]
 		for _, id := range d.arrivalOrder {
 			if d.openRequests[id] != nil {
@@ -244,7 +246,7 @@
 	m.driver.RequestArrived(d.index, r)
 }
 
-// leave closes the connection of a request that was not answered.
+// abandonRequest closes the connection of a request that has no answer yet.
 func (m *Model) abandonRequest(r *Request) {
 	r.finished = true
 	d := m.dispatchers[r.Dispatcher]
@@ -258,8 +260,9 @@
 	})
 }
 
-// Broke is called by the driver when a client's connection ended without a whole answer. Refused: it never came up, so
-// nobody has taken the request. Else it is lost, and the audit will say so unless the dispatcher's process has died.
+// ConnectionBroken is called by the driver when a client's connection ended without a complete answer. If
+// refused is set, the connection never came up and no dispatcher received the request. Otherwise the request
+// is lost, and the checker reports a violation unless the dispatcher's process has died.
 func (m *Model) ConnectionBroken(r *Request, refused bool) {
 	d := m.dispatchers[r.Dispatcher]
 	if d.openRequests[r.ID] != nil {
@@ -276,7 +279,7 @@
 	}
 }
 
-// Status is what a dispatcher answers.
+// Status is the kind of a dispatcher's answer.
 type Status int
 
 // The statuses: 200, 429 or 503, and any other.
@@ -286,7 +289,8 @@
 	OtherStatus
 )
 
-// Answer is a dispatcher's answer to a request, as its last byte leaves. A pause of 0 is no advice.
+// Answer is called by the driver when the last byte of a dispatcher's answer leaves. The pause is the advised
+// time before a retry, 0 for no advice.
 func (m *Model) Answer(n int, id string, s Status, body string, pause float64) {
 	d := m.dispatchers[n]
 	r := m.requests[id]
@@ -330,7 +334,7 @@
 	return ""
 }
 
-// failed is a connection that ended without an answer.
+// connectionFailed handles a connection that ended without an answer.
 func (m *Model) connectionFailed(r *Request) {
 	if r.finished {
 		return
@@ -339,7 +343,8 @@
 	m.handleUncertain(r.Job, ConnectionLost)
 }
 
-// unsure is a wish that may have had its effect: only what may be repeated is asked for again.
+// handleUncertain handles a job that may have had its effect: it is requested again only if it may be
+// repeated.
 func (m *Model) handleUncertain(j *Job, outcome Outcome) {
 	if c := &m.Experiment.Categories[j.Category]; c.RepeatPolicy == "rerunnable" || c.RepeatPolicy == "ticketed" && c.DedupScope == "all" {
 		m.retryOrFinish(j, 0, outcome)
@@ -348,7 +353,7 @@
 	}
 }
 
-// retry sends a further request after a time, or ends with the outcome.
+// retryOrFinish sends a further request after the pause, or ends the job with the outcome.
 func (m *Model) retryOrFinish(j *Job, pause float64, outcome Outcome) {
 	if j.Requests > m.Experiment.Clients.MaxRetries {
 		m.finishJob(j, outcome)
--- a/internal/fleetmodel/direct_driver.go
+++ b/internal/fleetmodel/direct_driver.go
@@ -1,15 +1,15 @@
-// This file owns the port that decides nothing: every request goes at once to the worker of a choice that is handed in.
-// With it the model stands alone beside queueing theory.
+// This file has a driver that makes no decisions: it sends every request at once to the worker that a given
+// function picks. With it the model alone can be compared with queueing theory.
 
 package fleetmodel
 
-// Direct is a port whose dispatchers send each request on as it comes.
+// DirectDriver is a driver whose dispatchers send each request on when it arrives.
 type DirectDriver struct {
 	Model *Model
-	Pick  func(j *Job) string // the worker's id
+	Pick  func(j *Job) string // returns the worker's ID
 }
 
-// Play plays an experiment without dispatchers' delays or decisions. Clients come at time 0.
+// Run runs the experiment without any delay or decision of dispatchers. Clients arrive from time 0 on.
 func (p *DirectDriver) Run() {
 	p.Model.Begin(p, 0)
 	for !p.Model.Done() {
@@ -17,12 +17,12 @@
 	}
 }
 
-// Request sends on.
+// RequestArrived hands the request off.
 func (p *DirectDriver) RequestArrived(d int, t *Request) {
 	p.Model.HandOff(d, t.ID, p.Pick(t.Job), nil)
 }
 
-// Callback answers once a job is done.
+// Callback answers the request once its job is done.
 func (p *DirectDriver) Callback(d int, c Callback) bool {
 	if c.State == "done" {
 		p.Model.Answer(d, c.ID, Served, c.Result, 0)
@@ -30,10 +30,10 @@
 	return true
 }
 
-// Start has it take work at once.
+// StartDispatcher makes the dispatcher ready at once.
 func (p *DirectDriver) StartDispatcher(d int, _ []WorkerEntry) { p.Model.DispatcherReady(d) }
 
-// Leave and all below: it knows no trouble.
+// ClientLeft and all methods below do nothing: the driver supports no faults.
 func (p *DirectDriver) ClientLeft(int, *Request)                  {}
 func (p *DirectDriver) HandOffEnded(int, *HandOff, HandOffResult) {}
 func (p *DirectDriver) DiscoveryUpdated(int, DiscoveryUpdate)     {}
@@ -47,8 +47,8 @@
 func (p *DirectDriver) UpgradeDispatcher(int)                     {}
 func (p *DirectDriver) FloodConnections(int, float64, float64)    {}
 
-// Freeze and Trouble are of processes.
+// SetPaused does nothing: there are no processes to suspend.
 func (p *DirectDriver) SetPaused(int, bool) {}
 
-// Trouble as Freeze.
+// SetFleetFault does nothing: there is no fleet.
 func (p *DirectDriver) SetFleetFault(*Fault, []int, bool) {}
--- a/internal/fleetmodel/dispatchers.go
+++ b/internal/fleetmodel/dispatchers.go
@@ -1,4 +1,5 @@
-// This file owns what dispatchers meet of one another, of discovery and of their own ends.
+// This file models what surrounds a dispatcher's process: its start and end, discovery, and messages of its
+// peers.
 
 package fleetmodel
 
@@ -9,11 +10,11 @@
 	"weldmast/internal/dispatch"
 )
 
-// Times of the stand-in for a dispatcher's own machine.
+// Times of the client side that the model stands in for, in milliseconds.
 const (
-	watchTimeout        = 3000 // a watch that says nothing for so long has ended
-	watchRequestTimeout = 1000 // one that was never answered
-	callbackRetryDelay  = 200  // between tries of a callback
+	watchTimeout        = 3000 // a watch that stays silent for this time has ended
+	watchRequestTimeout = 1000 // the same for a watch request without an answer
+	callbackRetryDelay  = 200  // between attempts of a callback
 	callbackAttempts    = 10
 )
 
@@ -31,7 +32,7 @@
 	m.driver.StartDispatcher(d.index, known)
 }
 
-// Ready is called by the driver when a dispatcher takes work.
+// DispatcherReady is called by the driver when a dispatcher takes work.
 func (m *Model) DispatcherReady(n int) {
 	d := m.dispatchers[n]
 	if d.ready {
@@ -40,7 +41,7 @@
 	d.ready, d.inRotation = true, true
 }
 
-// AllReady tells whether every dispatcher takes work.
+// AllDispatchersReady reports whether every dispatcher takes work.
 func (m *Model) AllDispatchersReady() bool {
 	for _, d := range m.dispatchers {
 		if !d.ready {
@@ -50,7 +51,8 @@
 	return true
 }
 
-// Exited is called by the driver when a dispatcher's process has ended by itself. What it had not answered is lost.
+// DispatcherExited is called by the driver when a dispatcher's process has ended by itself. Requests that it
+// had not answered are lost.
 func (m *Model) DispatcherExited(n int) {
 	if d := m.dispatchers[n]; d.up {
 		m.processEnded(d)
@@ -58,7 +60,8 @@
 	}
 }
 
-// end is a process's: its connections are reset, what was out at workers goes on there.
+// processEnded handles the end of a dispatcher's process: its connections are reset, and its jobs at workers
+// go on.
 func (m *Model) processEnded(d *dispatcher) {
 	d.up, d.ready, d.watching, d.paused = false, false, false, false
 	incarnation := d.incarnation
@@ -87,8 +90,8 @@
 	}
 }
 
-// freeze has a process stand still: its connections stay, nothing is read or written. The clients' front sees that as it
-// sees a death.
+// pauseDispatcher suspends a process: its connections stay open, but nothing is read or written. The clients'
+// load balancer detects it as it detects a death.
 func (m *Model) pauseDispatcher(d *dispatcher, duration float64) {
 	if !d.up || d.paused {
 		return
@@ -112,7 +115,7 @@
 	})
 }
 
-// Frozen tells whether a dispatcher stands still, and when it last went on.
+// DispatcherPaused reports whether a dispatcher is suspended, and when it was last resumed.
 func (m *Model) DispatcherPaused(n int) (paused bool, resumedAt float64) {
 	return m.dispatchers[n].paused, m.dispatchers[n].resumedAt
 }
@@ -123,7 +126,8 @@
 	}
 	incarnation := d.incarnation
 	m.driver.StopDispatcher(d.index)
-	// The front deals out no more connections, clients go on with those that they have for as long as they last.
+	// The load balancer sends no more connections. Clients keep using the connections they have while these
+	// last.
 	m.After(300, func() {
 		if d.incarnation == incarnation {
 			d.inRotation = false
@@ -136,7 +140,7 @@
 	})
 }
 
-// Watch is a dispatcher's wish to be told of the fleet.
+// Watch is called by the driver when a dispatcher starts a discovery watch.
 func (m *Model) Watch(n, number int, afterRevision int64) {
 	d := m.dispatchers[n]
 	incarnation := d.incarnation
@@ -166,7 +170,7 @@
 	}
 }
 
-// tell gives a list to a dispatcher; from now on it knows.
+// deliverUpdate gives a discovery update to a dispatcher, which knows its content from now on.
 func (m *Model) deliverUpdate(d *dispatcher, update DiscoveryUpdate) {
 	if update.Complete {
 		for id := range d.knownWorkers {
@@ -185,7 +189,7 @@
 	m.driver.DiscoveryUpdated(d.index, update)
 }
 
-// changed has discovery tell of workers, after the time that it needs.
+// publishChange makes discovery announce changed workers after its delay.
 func (m *Model) publishChange(workers ...*worker) {
 	m.revision++
 	revision := m.revision
@@ -202,8 +206,8 @@
 	}
 }
 
-// hush makes discovery silent for a time; watches end once they have noticed, and what changed meanwhile is told by
-// the next ones.
+// silenceDiscovery makes discovery silent for a duration. Watches end when their timeout detects the silence.
+// The next watch reports the changes made meanwhile.
 func (m *Model) silenceDiscovery(duration float64) {
 	m.discoveryOutages++
 	for _, d := range m.dispatchers {
@@ -218,7 +222,8 @@
 		if m.discoveryOutages--; m.discoveryOutages > 0 {
 			return
 		}
-		for _, d := range m.dispatchers { // a short silence: the watch goes on with the whole list, nothing is left out
+		// after a short silence the watch continues with the complete list, so that no change is missed
+		for _, d := range m.dispatchers {
 			if d.up && d.watching {
 				m.Watch(d.index, d.watchNumber, -1)
 			}
@@ -226,7 +231,7 @@
 	})
 }
 
-// Tell carries a message to siblings; to -1: all.
+// SendToPeers carries a message to another dispatcher, or to all others if to is -1.
 func (m *Model) SendToPeers(from, to int, data []byte) {
 	data = slices.Clone(data)
 	recipients := m.dispatchers
--- a/internal/fleetmodel/experiment.go
+++ b/internal/fleetmodel/experiment.go
@@ -1,9 +1,11 @@
-// Package world models what a dispatcher lives among: sites and the network between them, workers, discovery, clients
-// and what goes wrong. It is pure: no I/O, no clock but the one handed in, every draw from the seed. Two drivers play
-// it, one in virtual time with whole nodes, one in real time against the program on sockets; both carry messages
-// through a Port and hand in what dispatchers do. It must never know how a dispatcher decides.
+// Package fleetmodel models the environment of dispatchers: sites and the network between them, workers,
+// discovery, clients, and faults. It is pure: it does no I/O, reads no clock but the one passed in, and draws
+// every random number from the seed. Two drivers run it, one in virtual time with whole nodes, one in real
+// time against the program over sockets. Both carry messages through the Driver interface and report what
+// dispatchers do. The package must never depend on how a dispatcher decides.
 //
-// This file owns what an experiment may say. Times are milliseconds; work is milliseconds on a core of speed 1.
+// This file defines what an experiment's file may contain. Times are milliseconds; work is milliseconds on a
+// core of speed 1.
 package fleetmodel
 
 import (
@@ -13,13 +15,13 @@
 	"weldmast/internal/tomlfile"
 )
 
-// Span is a time in milliseconds.
-type Millis = tomlfile.Millis
+// Millis is a time in milliseconds.
+type Millis = tomlfile.Span
 
-// Experiment is one day to play: a deployment, its traffic and its troubles.
+// Experiment is one run to simulate: a deployment, its traffic and its faults.
 type Experiment struct {
 	About       string      `toml:"about"`
-	Length      Millis      `toml:"length" min:"100" max:"86400000"` // arrivals go on for so long
+	Length      Millis      `toml:"length" min:"100" max:"86400000"` // arrivals continue for this time
 	Warmup      Millis      `toml:"warmup" min:"0"`                  // work items sent before it are not counted
 	Dispatchers Dispatchers `toml:"dispatchers"`
 	Network     Network     `toml:"network"`
@@ -30,80 +32,82 @@
 	Arrivals    Arrivals    `toml:"arrivals"`
 	Clients     Clients     `toml:"clients"`
 	Faults      []Fault     `toml:"fault"`
-	Fleet       *Fleet      `toml:"fleet"` // nil: the dispatchers are of none
-	Chaos       *Chaos      `toml:"storm"` // faults to draw; nil: none
+	Fleet       *Fleet      `toml:"fleet"` // nil: the dispatchers belong to no fleet
+	Chaos       *Chaos      `toml:"storm"` // random faults to add; nil: none
 }
 
-// Fleet says how the dispatchers are one.
+// Fleet says how the dispatchers form a fleet.
 type Fleet struct {
-	Voters            int     `toml:"voters" min:"1" max:"5"` // the first of them
+	Voters            int     `toml:"voters" min:"1" max:"5"` // number of voters; the first dispatchers are voters
 	WhenIsolated      string  `toml:"alone" oneof:"serve stop"`
 	HeartbeatInterval Millis  `toml:"beat" min:"20"`
 	LeaseDuration     Millis  `toml:"lease" min:"100"`
 	MaxClockDrift     float64 `toml:"drift" min:"0" max:"0.2"`
-	RecoveryTime      Millis  `toml:"heal" min:"100"` // after the last fault all must be current within this time
+	// after the last fault, all members must be current within this time
+	RecoveryTime Millis `toml:"heal" min:"100"`
 }
 
-// Defaults of a fleet.
+// Defaults sets the default values of a fleet.
 func (f *Fleet) Defaults() {
 	f.Voters, f.WhenIsolated, f.HeartbeatInterval, f.LeaseDuration, f.MaxClockDrift, f.RecoveryTime = 3, "stop", 250, 1000, 0.01, 5000
 }
 
-// Storm says what is drawn for a day.
+// Chaos says which random faults a run gets.
 type Chaos struct {
-	Count       int      `toml:"faults" min:"1" max:"1000"` // so many at most, at least half of that
+	Count       int      `toml:"faults" min:"1" max:"1000"` // at most this many faults, and at least half of them
 	From        Millis   `toml:"from" min:"0"`
-	Until       Millis   `toml:"until" min:"0"` // the last has ended by then
-	MaxTime     Millis   `toml:"span" min:"1"`  // of one, at most
-	MaxHit      int      `toml:"most" min:"1"`  // dispatchers that one hits
-	Dispatchers []int    `toml:"only"`          // dispatchers that may be hit, by number; none: all
-	Types       []string `toml:"what"`          // a kind that is named twice is drawn twice as often
+	Until       Millis   `toml:"until" min:"0"` // all faults have ended by then
+	MaxTime     Millis   `toml:"span" min:"1"`  // longest duration of a fault
+	MaxHit      int      `toml:"most" min:"1"`  // largest number of dispatchers that one fault hits
+	Dispatchers []int    `toml:"only"`          // indices of the dispatchers that may be hit; empty: all
+	Types       []string `toml:"what"`          // a type listed twice is drawn twice as often
 }
 
-// Defaults of a storm.
+// Defaults sets the default values of random faults.
 func (s *Chaos) Defaults() { s.Count, s.From, s.Until, s.MaxTime, s.MaxHit = 12, 1000, 10000, 2000, 3 }
 
-// Dispatchers says how many there are and what they are allowed.
+// Dispatchers says how many dispatchers there are and what they may do.
 type Dispatchers struct {
 	Count              int     `toml:"count" min:"1" max:"4096"`
-	RoundInterval      Millis  `toml:"grain" min:"0.1" max:"1000"` // least time between rounds
-	PeerMessages       bool    `toml:"tell"`                       // messages between siblings
+	RoundInterval      Millis  `toml:"grain" min:"0.1" max:"1000"` // shortest time between rounds
+	PeerMessages       bool    `toml:"tell"`                       // dispatchers send messages to their peers
 	SecondCopies       bool    `toml:"second_copies"`
 	MayCancel          bool    `toml:"cancel"`
-	HonorRetryAfter    bool    `toml:"pauses"` // clients heed a pause
+	HonorRetryAfter    bool    `toml:"pauses"` // clients wait as long as Retry-After advises
 	MaxRetryAfter      Millis  `toml:"max_pause" min:"0"`
 	MaxHandOffs        int     `toml:"max_hand_offs" min:"1" max:"64"`
 	MaxOpen            int     `toml:"max_open" min:"1"`
 	AnswerSlack        Millis  `toml:"answer_slack" min:"1"`
-	DiscoveryOnRequest bool    `toml:"ask"` // discovery tells only when asked
+	DiscoveryOnRequest bool    `toml:"ask"` // discovery answers requests instead of pushing updates
 	DiscoveryAskWithin Millis  `toml:"ask_within" min:"1"`
 	ExcessCredit       float64 `toml:"excess_credit" min:"0" max:"1"`
 	RestartDelay       Millis  `toml:"restart" min:"1"` // from the end of a process to its next start
-	StopTimeout        Millis  `toml:"kill" min:"0"`    // from the order to stop to the kill
+	StopTimeout        Millis  `toml:"kill" min:"0"`    // from the request to stop until the process is killed
 }
 
-// Network says how long messages take, one way, and how long a connection may be idle.
+// Network says how long messages take one way, and how long a connection may be idle.
 type Network struct {
 	SameSite       Millis `toml:"near" min:"0"`   // within a site
 	CrossSite      Millis `toml:"far" min:"0"`    // between sites
-	Jitter         Millis `toml:"jitter" min:"0"` // mean of an exponential part on top
+	Jitter         Millis `toml:"jitter" min:"0"` // mean of an exponential delay on top
 	ConnectTimeout Millis `toml:"connect" min:"1"`
 	IdleTimeout    Millis `toml:"conn_idle" min:"1"`
-	DiscoveryDelay Millis `toml:"list" min:"0"`   // from a change of the fleet to its being told
-	DetectionDelay Millis `toml:"notice" min:"0"` // until discovery and the clients' front see a death
+	DiscoveryDelay Millis `toml:"list" min:"0"`   // from a change of the workers until discovery reports it
+	DetectionDelay Millis `toml:"notice" min:"0"` // until discovery and the clients' load balancer detect a death
 }
 
 // Workers says what all workers have in common.
 type Workers struct {
-	Sites             int     `toml:"sites" min:"1" max:"26"`
-	StartCapacity     float64 `toml:"start_share" min:"0.01" max:"1"` // of its capacity, as it comes up
-	WarmUpTime        Millis  `toml:"cold" min:"1"`                   // it is warm after so long; growth is linear
-	OverloadWindow    Millis  `toml:"fall" min:"1"`
-	OverloadMultiple  float64 `toml:"fall_multiple" min:"1"`
-	DrainGrace        Millis  `toml:"drain_grace" min:"0"`
-	OnlyDrainingBinds bool    `toml:"only_draining_binds"` // one that is called gone, or left out, may still be sent to
-	ReportStart       bool    `toml:"tell_start"`
-	ProgressInterval  Millis  `toml:"progress" min:"0"` // between progress notices; 0: none
+	Sites            int     `toml:"sites" min:"1" max:"26"`
+	StartCapacity    float64 `toml:"start_share" min:"0.01" max:"1"` // share of its capacity when it starts
+	WarmUpTime       Millis  `toml:"cold" min:"1"`                   // a worker has its full capacity after this time; it grows linearly
+	OverloadWindow   Millis  `toml:"fall" min:"1"`
+	OverloadMultiple float64 `toml:"fall_multiple" min:"1"`
+	DrainGrace       Millis  `toml:"drain_grace" min:"0"`
+	// dispatchers may still send to a worker that is listed as gone, or missing from the list
+	OnlyDrainingBinds bool   `toml:"only_draining_binds"`
+	ReportStart       bool   `toml:"tell_start"`
+	ProgressInterval  Millis `toml:"progress" min:"0"` // between progress reports; 0: none
 }
 
 // Kind is one kind of worker.
@@ -111,9 +115,9 @@
 	Name       string  `toml:"name" need:"true"`
 	Count      int     `toml:"count" min:"0" max:"10000"`
 	Speed      float64 `toml:"speed" min:"0.001" max:"1000"`
-	Cores      int     `toml:"cores" min:"1" max:"1024"` // jobs beyond it share them
+	Cores      int     `toml:"cores" min:"1" max:"1024"` // further running jobs share the cores
 	Slots      int     `toml:"slots" min:"1" max:"100000"`
-	QueueLimit int     `toml:"queue" min:"0"` // waiting beyond the slots; then it turns away
+	QueueLimit int     `toml:"queue" min:"0"` // jobs that wait beyond the slots; the worker rejects further ones
 }
 
 // Category is one category of work items.
@@ -124,39 +128,41 @@
 	DedupWindow   Millis  `toml:"window" min:"0"`
 	DedupScope    string  `toml:"group" oneof:"all zone cell"`
 	DueTime       Millis  `toml:"due" min:"1"`
-	DueStretch    float64 `toml:"stretch" min:"0"` // the due time grows by so much of the hint
+	DueStretch    float64 `toml:"stretch" min:"0"` // the due time grows by this multiple of the hint
 	Expiry        Millis  `toml:"expiry" min:"0"`
 	Credit        float64 `toml:"credit" min:"0"`
-	MeanCost      Millis  `toml:"cost" min:"0.001"` // mean
+	MeanCost      Millis  `toml:"cost" min:"0.001"`
 	Distribution  string  `toml:"law" oneof:"fixed exponential pareto lognormal"`
 	Shape         float64 `toml:"shape" min:"0.1" max:"10"` // alpha of pareto, sigma of lognormal
-	MaxCostFactor float64 `toml:"most" min:"1"`             // a cost is at most so many means
-	HintSigma     float64 `toml:"hint_off" min:"0" max:"5"` // sigma of the hint's error, lognormal; 0: hints are exact
+	MaxCostFactor float64 `toml:"most" min:"1"`             // limits a cost to this multiple of the mean
+	HintSigma     float64 `toml:"hint_off" min:"0" max:"5"` // sigma of the lognormal error of hints; 0: hints are exact
 	NoHintShare   float64 `toml:"no_hint" min:"0" max:"1"`  // share of requests without a hint
 }
 
-// Tenant is one who sends work.
+// Tenant is a party that sends work.
 type Tenant struct {
 	Name      string  `toml:"name" need:"true"`
 	Share     float64 `toml:"share" min:"0"`
-	Allowance float64 `toml:"allowance" min:"0"` // work items a second, all dispatchers together
+	Allowance float64 `toml:"allowance" min:"0"` // work items per second, over all dispatchers
 }
 
-// Arrivals are open-loop: nobody waits for an answer before the next.
+// Arrivals says how work arrives. Arrivals are open-loop: no client waits for an answer before it sends the
+// next.
 type Arrivals struct {
-	Rate    float64 `toml:"rate" min:"0"` // work items a second, all together
-	Load    float64 `toml:"load" min:"0"` // in place of rate: part of the warm fleet's capacity
+	Rate    float64 `toml:"rate" min:"0"` // work items per second, over all clients
+	Load    float64 `toml:"load" min:"0"` // instead of rate: share of the capacity of all warm workers
 	Spacing string  `toml:"gaps" oneof:"poisson even"`
 }
 
-// Clients says what clients do about answers.
+// Clients says how clients react to answers.
 type Clients struct {
-	MaxRetries int     `toml:"retries" min:"0" max:"16"` // further requests after a deferral, or a failure of what is not exclusive
-	Backoff    Millis  `toml:"backoff" min:"0"`          // before one without a pause; drawn around it
-	LeaveShare float64 `toml:"leave" min:"0" max:"1"`    // share that goes away before its deadline
+	// further requests after a deferral, or after a failure of work that is not exclusive
+	MaxRetries int     `toml:"retries" min:"0" max:"16"`
+	Backoff    Millis  `toml:"backoff" min:"0"`       // mean delay of a retry without advice; it is randomized
+	LeaveShare float64 `toml:"leave" min:"0" max:"1"` // share of clients that leave before their deadline
 }
 
-// Fault is one trouble in the timeline. What is hit is drawn from those that site, kind and name allow.
+// Fault is one fault of the timeline. Its targets are drawn from those that site, kind and name allow.
 type Fault struct {
 	At          Millis  `toml:"at" min:"0" need:"true"`
 	Duration    Millis  `toml:"for" min:"0"`
@@ -164,29 +170,30 @@
 	Site        string  `toml:"site"`
 	WorkerKind  string  `toml:"kind"`
 	Tenant      string  `toml:"tenant"`
-	Count       int     `toml:"count" min:"0"` // how many are hit; 0: by share
+	Count       int     `toml:"count" min:"0"` // number of targets; 0: use the share
 	Share       float64 `toml:"share" min:"0" max:"1"`
-	Amount      float64 `toml:"amount"` // what it means stands with each kind of fault in docs/lab.md
+	Amount      float64 `toml:"amount"` // docs/lab.md gives its meaning for each type of fault
 	Path        string  `toml:"of" oneof:"workers clients siblings discovery"`
-	Dispatchers []int   `toml:"hits"` // dispatchers by number, in place of drawn ones
+	Dispatchers []int   `toml:"hits"` // indices of the dispatchers to hit, instead of random ones
 }
 
-// Defaults of a kind.
+// Defaults sets the default values of a kind.
 func (k *Kind) Defaults() { k.Count, k.Speed, k.Cores, k.Slots, k.QueueLimit = 1, 1, 1, 1, 8 }
 
-// Defaults of a category.
+// Defaults sets the default values of a category.
 func (c *Category) Defaults() {
 	c.Share, c.RepeatPolicy, c.DedupScope, c.DueTime, c.Expiry, c.Credit = 1, "rerunnable", "all", 1000, 5000, 1
 	c.MeanCost, c.Distribution, c.Shape, c.MaxCostFactor = 20, "exponential", 1.5, 1000
 }
 
-// Defaults of a tenant.
+// Defaults sets the default values of a tenant.
 func (t *Tenant) Defaults() { t.Share = 1 }
 
-// Defaults of a fault.
+// Defaults sets the default values of a fault.
 func (f *Fault) Defaults() { f.Share, f.Path = 1, "workers" }
 
-// Read makes an experiment of a file's text. An error lists every fault with its line and key.
+// ParseExperiment parses the text of an experiment's file. The error lists every problem with its line and
+// key.
 func ParseExperiment(file string, text []byte) (*Experiment, error) {
 	x := &Experiment{Length: 20000,
 		Dispatchers: Dispatchers{Count: 1, RoundInterval: 5, PeerMessages: true, SecondCopies: true, MayCancel: true, HonorRetryAfter: true, MaxRetryAfter: 2000,
@@ -203,7 +210,7 @@
 	return x, d.Err()
 }
 
-// check finds what single values do not show.
+// validate reports problems that no single value shows.
 func (x *Experiment) validate(addFault func(key, format string, a ...any)) {
 	if len(x.Kinds) == 0 {
 		addFault("kind", "at least one is needed")
@@ -212,24 +219,24 @@
 		addFault("category", "at least one is needed")
 	}
 	if x.Warmup >= x.Length {
-		addFault("warmup", "leaves nothing of the length")
+		addFault("warmup", "must be shorter than length")
 	}
 	if x.Arrivals.Rate > 0 && x.Arrivals.Load > 0 {
-		addFault("arrivals.load", "rate is said as well; one of them decides")
+		addFault("arrivals.load", "cannot be combined with arrivals.rate")
 	}
 	if x.Arrivals.Rate == 0 && x.Arrivals.Load == 0 {
-		addFault("arrivals", "a rate or a load is needed")
+		addFault("arrivals", "needs a rate or a load")
 	}
 	if f := x.Fleet; f != nil {
 		if f.Voters > x.Dispatchers.Count {
-			addFault("fleet.voters", "%d of %d dispatchers", f.Voters, x.Dispatchers.Count)
+			addFault("fleet.voters", "%d voters, but only %d dispatchers", f.Voters, x.Dispatchers.Count)
 		}
 		if f.Voters == 2 || f.Voters == 4 {
-			addFault("fleet.voters", "there have to be 1, 3 or 5")
+			addFault("fleet.voters", "must be 1, 3 or 5")
 		}
 	}
 	if s := x.Chaos; s != nil && (len(s.Types) == 0 || s.From >= s.Until || s.Until > x.Length) {
-		addFault("storm", "needs kinds of faults (what), and from before until within the day")
+		addFault("storm", "needs types of faults (what), from before until, and until within length")
 	}
 	names := map[string]bool{}
 	unique := func(key, name string) {
@@ -237,7 +244,7 @@
 			addFault(key, "%q cannot be used as a name", name)
 		}
 		if names[key[:4]+name] {
-			addFault(key, "%q is taken", name)
+			addFault(key, "%q is already in use", name)
 		}
 		names[key[:4]+name] = true
 	}
@@ -246,11 +253,11 @@
 		unique(fmt.Sprintf("category.%d.name", k), c.Name)
 		shares += c.Share
 		if c.Distribution == "pareto" && c.Shape <= 1 {
-			addFault(fmt.Sprintf("category.%d.shape", k), "a pareto law with a shape of %v has no mean", c.Shape)
+			addFault(fmt.Sprintf("category.%d.shape", k), "a pareto distribution with shape %v has no mean", c.Shape)
 		}
 	}
 	if shares <= 0 && len(x.Categories) > 0 {
-		addFault("category", "the shares add up to nothing")
+		addFault("category", "the shares add up to 0")
 	}
 	for k, c := range x.Kinds {
 		unique(fmt.Sprintf("kind.%d.name", k), c.Name)
@@ -261,13 +268,13 @@
 	for k, f := range x.Faults {
 		at := fmt.Sprintf("fault.%d.", k)
 		if f.Site != "" && (len(f.Site) != 1 || int(f.Site[0]-'a') >= x.Workers.Sites) {
-			addFault(at+"site", "%q is no site; there are a to %c", f.Site, 'a'+x.Workers.Sites-1)
+			addFault(at+"site", "unknown site %q; the sites are a to %c", f.Site, 'a'+x.Workers.Sites-1)
 		}
 		if f.WorkerKind != "" && !names["kind"+f.WorkerKind] {
-			addFault(at+"kind", "%q is no kind", f.WorkerKind)
+			addFault(at+"kind", "unknown kind %q", f.WorkerKind)
 		}
 		if f.Tenant != "" && !names["tena"+f.Tenant] {
-			addFault(at+"tenant", "%q is no tenant", f.Tenant)
+			addFault(at+"tenant", "unknown tenant %q", f.Tenant)
 		}
 		if f.Amount < 0 && f.Type != "clock_jump" {
 			addFault(at+"amount", "%v is below 0", f.Amount)
@@ -275,7 +282,7 @@
 	}
 }
 
-// Capacity is the work that the warm fleet does in a millisecond.
+// Capacity returns the work that all warm workers do per millisecond.
 func (x *Experiment) Capacity() (sum float64) {
 	for _, k := range x.Kinds {
 		sum += float64(k.Count) * k.capacity()
@@ -285,7 +292,7 @@
 
 func (k *Kind) capacity() float64 { return k.Speed * float64(min(k.Cores, k.Slots)) }
 
-// MeanCost is that of a work item of any category.
+// MeanCost returns the mean cost of a work item over all categories.
 func (x *Experiment) MeanCost() float64 {
 	cost, shares := 0., 0.
 	for _, c := range x.Categories {
@@ -295,7 +302,7 @@
 	return cost / shares
 }
 
-// PerSecond is the rate of work items.
+// ArrivalRate returns the number of work items per second.
 func (x *Experiment) ArrivalRate() float64 {
 	if x.Arrivals.Rate > 0 {
 		return x.Arrivals.Rate
@@ -303,5 +310,5 @@
 	return x.Arrivals.Load * x.Capacity() * 1000 / x.MeanCost()
 }
 
-// SiteName is a letter.
+// SiteName returns the name of a site, which is a letter.
 func SiteName(site int) string { return string(rune('a' + site)) }
--- a/internal/fleetmodel/faults.go
+++ b/internal/fleetmodel/faults.go
@@ -1,4 +1,4 @@
-// This file owns the timeline of troubles and the record of how busy workers are.
+// This file applies the faults of the timeline and records how busy the workers are.
 
 package fleetmodel
 
@@ -13,7 +13,8 @@
 	m.Annotations = append(m.Annotations, Annotation{m.now, fmt.Sprintf(format, a...)})
 }
 
-// hit draws the workers that a fault hits: of those up of its site and kind, a count or a share, at least one.
+// pickWorkers draws the workers that a fault hits, by count or by share (rounded up), from those of its site
+// and kind that are up and not draining.
 func (m *Model) pickWorkers(f *Fault) []*worker {
 	var candidates []*worker
 	for _, w := range m.workers {
@@ -29,7 +30,8 @@
 	return candidates[:min(count, len(candidates))]
 }
 
-// among draws dispatchers: a count, or a share if none is given.
+// pickDispatchers draws the dispatchers that a fault hits, by count, or by share if it has no count. A fault
+// that lists dispatchers hits exactly these.
 func (m *Model) pickDispatchers(f *Fault) []*dispatcher {
 	if len(f.Dispatchers) > 0 {
 		var selected []*dispatcher
@@ -51,10 +53,10 @@
 	return selected
 }
 
-// Strike lets a fault begin now, whatever its time.
+// InjectFault begins a fault now, whatever start time it has.
 func (m *Model) InjectFault(f Fault) { m.applyFault(&f) }
 
-// View is a worker as it is now.
+// WorkerView is the present state of a worker.
 type WorkerView struct {
 	ID       string
 	Kind     int
@@ -66,7 +68,7 @@
 	Finished int
 }
 
-// Look shows all workers but those that were replaced.
+// WorkerViews returns the state of all workers except those that were replaced.
 func (m *Model) WorkerViews() (all []WorkerView) {
 	for _, w := range m.workers {
 		v := WorkerView{ID: w.id, Kind: w.kind, Site: w.site, State: "up", Running: len(w.running), Queued: len(w.queue), Finished: w.finished}
@@ -88,7 +90,7 @@
 	return all
 }
 
-// strike lets a fault begin; what lasts ends after its time, 0: never.
+// applyFault begins a fault. A fault that lasts ends after its duration; with a duration of 0 it never ends.
 func (m *Model) applyFault(f *Fault) {
 	duration := float64(f.Duration)
 	afterDuration := func(undo func()) {
@@ -168,7 +170,7 @@
 	case "discovery_late":
 		m.discoveryExtraDelay = amountOr(2000)
 		afterDuration(func() { m.discoveryExtraDelay = 0 })
-	case "list_wrong": // it calls workers gone that run and serve
+	case "list_wrong": // discovery lists running workers as gone
 		affected := m.pickWorkers(f)
 		setFalselyGone := func(on bool) {
 			for _, w := range affected {
@@ -208,7 +210,8 @@
 	case "dispatcher_upgrade":
 		for k, d := range m.pickDispatchers(f) {
 			m.After(duration*float64(k), func() {
-				if d.up && !d.paused { // beside one that hangs a newer process shares its address: another trouble
+				// a new process beside a hung one would share its address, which is another fault
+				if d.up && !d.paused {
 					m.driver.UpgradeDispatcher(d.index)
 				}
 			})
@@ -225,7 +228,8 @@
 		}
 		m.driver.SetFleetFault(f, affected, true)
 		afterDuration(func() { m.driver.SetFleetFault(f, affected, false) })
-		if f.Type == "folder_empty" || f.Type == "folder_older" || f.Type == "folder_flipped" { // found so at the next start
+		// the next start finds the folder in this state
+		if f.Type == "folder_empty" || f.Type == "folder_older" || f.Type == "folder_flipped" {
 			for _, d := range affected {
 				m.killDispatcher(m.dispatchers[d], true)
 			}
@@ -234,7 +238,7 @@
 		for _, d := range m.pickDispatchers(f) {
 			m.driver.FloodConnections(d.index, amountOr(200), max(duration, 1000))
 		}
-	case "clock_jump": // workers' machines: what they say of their start is off by so much
+	case "clock_jump": // the start times that workers report are off by this much
 		affected := m.pickWorkers(f)
 		for _, w := range affected {
 			w.clockOffset += f.Amount
@@ -256,7 +260,7 @@
 	}
 }
 
-// heal ends a cut: what was written into it arrives now.
+// endCut ends a cut. What was written to cut connections arrives now.
 func (m *Model) endCut(f *Fault) {
 	for k, c := range m.activeCuts {
 		if c == f {
@@ -292,7 +296,7 @@
 	}
 }
 
-// sample notes each second how busy each kind was.
+// sampleLoad records every second how busy each kind of worker was.
 func (m *Model) sampleLoad(start float64) {
 	before := make([]float64, len(m.Experiment.Kinds))
 	var next func()
--- a/internal/fleetmodel/misbehaving_dispatcher_test.go
+++ b/internal/fleetmodel/misbehaving_dispatcher_test.go
@@ -9,8 +9,8 @@
 	"weldmast/internal/invariants"
 )
 
-// crook is a dispatcher made to be wrong in one way. It sends each request to the next worker in turn, and answers when
-// one is done.
+// misbehaving is a dispatcher with one fault. It sends requests to workers in turn, and answers a request
+// when its job is done.
 type misbehaving struct {
 	model    *Model
 	fault    string
@@ -86,7 +86,7 @@
 	}
 }
 
-// lost is a hand-off that may have run.
+// handOffLost handles a hand-off that may have run.
 func (c *misbehaving) handOffLost(d int, id string) {
 	t := c.requests[id]
 	switch {
@@ -173,14 +173,14 @@
 gaps = "even"
 `
 
-// TestConvicts: each way of being wrong is convicted by its rule, names a work item and comes when it is done; the
-// same dispatcher without the fault is clean.
+// TestDetectsEachFault checks that each fault of a dispatcher is reported under its rule, with a work item
+// and not before it happens, and that the same dispatcher without a fault gets no violation.
 func TestDetectsEachFault(t *testing.T) {
 	for _, c := range []struct {
 		way, repeat, fault string
 		copies             bool
 		rule               invariants.Rule
-		after              float64 // no conviction before it: on the clock of the world, clients come at 1000
+		after              float64 // no violation before this time of the model's clock; clients arrive from 1000 on
 	}{
 		{"none", "exclusive", "", false, "", 0},
 		{"none", "exclusive", "kill", false, "", 0},
@@ -210,7 +210,7 @@
 			if c.fault != "" {
 				text += fmt.Sprintf("[[fault]]\nat = \"1s\"\nfor = \"1s\"\nwhat = %q\ncount = 4\n", c.fault)
 			}
-			x, err := ParseExperiment("crook", []byte(text))
+			x, err := ParseExperiment("misbehaving", []byte(text))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -225,16 +225,16 @@
 			w.Checker.Finish(w.Now())
 			if c.rule == "" {
 				if !w.Checker.Clean() || w.Checker.Answers < 700 {
-					t.Errorf("%d answers, convicted: %v", w.Checker.Answers, w.Checker.Violations[:min(3, len(w.Checker.Violations))])
+					t.Errorf("%d answers, want at least 700; violations: %v", w.Checker.Answers, w.Checker.Violations[:min(3, len(w.Checker.Violations))])
 				}
 				return
 			}
 			if w.Checker.Clean() {
-				t.Fatal("not convicted")
+				t.Fatal("no violation reported")
 			}
 			v := w.Checker.Violations[0]
 			if v.Rule != c.rule || v.At < c.after || v.ID == "" {
-				t.Errorf("convicted of %v", v)
+				t.Errorf("first violation: %v", v)
 			}
 		})
 	}
--- a/internal/fleetmodel/model.go
+++ b/internal/fleetmodel/model.go
@@ -1,4 +1,5 @@
-// This file owns time, chance and the network of the model, and the interface with what carries its messages.
+// This file has the model's clock, event queue, random streams and network, and the interface of the drivers
+// that carry its messages.
 
 package fleetmodel
 
@@ -12,71 +13,78 @@
 	"weldmast/internal/invariants"
 )
 
-// Port carries what the model does to dispatchers, by nodes in the same process or by sockets.
+// Driver carries what happens in the model to dispatchers: to nodes in the same process, or over sockets. The
+// parameter d is a dispatcher's index.
 type Driver interface {
-	// Request: the whole of a client's request has reached the dispatcher.
+	// RequestArrived reports that all bytes of a client's request have reached the dispatcher.
 	RequestArrived(d int, t *Request)
-	// Leave: a client that was not answered has closed its connection.
+	// ClientLeft reports that a client closed its connection before it got an answer.
 	ClientLeft(d int, t *Request)
-	// Ended is what the connection of a hand-off shows; of Accepted too.
+	// HandOffEnded reports what the dispatcher observes on the connection of a hand-off, Accepted included.
 	HandOffEnded(d int, h *HandOff, how HandOffResult)
-	// Callback is what a worker tells. False: nobody took it.
+	// Callback delivers a worker's callback. It returns false when no process received it.
 	Callback(d int, c Callback) bool
-	// List is what discovery tells on a watch.
+	// DiscoveryUpdated delivers an update on the dispatcher's discovery watch.
 	DiscoveryUpdated(d int, l DiscoveryUpdate)
-	// Broken is the end of a watch.
+	// WatchEnded reports that a discovery watch has ended.
 	WatchEnded(d int, watch int)
-	// Message is a sibling's.
+	// PeerMessage delivers a message of another dispatcher.
 	PeerMessage(d, from int, data []byte)
-	// Start brings a dispatcher up, with the list as it last had it. Ready tells the World when it takes work.
+	// StartDispatcher starts a dispatcher's process with the worker list that its predecessor last knew. The
+	// driver calls Model.DispatcherReady once it takes work.
 	StartDispatcher(d int, known []WorkerEntry)
-	// Up and Down are a worker's process as it comes and goes; one that is silent is neither.
+	// WorkerStarted and WorkerStopped report that a worker's process has come up or ended. A worker that
+	// becomes unreachable is reported by neither.
 	WorkerStarted(worker string)
 	WorkerStopped(worker string)
-	// Kill ends it without warning, Stop asks it to end, Reload makes it read its configuration again.
+	// KillDispatcher ends a dispatcher's process without warning, StopDispatcher asks it to stop, and
+	// ReloadDispatcher makes it read its configuration again.
 	KillDispatcher(d int)
 	StopDispatcher(d int)
 	ReloadDispatcher(d int)
-	// Upgrade has a newer process take its place. Flood opens connections that never say a whole request, so many a second.
+	// UpgradeDispatcher starts a new process that takes over from the dispatcher's present one.
+	// FloodConnections opens rate connections per second for span milliseconds, none of which ever sends a
+	// complete request.
 	UpgradeDispatcher(d int)
 	FloodConnections(d int, rate, span float64)
-	// Freeze has its process stand still, or go on.
+	// SetPaused suspends the dispatcher's process, or resumes it.
 	SetPaused(d int, on bool)
-	// Trouble is one of the fleet's links, folders or operators, of those hit; it ends when it is called once more, off.
+	// SetFleetFault begins a fault of the fleet's links, folders or operators for the dispatchers hit, and
+	// ends it when called again with on false.
 	SetFleetFault(f *Fault, hit []int, on bool)
 }
 
-// End is how a hand-off's connection ends.
+// HandOffResult is how a hand-off's connection ends.
 type HandOffResult int
 
-// The ends.
+// The results of a hand-off.
 const (
-	Accepted        HandOffResult = iota // 202: callbacks will tell
-	Rejected                             // 503, not run
-	ConnectFailed                        // the connection never came up
-	ConnectionReset                      // it broke after the last byte
+	Accepted        HandOffResult = iota // 202: callbacks follow
+	Rejected                             // 503: not run
+	ConnectFailed                        // the connection was never established
+	ConnectionReset                      // the connection broke after the last byte of the request
 	Failed                               // 500
-	Cancelled                            // given up by the dispatcher, and told to the worker as far as can be
+	Cancelled                            // cancelled by the dispatcher, which notifies the worker if it can
 )
 
-// Callback is what a worker tells of a job.
+// Callback is a worker's report about a job.
 type Callback struct {
 	ID, From, State string
 	Progress        float64
 	Result          string
 }
 
-// Member is a worker as discovery lists it.
+// WorkerEntry is a worker as discovery lists it.
 type WorkerEntry struct {
 	ID            string
 	Site          int
 	Kind          int
 	State         dispatch.State
-	StartTime     float64 // on the model's clock; below 0: long ago
-	reportedStart float64 // the same where it is true, else below 0
+	StartTime     float64 // on the model's clock; negative: long ago
+	reportedStart float64 // StartTime if it is right, negative if it is not
 }
 
-// Listing is what discovery tells at once.
+// DiscoveryUpdate is one message of discovery.
 type DiscoveryUpdate struct {
 	Watch    int
 	Revision int64
@@ -84,7 +92,8 @@
 	Workers  []WorkerEntry
 }
 
-// event is something that happens at a time; those of one time happen in the order in which they were planned.
+// event is an action at a point in time. Events of the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at     float64
 	order  uint64
@@ -107,12 +116,12 @@
 	return x
 }
 
-// World is one experiment being played. Its methods must be called by one goroutine at a time.
+// Model simulates one experiment. Only one goroutine at a time may call its methods.
 type Model struct {
 	Experiment                   *Experiment
 	Checker                      *invariants.Checker
 	Jobs                         []*Job       // in order of arrival
-	Annotations                  []Annotation // faults as they came
+	Annotations                  []Annotation // faults in the order in which they began
 	LoadSamples                  []LoadSample
 	driver                       Driver
 	now                          float64
@@ -128,50 +137,50 @@
 	requests                     map[string]*Request
 	revision                     int64
 	openJobs                     int
-	arrivalsEnded                bool // no more arrivals
+	arrivalsEnded                bool // no further arrivals
 	requestCount                 uint64
 	activeCuts                   []*Fault
-	tenantRateFactors            []float64 // factor of each tenant's rate
-	tailCostFactor               float64   // factor of the heaviest costs
-	discoveryOutages             int       // faults that hold discovery
+	tenantRateFactors            []float64 // by tenant: factor on its arrival rate
+	tailCostFactor               float64   // factor on the cost of jobs with inTail
+	discoveryOutages             int       // number of faults that keep discovery silent
 	discoveryExtraDelay          float64
-	peerLossRate, peerExtraDelay float64 // of siblings' messages
-	callbackRepeatRate           float64 // share of callbacks told twice
+	peerLossRate, peerExtraDelay float64 // of messages between dispatchers
+	callbackRepeatRate           float64 // share of callbacks that are sent twice
 	callbackMaxExtraDelay        float64
 	costSamplers                 []func(*rand.Rand) float64
 	idBase                       uint64
 }
 
-// Mark is a moment in the timeline that a reader should see.
+// Annotation is a moment of the timeline worth showing to a reader.
 type Annotation struct {
 	At   float64 `json:"at"`
 	Text string  `json:"what"`
 }
 
-// Second is what was done in one second of the day.
+// LoadSample is the workers' load during one second of the run.
 type LoadSample struct {
-	BusyCores []float64 // of each kind: mean of the cores at work
+	BusyCores []float64 // by kind: mean number of busy cores
 }
 
-// dispatcher is one as the model sees it from outside.
+// dispatcher is a dispatcher as seen from outside.
 type dispatcher struct {
 	index        int
 	site         int
-	up           bool // its process lives
+	up           bool // its process runs
 	ready        bool
-	inRotation   bool // the clients' front deals out connections to it
-	incarnation  int  // number of its process
+	inRotation   bool // the clients' load balancer sends it new connections
+	incarnation  int  // number of its present process
 	watchNumber  int
 	watching     bool
 	knownWorkers map[string]WorkerEntry
-	openRequests map[string]*Request // of clients that wait, and
-	arrivalOrder []string            // their ids by arrival
-	lastSentAt   []float64           // with each worker, last
-	paused       bool                // its process stands still
-	resumedAt    float64             // when it last went on
+	openRequests map[string]*Request // requests of clients that wait for an answer
+	arrivalOrder []string            // IDs of requests by arrival
+	lastSentAt   []float64           // by worker: time of the last hand-off sent to it
+	paused       bool                // its process is suspended
+	resumedAt    float64             // when it was last resumed
 }
 
-// New makes a world at time 0. The driver calls Begin next.
+// New makes a model at time 0. The driver calls Begin next.
 func New(x *Experiment, seed uint64) *Model {
 	stream := func(name string) *rand.Rand {
 		h := fnv.New64a()
@@ -202,7 +211,7 @@
 	return m
 }
 
-// rules are what the audit judges by.
+// checkerConfig returns the limits that the checker of invariants applies.
 func (x *Experiment) checkerConfig() invariants.Config {
 	r := invariants.Config{SecondCopies: x.Dispatchers.SecondCopies, DrainGrace: float64(x.Workers.DrainGrace),
 		OnlyDrainingBinds: x.Workers.OnlyDrainingBinds,
@@ -225,7 +234,8 @@
 	return map[string]dispatch.Group{"all": dispatch.GroupAll, "zone": dispatch.GroupZone, "cell": dispatch.GroupCell}[c.DedupScope]
 }
 
-// Begin starts the dispatchers, plans the faults and the first arrival. Clients come from start on.
+// Begin starts the dispatchers and schedules the faults and the first arrival. Clients arrive from time start
+// on.
 func (m *Model) Begin(driver Driver, start float64) {
 	m.driver = driver
 	for _, d := range m.dispatchers {
@@ -244,19 +254,19 @@
 	m.sampleLoad(start)
 }
 
-// Now is the model's time.
+// Now returns the model's time.
 func (m *Model) Now() float64 { return m.now }
 
-// At plans something; what lies in the past happens next.
+// At schedules an action. An action in the past runs next.
 func (w *Model) At(at float64, action func()) {
 	w.seq++
 	heap.Push(&w.events, &event{max(at, w.now), w.seq, action})
 }
 
-// After plans something after a time.
+// After schedules an action after a delay.
 func (m *Model) After(delay float64, action func()) { m.At(m.now+delay, action) }
 
-// Next is when the next thing is planned; infinite: never.
+// Next returns the time of the next scheduled action, or infinity when there is none.
 func (w *Model) Next() float64 {
 	if len(w.events) == 0 {
 		return math.Inf(1)
@@ -264,14 +274,14 @@
 	return w.events[0].at
 }
 
-// Step does the next thing that is planned.
+// Step runs the next scheduled action.
 func (m *Model) Step() {
 	next := heap.Pop(&m.events).(*event)
 	m.now = next.at
 	next.action()
 }
 
-// Advance does all that is due by a time, and stands there then.
+// Advance runs everything that is due until the time to, and sets the clock to it.
 func (m *Model) Advance(to float64) {
 	for m.Next() <= to {
 		m.Step()
@@ -279,13 +289,13 @@
 	m.now = max(m.now, to)
 }
 
-// Silent tells whether discovery says nothing just now.
+// DiscoverySilent reports whether discovery sends nothing at present.
 func (m *Model) DiscoverySilent() bool { return m.discoveryOutages > 0 }
 
-// Over tells that no more work comes and every client has its end.
+// Done reports whether no more work arrives and every job has an outcome.
 func (m *Model) Done() bool { return m.arrivalsEnded && m.openJobs == 0 }
 
-// delay of one message between two sites.
+// networkDelay returns the one-way delay of a message between two sites.
 func (w *Model) networkDelay(a, b int) float64 {
 	t := float64(w.Experiment.Network.SameSite)
 	if a != b {
@@ -297,7 +307,7 @@
 	return t
 }
 
-// side is who speaks on a path that may be cut.
+// networkPath is a kind of counterpart whose connection to dispatchers can be cut.
 type networkPath int
 
 const (
@@ -307,7 +317,7 @@
 	discoveryPath
 )
 
-// cut tells whether nothing gets through now between dispatchers of one site and those of the other side there.
+// isCut reports whether no message passes at present between dispatcher d and the counterpart at a site.
 func (m *Model) isCut(s networkPath, d *dispatcher, site int) bool {
 	for _, f := range m.activeCuts {
 		of := map[string]networkPath{"workers": workerPath, "clients": clientPath, "siblings": peerPath,
--- a/internal/fleetmodel/settings.go
+++ b/internal/fleetmodel/settings.go
@@ -1,4 +1,5 @@
-// This file owns what the dispatchers of an experiment are told: the settings in the operators' names, for both drivers.
+// This file turns an experiment into the settings of its dispatchers, under the names that operators use.
+// Both drivers use it.
 
 package fleetmodel
 
@@ -10,12 +11,12 @@
 	"weldmast/internal/settings"
 )
 
-// us is a time as the settings have it.
+// micros converts a time to the microseconds that the settings use.
 func micros(s Millis) int64 { return int64(s * 1000) }
 
 type object = map[string]any
 
-// Settings is the `settings` of one dispatcher's configuration.
+// Settings returns the `settings` object of one dispatcher's configuration.
 func (x *Experiment) Settings(index int) map[string]any {
 	d, n, k := &x.Dispatchers, &x.Network, &x.Workers
 	var sites, kinds []string
@@ -61,7 +62,7 @@
 		"realms": tenants, "categories": categories}
 }
 
-// Dispatch is the same as the decisions take it.
+// DispatchSettings returns the same settings as the dispatch package takes them.
 func (x *Experiment) DispatchSettings(index int, seed uint64) (dispatch.Settings, error) {
 	text, err := json.Marshal(x.Settings(index))
 	if err != nil {
--- a/internal/fleetmodel/workers.go
+++ b/internal/fleetmodel/workers.go
@@ -1,5 +1,5 @@
-// This file owns workers: what they run, how fast, how they warm up, fall over and drain, and the way of a hand-off to
-// one and of its callbacks back.
+// This file models workers: what they run and how fast, how they warm up, fail under overload and drain. It
+// also models the way of a hand-off to a worker and of its callbacks back.
 
 package fleetmodel
 
@@ -11,7 +11,7 @@
 	"weldmast/internal/dispatch"
 )
 
-// worker is one process that runs jobs: slots at once, sharing its cores, the rest in a queue, first come first served.
+// worker is a process that runs jobs. Jobs in slots share its cores; further jobs wait in a FIFO queue.
 type worker struct {
 	index       int
 	id          string
@@ -20,49 +20,49 @@
 	site        int
 	state       dispatch.State // as discovery has it
 	listed      bool
-	falselyGone bool    // discovery calls it gone, which is not so
-	up          bool    // the process lives
-	unreachable bool    // nothing gets to it or from it
-	startTime   float64 // its start; below 0: long ago
-	clockOffset float64 // its machine's clock is off by so much
+	falselyGone bool    // discovery lists it as gone although it runs
+	up          bool    // its process runs
+	unreachable bool    // no message passes to or from it
+	startTime   float64 // negative: long ago
+	clockOffset float64 // error of its machine's clock
 	incarnation int
-	speedFactor float64 // factor on its speed
-	stolenShare float64 // part of its cores that a neighbour has
-	failureRate float64 // share of hand-offs that it fails at once
+	speedFactor float64
+	stolenShare float64 // share of its cores that another process on the machine uses
+	failureRate float64 // share of hand-offs that fail at once
 	running     []*execution
 	queue       []*execution
-	advancedTo  float64    // the running were worked on until then
-	planSeq     uint64     // number of the present plan for the next end
-	busyCoreMs  float64    // core milliseconds
-	recentWork  []sentWork // in the last fall window, while cold
+	advancedTo  float64    // time up to which the progress of running jobs is computed
+	planSeq     uint64     // number of the present schedule; older scheduled ends are ignored
+	busyCoreMs  float64    // core time used, in milliseconds
+	recentWork  []sentWork // within the overload window, while cold
 	undelivered []*HandOff
-	finished    int  // jobs that it finished
-	replaced    bool // replaced by another
+	finished    int  // number of jobs
+	replaced    bool // another worker took its place
 }
 
 type sentWork struct{ at, cost float64 }
 
-// run is a job at a worker.
+// execution is a job at a worker.
 type execution struct {
 	handOff   *HandOff
 	cost      float64
 	remaining float64
 }
 
-// HandOff is one on its way or out.
+// HandOff is a hand-off that was sent.
 type HandOff struct {
 	ID                    string
 	Dispatcher            int
-	Number                int // number among those of its request
+	Number                int // number within its request, from 0
 	Worker                string
-	Tag                   any // the driver's
+	Tag                   any // for the driver's use
 	request               *Request
 	worker                *worker
-	dispatcherIncarnation int // of the dispatcher
-	workerIncarnation     int // of the worker, as it arrived
+	dispatcherIncarnation int // of the dispatcher at sending
+	workerIncarnation     int // of the worker on arrival
 	arrival               float64
-	cancelled             bool // given up by the dispatcher
-	closed                bool // the dispatcher has seen its connection's end
+	cancelled             bool // by the dispatcher
+	closed                bool // the dispatcher has observed the end of its connection
 }
 
 func (m *Model) addWorker(kind, site int, startTime float64) *worker {
@@ -77,7 +77,7 @@
 	return w
 }
 
-// Workers names all workers so far, with their kinds and sites, in order of their numbers.
+// Workers lists all workers that ever existed, with their kinds and sites, in the order of their creation.
 func (m *Model) Workers() (all []WorkerEntry) {
 	for _, w := range m.workers {
 		all = append(all, w.entry())
@@ -90,13 +90,14 @@
 	if w.falselyGone {
 		entry.State = dispatch.Gone
 	}
-	if w.startTime >= 0 && w.clockOffset != 0 { // by its machine's clock: nobody can know when it started
+	// the start time comes from a wrong clock, so nobody can know the true one
+	if w.startTime >= 0 && w.clockOffset != 0 {
 		entry.StartTime, entry.reportedStart = max(w.startTime+w.clockOffset, 0), math.Inf(-1)
 	}
 	return entry
 }
 
-// warmth is the part of its capacity that the worker has.
+// warmth returns the share of its capacity that the worker has at a time.
 func (m *Model) warmth(w *worker, at float64) float64 {
 	if w.startTime < 0 {
 		return 1
@@ -105,13 +106,13 @@
 	return s + (1-s)*min(max(at-w.startTime, 0)/float64(m.Experiment.Workers.WarmUpTime), 1)
 }
 
-// pace is the speed of each running job, but for the warmth.
+// speedPerJob returns the speed of each running job, without the effect of warmth.
 func (w *worker) speedPerJob() float64 {
 	cores := float64(w.spec.Cores) * (1 - w.stolenShare)
 	return w.spec.Speed * w.speedFactor * min(1, cores/float64(max(len(w.running), 1)))
 }
 
-// work brings a worker's running jobs up to now.
+// advanceWorker brings the progress of a worker's running jobs up to the present.
 func (m *Model) advanceWorker(w *worker) {
 	if elapsed := m.now - w.advancedTo; elapsed > 0 && len(w.running) > 0 {
 		warmth := m.warmthIntegral(w, w.advancedTo, m.now)
@@ -123,7 +124,7 @@
 	w.advancedTo = m.now
 }
 
-// warmArea is the integral of the warmth.
+// warmthIntegral returns the integral of the warmth over an interval.
 func (m *Model) warmthIntegral(w *worker, from, to float64) float64 {
 	end := w.startTime + float64(m.Experiment.Workers.WarmUpTime)
 	if w.startTime < 0 || from >= end {
@@ -133,7 +134,7 @@
 	return (warmFrom-from)*(m.warmth(w, from)+m.warmth(w, warmFrom))/2 + max(to-end, 0)
 }
 
-// takes is how long a worker needs from now for so much of the integral of its warmth.
+// timeForWarmth returns how long it takes from now until the integral of the warmth reaches a value.
 func (m *Model) timeForWarmth(w *worker, warmth float64) float64 {
 	end := w.startTime + float64(m.Experiment.Workers.WarmUpTime)
 	if w.startTime < 0 || m.now >= end {
@@ -147,7 +148,7 @@
 	return 2 * warmth / (now + math.Sqrt(now*now+2*slope*warmth))
 }
 
-// plan has the next end of a running job come at its time.
+// scheduleNextEnd schedules the end of the running job that finishes first.
 func (m *Model) scheduleNextEnd(w *worker) {
 	w.planSeq++
 	if len(w.running) == 0 || !w.up {
@@ -173,14 +174,15 @@
 	})
 }
 
-// change is called round whatever changes a worker's pace.
+// changeRate wraps every change that affects how fast a worker runs its jobs.
 func (m *Model) changeRate(w *worker, apply func()) {
 	m.advanceWorker(w)
 	apply()
 	m.scheduleNextEnd(w)
 }
 
-// Send is a dispatcher's hand-off; its first byte leaves now. What comes of it goes through Port.Ended.
+// HandOff is called by the driver when a dispatcher sends a hand-off, of which the first byte leaves now. The
+// result comes through Driver.HandOffEnded.
 func (m *Model) HandOff(n int, id, workerID string, tag any) *HandOff {
 	d, w, r := m.dispatchers[n], m.workersByID[workerID], m.requests[id]
 	h := &HandOff{ID: id, Dispatcher: n, Worker: workerID, Tag: tag, request: r, worker: w, dispatcherIncarnation: d.incarnation, arrival: m.now}
@@ -199,7 +201,7 @@
 			m.After(float64(m.Experiment.Network.ConnectTimeout), func() { m.reportResult(h, ConnectFailed) })
 			return h
 		}
-		w.undelivered = append(w.undelivered, h) // written to a connection that is still open, to nobody
+		w.undelivered = append(w.undelivered, h) // written to a connection that is still open but leads nowhere
 	case !w.up:
 		m.After(2*m.networkDelay(d.site, w.site), func() { m.reportResult(h, ConnectFailed) })
 	default:
@@ -210,7 +212,8 @@
 	return h
 }
 
-// GiveUp is a dispatcher's wish that a worker drop a hand-off: the connection is closed, and a DELETE follows.
+// CancelHandOff is called by the driver when a dispatcher cancels a hand-off: the connection is closed, and a
+// DELETE follows.
 func (m *Model) CancelHandOff(h *HandOff) {
 	if h.cancelled {
 		return
@@ -224,13 +227,13 @@
 	}
 	at := max(m.now+m.networkDelay(d.site, w.site), h.arrival)
 	m.At(at, func() { m.cancelAtWorker(h) })
-	if !m.Experiment.Dispatchers.SecondCopies { // its end counts when the worker has said so
+	if !m.Experiment.Dispatchers.SecondCopies { // the hand-off ends only when the worker has confirmed it
 		at += m.networkDelay(d.site, w.site)
 	}
 	m.At(at, func() { m.reportResult(h, Cancelled) })
 }
 
-// drop takes a job away from a worker.
+// cancelAtWorker removes a job from its worker.
 func (m *Model) cancelAtWorker(h *HandOff) {
 	w := h.worker
 	for k, e := range w.queue {
@@ -248,13 +251,13 @@
 	}
 }
 
-// shown tells the dispatcher of a hand-off what its connection shows.
+// reportResult reports to the dispatcher what it observes on the connection of a hand-off.
 func (m *Model) reportResult(h *HandOff, result HandOffResult) {
 	d := m.dispatchers[h.Dispatcher]
 	if !d.up || d.incarnation != h.dispatcherIncarnation || h.closed && result != Cancelled {
 		return
 	}
-	if h.cancelled && result != Cancelled && result != ConnectFailed { // it no longer listens
+	if h.cancelled && result != Cancelled && result != ConnectFailed { // the dispatcher no longer reads from it
 		return
 	}
 	h.closed = result != Accepted
@@ -267,7 +270,7 @@
 	m.driver.HandOffEnded(h.Dispatcher, h, result)
 }
 
-// arrive is the last byte of a hand-off at its worker.
+// handOffArrived runs when the last byte of a hand-off reaches its worker.
 func (m *Model) handOffArrived(h *HandOff) {
 	w, d := h.worker, m.dispatchers[h.Dispatcher]
 	report := func(result HandOffResult) {
@@ -286,7 +289,7 @@
 	case w.failureRate > 0 && m.faultRand.Float64() < w.failureRate:
 		report(Failed)
 		return
-	case m.overloadsColdWorker(w, h): // pushed over
+	case m.overloadsColdWorker(w, h): // the worker crashes under the load
 		report(ConnectionReset)
 		return
 	case w.state != dispatch.Up || len(w.running) >= w.spec.Slots && len(w.queue) >= w.spec.QueueLimit:
@@ -303,8 +306,8 @@
 	m.startQueued(w)
 }
 
-// weigh adds up what a cold worker is sent; pushed beyond what it stands, it falls over. One work item alone never
-// pushes it.
+// overloadsColdWorker adds a hand-off to the work recently sent to a cold worker. If the sum exceeds what the
+// worker withstands, the worker crashes. A single work item never causes that.
 func (m *Model) overloadsColdWorker(w *worker, h *HandOff) bool {
 	if w.startTime < 0 || m.now >= w.startTime+float64(m.Experiment.Workers.WarmUpTime) {
 		w.recentWork = nil
@@ -325,7 +328,7 @@
 	return true
 }
 
-// serve starts what has a slot.
+// startQueued starts queued jobs while slots are free.
 func (m *Model) startQueued(w *worker) {
 	if len(w.queue) == 0 || len(w.running) >= w.spec.Slots {
 		return
@@ -346,7 +349,7 @@
 	})
 }
 
-// progress is told at intervals while a job runs.
+// scheduleProgress reports a job's progress at intervals while it runs.
 func (m *Model) scheduleProgress(w *worker, e *execution, incarnation int) {
 	m.After(float64(m.Experiment.Workers.ProgressInterval), func() {
 		if w.incarnation != incarnation || !w.up || !slices.Contains(w.running, e) {
@@ -368,7 +371,8 @@
 	m.startQueued(w)
 }
 
-// call carries a callback to the dispatcher that handed the job off, with further tries while nobody answers.
+// sendCallback carries a callback to the dispatcher that handed the job off, and retries while nobody
+// answers.
 func (m *Model) sendCallback(w *worker, h *HandOff, c Callback) {
 	m.attemptCallback(w, h, c, w.incarnation, callbackAttempts)
 	if m.callbackRepeatRate > 0 && m.networkRand.Float64() < m.callbackRepeatRate {
@@ -383,7 +387,8 @@
 			m.After(callbackRetryDelay, func() { m.attemptCallback(w, h, c, incarnation, attempts-1) })
 		}
 	}
-	if w.unreachable || w.incarnation != incarnation && c.State != "lost" { // what died tells nothing more; its machine's agent may
+	// a dead process reports nothing; the agent of its machine may still report a loss
+	if w.unreachable || w.incarnation != incarnation && c.State != "lost" {
 		return
 	}
 	if m.isCut(workerPath, d, w.site) {
@@ -395,7 +400,7 @@
 			retry()
 			return
 		}
-		if d.incarnation == h.dispatcherIncarnation { // it knows as it acts on it
+		if d.incarnation == h.dispatcherIncarnation { // the dispatcher knows it as soon as it processes the callback
 			switch c.State {
 			case "returned":
 				m.Checker.HandOffNotRun(m.now, h.ID, h.Number)
@@ -409,8 +414,8 @@
 	})
 }
 
-// kill ends a worker's process; the agent of its machine tells what was lost with it. It is back, cold, after a time;
-// 0: never.
+// killWorker ends a worker's process. The agent of its machine reports the jobs lost with it. The worker
+// restarts cold after a time; 0: never.
 func (m *Model) killWorker(w *worker, restartAfter float64) {
 	if !w.up {
 		return
@@ -442,14 +447,14 @@
 	}
 }
 
-// revive brings a worker back, cold.
+// restartWorker starts a worker again, cold.
 func (m *Model) restartWorker(w *worker) {
 	if w.up {
 		return
 	}
 	w.up, w.unreachable, w.state, w.startTime, w.advancedTo = true, false, dispatch.Up, m.now, m.now
 	w.incarnation++
-	for _, h := range w.undelivered { // connections from before are reset
+	for _, h := range w.undelivered { // earlier connections are reset
 		m.After(m.networkDelay(w.site, m.dispatchers[h.Dispatcher].site), func() { m.reportResult(h, ConnectionReset) })
 	}
 	w.undelivered = nil
@@ -458,7 +463,7 @@
 	m.publishChange(w)
 }
 
-// vanish makes a worker's machine silent; what it had is lost without a word.
+// loseMachine makes a worker's machine unreachable. Its jobs are lost without any report.
 func (m *Model) loseMachine(w *worker, restartAfter float64) {
 	if w.up {
 		w.unreachable = true
@@ -466,8 +471,8 @@
 	}
 }
 
-// drain has discovery say that the worker wants nothing new. After a time it wants work again, or is replaced once it
-// is empty by another, cold.
+// drainWorker makes discovery list the worker as draining. Either the worker accepts work again after the
+// duration, or another worker, cold, replaces it once it is empty.
 func (m *Model) drainWorker(w *worker, duration float64, replace bool) {
 	if !w.up || w.state != dispatch.Up {
 		return
@@ -508,8 +513,8 @@
 	})
 }
 
-// Finish is when a job of that cost would end if it reached the worker now; infinite: never. It is the truth, for the
-// bound that no dispatcher can reach.
+// FinishTime returns when a job of this cost would end if it reached the worker now, or infinity if it never
+// would. It uses the true state, to give a bound that no dispatcher can reach.
 func (m *Model) FinishTime(workerID string, cost float64) float64 {
 	w := m.workersByID[workerID]
 	if w == nil || !w.up || w.unreachable || w.state != dispatch.Up || len(w.running) >= w.spec.Slots && len(w.queue) >= w.spec.QueueLimit {
