--- a/internal/invariants/cold_budget_test.go
+++ b/internal/invariants/cold_budget_test.go
@@ -7,8 +7,9 @@
 	"weldmast/internal/dispatch"
 )
 
-// TestColdBudget: thirty dispatchers that all know of its start send a cold worker work of mean cost. It stands up to what
-// its budget of N and chance allow, 2 root N + 2, and to no more than a fifth over N; the next one is convicted.
+// TestColdBudget has thirty dispatchers, all of which know when a cold worker started, send it work of mean
+// cost. With a budget of N work items, 2*sqrt(N) + 2 more are allowed for chance, but at most a fifth more
+// than N. The next work item must be reported.
 func TestColdBudget(t *testing.T) {
 	const mean = 10.
 	for n, holds := range map[float64]int{4: 4, 25: 30, 100: 120, 400: 442, 2500: 2602} {
@@ -23,7 +24,7 @@
 			a.RequestReceived(1, k%30, id, 0, k, 1e6)
 			a.HandOffSent(1, k%30, id, 0, "w", mean)
 			if broken := a.Counts[NoColdOverload] > 0; broken != (k == holds) {
-				t.Fatalf("N %v: convicted %v by request %d, %d hold", n, broken, k+1, holds)
+				t.Fatalf("N %v: violation reported: %v at request %d; %d requests are within the limit", n, broken, k+1, holds)
 			}
 		}
 	}
--- a/internal/invariants/fleet_checker.go
+++ b/internal/invariants/fleet_checker.go
@@ -1,5 +1,5 @@
-// This file judges a fleet from outside: by the release that workers saw on each hand-off, by what the council told its
-// operators, and by the audit that it gave at the end.
+// This file checks a fleet from outside, by three sources: the release that workers saw on each hand-off, the
+// answers that operators got from the fleet, and the fleet's final audit.
 
 package invariants
 
@@ -12,7 +12,7 @@
 	"weldmast/internal/fleet"
 )
 
-// The rules of a fleet, beside those of each dispatcher.
+// The rules of a fleet, in addition to those of each dispatcher.
 const (
 	FenceRespected Rule = "nobody acts on an older version after a fence"
 	AuditComplete  Rule = "every act stands in the audit or in an unknown span"
@@ -20,55 +20,56 @@
 	FleetRecovered Rule = "all are current soon after the last fault"
 )
 
-// FleetRules in their order.
+// FleetRules lists the rules of a fleet in the order of reports.
 var FleetRules = []Rule{FenceRespected, AuditComplete, SingleHistory, FleetRecovered}
 
-// Seen is a hand-off as a worker saw it.
+// ObservedHandOff is a hand-off as a worker saw it.
 type ObservedHandOff struct {
 	At            float64
 	Dispatcher    int
 	ID            string
 	Worker        string
 	Release       string
-	SenderResumed float64 // its sender's process had last gone on then, 0: never stood still
+	SenderResumed float64 // when its sender's process was last resumed; 0: it was never suspended
 }
 
-// Call is one of an operator's, and what it was told; times are the operator's.
+// OperatorCall is an operator's call and its answer. Times are on the operator's clock.
 type OperatorCall struct {
-	Start, End float64 // To: when the answer came
-	Request    string  // published under it; empty: a reading
-	Answered   bool    // an answer came
-	Version    uint64  // that it was told
+	Start, End float64 // End is the time of the answer
+	Request    string  // ID of the request that published; empty: the call only read
+	Answered   bool    // an answer arrived
+	Version    uint64  // the version in the answer
 }
 
-// Fleet takes what crossed the wire of one.
+// FleetChecker receives what was observed of a fleet and records violations.
 type FleetChecker struct {
 	HandOffs []ObservedHandOff
 	Calls    []OperatorCall
-	// Complete is when an operator was first told that a version's fence is complete.
+	// FenceCompleted has, by version, when an operator was first told that the version's fence is complete.
 	FenceCompleted map[uint64]float64
-	// Releases are the versions by what hand-offs bear; the empty one is 0.
+	// VersionByRelease has the version of each release that hand-offs carry; the empty release is version 0.
 	VersionByRelease map[string]uint64
-	// Late counts hand-offs that came within a moment of their sender's going on: it stood still between look and write.
+	// LateAfterResume counts hand-offs shortly after their sender was resumed: its process was suspended
+	// between the check and the write.
 	LateAfterResume int
 	Violations      []Violation
 }
 
-// moment is how long after its going on a process's hand-off may still be one that it looked for before; on a machine that
-// is busy with many of them.
+// resumeSlack is how long after its resumption, in milliseconds, a process may still send a hand-off that it
+// checked before it was suspended. It allows for a machine that runs many such processes and is busy.
 const resumeSlack = 150
 
 func (f *FleetChecker) report(at float64, rule Rule, s ObservedHandOff, format string, a ...any) {
 	f.Violations = append(f.Violations, Violation{At: at, Rule: rule, ID: s.ID, Dispatcher: s.Dispatcher, Worker: s.Worker, Detail: fmt.Sprintf(format, a...)})
 }
 
-// Unhealed: a member was not current in time.
+// NotRecovered records that a member did not become current in time.
 func (f *FleetChecker) NotRecovered(at float64, detail string) {
 	f.report(at, FleetRecovered, ObservedHandOff{Dispatcher: -1}, "%s", detail)
 }
 
-// Judge gives the verdicts. Final is the audit as the fleet told it once all was over, members its names by dispatcher;
-// unix turns the judge's time into Unix time.
+// Check records the violations. Final is the fleet's audit after the run, members has the fleet's names of
+// the dispatchers by index, and unix converts the checker's time to Unix time.
 func (f *FleetChecker) Check(final *fleet.Audit, members []string, unix func(float64) float64) {
 	f.checkFences()
 	f.checkHistory()
@@ -105,12 +106,13 @@
 	})
 }
 
-// order holds the operators' calls against one history: there has to be an order of them, each between its beginning and
-// its end, in which each publish is the next version once, and each reading sees the newest.
+// checkHistory checks that the operators' calls fit one history: there must be an order of the calls, each at
+// a time between its start and its end, in which each publish creates the next version once and each read
+// sees the newest.
 func (f *FleetChecker) checkHistory() {
 	type state struct {
 		newest uint64
-		made   string // requests with their versions
+		made   string // requests with their versions, as text
 	}
 	type input struct{ request string }
 	type output struct {
@@ -124,10 +126,10 @@
 	}
 	for k, c := range f.Calls {
 		if !c.Answered && c.Request == "" {
-			continue // a reading without an answer says nothing
+			continue // a read without an answer shows nothing
 		}
 		to := c.End
-		if !c.Answered { // it may be carried out at any time later, or never
+		if !c.Answered { // it may take effect at any later time, or never
 			to = end + 1e6
 		}
 		history = append(history, porcupine.Operation{ClientId: k, Input: input{c.Request}, Call: int64(c.Start * 1000), Output: output{c.Answered, c.Version}, Return: int64(to * 1000)})
@@ -164,7 +166,7 @@
 	}
 }
 
-// find reads a version from the texts above.
+// versionOf finds the version of a request in the text that the model keeps as its state.
 func versionOf(versions, request string) (v uint64, ok bool) {
 	for start := 0; start < len(versions); {
 		end := start
@@ -185,8 +187,9 @@
 	return 0, false
 }
 
-// booked looks for each hand-off that a worker saw in the audit: in a line of its sender under its version whose first and
-// last act enclose it, or in a span of its sender called unknown.
+// checkAudit looks up each hand-off that a worker saw in the audit. It must be covered by a line of its
+// sender for its version, between the first and the last action of the line, or by an interval that the audit
+// calls unknown.
 func (f *FleetChecker) checkAudit(final *fleet.Audit, members []string, unix func(float64) float64) {
 	type key struct {
 		member  string
@@ -231,5 +234,6 @@
 	}
 }
 
-// connectMost is how much later than it is booked a hand-off may reach a worker, at most: its connection has to come up.
+// maxConnectTime is how much later than recorded a hand-off may reach a worker, at most, in milliseconds: its
+// connection has to be established first.
 const maxConnectTime = 1000
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -1,6 +1,7 @@
-// Package audit judges dispatchers by the four rules, and by exactly one answer, from what crossed the wire: what
-// clients, workers and discovery saw and said. It must never ask a dispatcher what it thinks it did, and never decide
-// anything for one. Times are milliseconds on one clock and must not go back from call to call.
+// Package invariants checks that dispatchers keep four rules and give exactly one answer to each request. It
+// judges by what crossed the wire: what clients, workers and discovery observed and sent. It must never ask a
+// dispatcher what it believes it did, and must never decide anything for a dispatcher. Times are milliseconds
+// on one clock and must not decrease from call to call.
 package invariants
 
 import (
@@ -11,22 +12,24 @@
 	"weldmast/internal/dispatch"
 )
 
-// Rules are the figures to judge by.
+// Config has the limits that the rules apply.
 type Config struct {
-	Categories        []Category
-	SecondCopies      bool    // a rerunnable work item may be out twice at once
-	MaxHandOffs       int     // of one work item
-	AnswerSlack       float64 // after the client's deadline
-	DrainGrace        float64 // from the telling to the last send
-	OnlyDrainingBinds bool    // one that is called gone, or left out, without having drained may still be sent to
-	StartCapacity     float64 // of its capacity, as a worker comes up
-	WarmUpTime        float64 // it is warm after this time
+	Categories   []Category
+	SecondCopies bool    // a rerunnable work item may have two hand-offs at the same time
+	MaxHandOffs  int     // per work item
+	AnswerSlack  float64 // allowed after the client's deadline
+	DrainGrace   float64 // from the notice of a drain to the last hand-off
+	// dispatchers may still send to a worker that is listed as gone, or missing from the list, if it did not
+	// drain
+	OnlyDrainingBinds bool
+	StartCapacity     float64 // share of its capacity when a worker starts
+	WarmUpTime        float64 // a worker has its full capacity after this time
 	OverloadWindow    float64 // window of the cold budget
 	OverloadMultiple  float64
-	MeanCost          float64 // of a work item, of all categories
+	MeanCost          float64 // of a work item, over all categories
 }
 
-// Category is what the rules need of one.
+// Category is what the rules need to know of a category of work items.
 type Category struct {
 	Name         string
 	RepeatPolicy dispatch.Repeat
@@ -34,24 +37,26 @@
 	DedupWindow  float64
 }
 
-// leniency is what each limit is longer by, for messages on their way.
+// messageSlack extends each limit, for messages that are on their way.
 const messageSlack = 50
 
-// chance is by how much the cold budget may be gone over, be it of many work items: it is not exact to the last one.
+// overshootFactor limits by how much the work sent to a cold worker may exceed its budget, however many work
+// items it is, because the budget is not exact to the last work item.
 const overshootFactor = 1.2
 
-// most is what a cold worker may be sent in a window whose budget is given, by all dispatchers together: beyond the N work
-// items of mean cost that the budget is, 2 root N + 2 more are put down to chance, as the operators do, and never over a fifth.
-// One work item alone is always allowed.
+// maxColdWork returns how much work all dispatchers together may send to a cold worker in a window with the
+// given budget. If the budget is N work items of mean cost, 2*sqrt(N) + 2 further ones are attributed to
+// chance, as operators do, but never more than a fifth of the budget. A single work item is always allowed.
 func (c *Config) maxColdWork(budget, largest float64) float64 {
 	items := budget / c.MeanCost
 	return min(max(budget, largest)*overshootFactor, (items+2*math.Sqrt(items)+2)*c.MeanCost)
 }
 
-// Rule names what was broken.
+// Rule names the rule that a violation breaks.
 type Rule string
 
-// The rules. Lost covers exactly one answer: none, a second one, a late one, one that no worker made.
+// The rules of each dispatcher. NoItemLost demands exactly one answer: it is broken by a missing answer, a
+// second one, a late one, and one that no worker produced.
 const (
 	NoItemLost     Rule = "no item lost"
 	NoDoubleEffect Rule = "no effect twice"
@@ -59,10 +64,10 @@
 	NoColdOverload Rule = "no cold worker pushed over"
 )
 
-// Rules in their order, for those who count.
+// DispatcherRules lists the rules of each dispatcher in the order of reports.
 var DispatcherRules = []Rule{NoItemLost, NoDoubleEffect, DrainRespected, NoColdOverload}
 
-// Verdict is one conviction.
+// Violation is one break of a rule.
 type Violation struct {
 	At         float64 `json:"at"`
 	Rule       Rule    `json:"rule"`
@@ -76,10 +81,10 @@
 	return fmt.Sprintf("%.3f %s: id=%s dispatcher=%d worker=%s: %s", v.At, v.Rule, v.ID, v.Dispatcher, v.Worker, v.Detail)
 }
 
-// mostVerdicts are kept; what is beyond is counted only.
+// maxViolations limits the violations that are stored; further ones are only counted.
 const maxViolations = 1000
 
-// Audit takes what crossed the wire.
+// Checker receives what crossed the wire and records violations.
 type Checker struct {
 	config                Config
 	Violations            []Violation
@@ -88,12 +93,12 @@
 	items                 map[string]*item
 	received              []*item
 	workers               map[string]*worker
-	knownWorkers          []map[string]knownState // of each dispatcher
+	knownWorkers          []map[string]knownState // by dispatcher and worker
 	incarnations          []int
-	exclusiveStarts       map[int]int // of each exclusive job
+	exclusiveStarts       map[int]int // starts of each exclusive job
 	results               map[string][]string
-	pausedSince           map[int]float64 // since when a dispatcher's process stands still
-	UnansweredWhilePaused int             // work items that only a standstill kept from their answer
+	pausedSince           map[int]float64 // by dispatcher whose process is suspended: since when
+	UnansweredWhilePaused int             // work items without an answer only because their dispatcher was suspended
 }
 
 type item struct {
@@ -102,30 +107,31 @@
 	category                int
 	job                     int
 	deadline                float64
-	clientLeft              bool // its client left
-	dispatcherDied          bool // its dispatcher did
+	clientLeft              bool // its client closed the connection
+	dispatcherDied          bool // the process of its dispatcher ended
 	answers                 int
-	resumedAt               float64 // its dispatcher stood still until then
+	resumedAt               float64 // when its dispatcher was last resumed
 	handOffs                []handOff
 }
 
-// limit is until when it must have been answered: a process that stands still is bound from its wake on.
+// latestAnswer returns the time by which an item must be answered. For a process that was suspended, the
+// limit counts from its resumption.
 func (a *Checker) latestAnswer(it *item) float64 {
 	return max(it.deadline, it.resumedAt) + a.config.AnswerSlack + messageSlack
 }
 
-// sent is one hand-off.
+// handOff is one hand-off of a work item.
 type handOff struct {
 	at     float64
 	worker string
-	notRun bool // the dispatcher has been told that it never ran
-	ended  bool // it was told an end, or gave it up
+	notRun bool // the dispatcher has been notified that it never ran
+	ended  bool // the dispatcher has been notified of its end, or has cancelled it
 }
 
 type knownState struct {
 	state      dispatch.State
-	knownSince float64 // since when it knows this state
-	startTime  float64 // the worker's start, as told
+	knownSince float64 // when the dispatcher learned of the state
+	startTime  float64 // the worker's start time, as reported to the dispatcher
 }
 
 type worker struct {
@@ -137,10 +143,10 @@
 
 type sentWork struct {
 	at, cost   float64
-	senderKnew bool // its sender had been told of the start
+	senderKnew bool // its sender had been notified of the worker's start
 }
 
-// New makes an audit that has seen nothing.
+// New makes a checker without any observations.
 func New(c Config) *Checker {
 	return &Checker{config: c, Counts: map[Rule]int{}, items: map[string]*item{}, workers: map[string]*worker{},
 		exclusiveStarts: map[int]int{}, results: map[string][]string{}, pausedSince: map[int]float64{}}
@@ -153,7 +159,8 @@
 	}
 }
 
-// Started: a process of the dispatcher came up; it knows what it is told from now on.
+// DispatcherStarted records that a process of the dispatcher started. It knows only what it is notified of
+// from now on.
 func (a *Checker) DispatcherStarted(_ float64, d int) {
 	for len(a.knownWorkers) <= d {
 		a.knownWorkers = append(a.knownWorkers, nil)
@@ -164,7 +171,8 @@
 	a.knownWorkers[d] = map[string]knownState{}
 }
 
-// Died: its process ended. What it had not answered is lost with it, which no dispatcher can help.
+// DispatcherDied records that the dispatcher's process ended. Requests that it had not answered are lost with
+// it, which is no violation, because no dispatcher can prevent it.
 func (a *Checker) DispatcherDied(_ float64, d int) {
 	for _, it := range a.received {
 		if it.dispatcher == d && it.incarnation == a.incarnations[d] && it.answers == 0 {
@@ -174,11 +182,13 @@
 	a.received = slices.DeleteFunc(a.received, func(it *item) bool { return it.answers > 0 })
 }
 
-// Frozen: its process stands still from now on. It is no running dispatcher until it is Thawed, or Died.
+// DispatcherPaused records that the dispatcher's process is suspended from now on. It is not bound by limits
+// until DispatcherResumed or DispatcherDied is called.
 func (a *Checker) DispatcherPaused(at float64, d int) { a.pausedSince[d] = at }
 
-// Thawed: it goes on, and has to answer what is overdue at once. What it was told meanwhile, or too shortly before to act
-// on it, it is told now.
+// DispatcherResumed records that the dispatcher's process continues. It must answer overdue requests at once.
+// Drains of which it was notified while suspended, or too shortly before to act on them, count as notified
+// now.
 func (a *Checker) DispatcherResumed(at float64, d int) {
 	pausedAt, ok := a.pausedSince[d]
 	if !ok {
@@ -198,22 +208,23 @@
 	}
 }
 
-// Taken: the last byte of a request is with the dispatcher. Job numbers the client's wish, the same for its retries.
+// RequestReceived records that the last byte of a request has reached the dispatcher. The job number is the
+// same for all requests that a client sends for one job.
 func (a *Checker) RequestReceived(_ float64, d int, id string, category, job int, deadline float64) {
 	it := &item{id: id, dispatcher: d, incarnation: a.incarnations[d], category: category, job: job, deadline: deadline}
 	a.items[id] = it
 	a.received = append(a.received, it)
 }
 
-// Untaken: the request never reached the dispatcher after all.
+// RequestNotReceived records that the request never reached the dispatcher, contrary to RequestReceived.
 func (a *Checker) RequestNotReceived(id string) {
 	if it := a.items[id]; it != nil && len(it.handOffs) == 0 {
 		it.clientLeft = true
 	}
 }
 
-// ClientLeft: the client closed its connection before an answer. It need not have waited; but if it did, for longer
-// than any answer may take, the work item is lost.
+// ClientLeft records that the client closed its connection before an answer. A client may leave at any time;
+// but if it waited longer than any answer may take, the work item is lost.
 func (a *Checker) ClientLeft(at float64, id string) {
 	it := a.items[id]
 	if it == nil || it.answers > 0 || it.clientLeft {
@@ -229,7 +240,8 @@
 	}
 }
 
-// Answered: the last byte of an answer left the dispatcher. ComeAgain: it says that trying again is harmless.
+// Answered records that the last byte of an answer left the dispatcher. With comeAgain, the answer says that
+// a retry is harmless.
 func (a *Checker) Answered(at float64, id string, served, comeAgain bool, body string) {
 	a.Answers++
 	it := a.items[id]
@@ -241,7 +253,7 @@
 	switch {
 	case it.answers > 1:
 		a.report(at, NoItemLost, id, it.dispatcher, "", "answer %d to one request", it.answers)
-	case it.clientLeft: // nobody listens, or it was convicted then
+	case it.clientLeft: // nobody reads the answer; a late one was reported when the client left
 	case at > a.latestAnswer(it):
 		a.report(at, NoItemLost, id, it.dispatcher, "", "answered %.1f ms after its deadline", at-it.deadline)
 	}
@@ -249,7 +261,8 @@
 		a.report(at, NoItemLost, id, it.dispatcher, "", "served with what no worker made for it")
 	}
 	if c := a.config.Categories[it.category]; comeAgain && c.RepeatPolicy != dispatch.Rerunnable &&
-		!(c.RepeatPolicy == dispatch.Ticketed && c.DedupScope == dispatch.GroupAll) { // whose ticket holds for a retry as well
+		// here the ticket also covers a retry
+		!(c.RepeatPolicy == dispatch.Ticketed && c.DedupScope == dispatch.GroupAll) {
 		for _, h := range it.handOffs {
 			if !h.notRun {
 				a.report(at, NoDoubleEffect, id, it.dispatcher, h.worker, "told to come again, though it may have run")
@@ -259,7 +272,7 @@
 	}
 }
 
-// Told: discovery has told the dispatcher of a worker, and of when it started.
+// WorkerListed records that discovery has reported a worker's state and start time to the dispatcher.
 func (a *Checker) WorkerListed(at float64, d int, worker string, state dispatch.State, startTime float64) {
 	previous, known := a.knownWorkers[d][worker]
 	switch {
@@ -271,12 +284,14 @@
 	a.knownWorkers[d][worker] = knownState{state, at, startTime}
 }
 
-// WorkerUp: a worker's process has come up at a time; since below 0: long ago. Capacity: work in a millisecond, warm.
+// WorkerStarted records that a worker's process started at a time; a negative time means long ago. The
+// capacity is the work per millisecond when warm.
 func (a *Checker) WorkerStarted(_ float64, id string, site int, capacity, startTime float64) {
 	a.workers[id] = &worker{site: site, capacity: capacity, startTime: startTime}
 }
 
-// Sent: the first byte of hand-off n of a work item left for a worker. Hint is its cost as the dispatcher could know.
+// HandOffSent records that the first byte of hand-off n of a work item left for a worker. The hint is the
+// cost as far as the dispatcher could know it.
 func (a *Checker) HandOffSent(at float64, d int, id string, n int, workerID string, hint float64) {
 	it := a.items[id]
 	if it == nil {
@@ -317,8 +332,9 @@
 	return g != dispatch.DedupZone || x != nil && y != nil && x.site == y.site
 }
 
-// budget adds up what a cold worker is sent in a window, by all. One work item alone is always allowed, of those that know
-// that it is cold, and nobody is convicted while over a third comes from those that could not know.
+// checkColdBudget adds up the work that all dispatchers send to a cold worker within a window. A single work
+// item from senders that know that the worker is cold is always allowed. There is no violation while more
+// than a third of the work comes from senders that could not know it.
 func (a *Checker) checkColdBudget(at float64, d int, id, workerID string, hint float64) {
 	w := a.workers[workerID]
 	if w == nil || w.startTime < 0 || at >= w.startTime+a.config.WarmUpTime {
@@ -347,24 +363,24 @@
 	return nil
 }
 
-// Unrun: the dispatcher has been told that the hand-off never ran.
+// HandOffNotRun records that the dispatcher has been notified that the hand-off never ran.
 func (a *Checker) HandOffNotRun(_ float64, id string, n int) {
 	if h := a.findHandOff(id, n); h != nil {
 		h.notRun, h.ended = true, true
 	}
 }
 
-// Heard: the dispatcher has been told that the hand-off has ended, whether or not it ran.
+// HandOffEnded records that the dispatcher has been notified of the hand-off's end, whether or not it ran.
 func (a *Checker) HandOffEnded(_ float64, id string, n int) {
 	if h := a.findHandOff(id, n); h != nil {
 		h.ended = true
 	}
 }
 
-// GivenUp: the dispatcher closed its connection or sent a DELETE.
+// HandOffCancelled records that the dispatcher closed the hand-off's connection or sent a DELETE.
 func (a *Checker) HandOffCancelled(at float64, id string, n int) { a.HandOffEnded(at, id, n) }
 
-// Began: a worker runs the work item; from now on it may have its effect.
+// JobStarted records that a worker runs the work item, which may have its effect from now on.
 func (a *Checker) JobStarted(at float64, id string, n, job int) {
 	it, h := a.items[id], a.findHandOff(id, n)
 	if it == nil || h == nil {
@@ -381,10 +397,10 @@
 	}
 }
 
-// Made: a worker has a result for it.
+// JobFinished records that a worker has a result for the work item.
 func (a *Checker) JobFinished(id, result string) { a.results[id] = append(a.results[id], result) }
 
-// Finish is called when all is over: whatever has no answer then is lost.
+// Finish ends the check: a work item that still has no answer is lost.
 func (a *Checker) Finish(at float64) {
 	for _, it := range a.received {
 		if it.answers == 0 && !it.clientLeft && !it.dispatcherDied {
@@ -393,5 +409,5 @@
 	}
 }
 
-// Clean tells that no rule was broken.
+// Clean reports whether no rule was broken.
 func (a *Checker) Clean() bool { return len(a.Violations) == 0 }
