--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,7 +1,8 @@
-// Package baseline has other policies behind the Dispatcher's own interface, for measuring it beside them: uniform
-// random, round robin, least outstanding, power of two choices, size interval assignment with two bins and speeds that
-// are told, and one that sees the truth. They keep the rules by the simplest means. They are baselines only, and must
-// never be built into the program.
+// Package baseline has simple dispatch policies behind the interface of the dispatcher's own decider, to
+// compare the decider with them: uniform random, round robin, least outstanding, power of two choices, size
+// interval task assignment with two bins and known speeds, and an omniscient policy that sees the true state.
+// They keep the rules by the simplest means. They serve comparison only and must never be built into the
+// program.
 package baseline
 
 import (
@@ -13,33 +14,35 @@
 	"weldmast/internal/dispatch"
 )
 
-// Truth is what no dispatcher can see.
+// Oracle gives information that no dispatcher can have.
 type Oracle interface {
-	// Finish is when a job of that cost would end if it reached the worker now; infinite: never.
+	// FinishTime returns when a job of this cost would end if it reached the worker now, or infinity if it
+	// never would.
 	FinishTime(worker string, cost float64) float64
 }
 
-// Names of all, in the order of tables.
+// Names lists all policies, in the order of tables.
 var Names = []string{"random", "round-robin", "least", "two-choices", "sita", "omniscient"}
 
-// Shared is what the baselines of one day have in common: for the omniscient one, what all of them sent just now.
+// SharedState is what the baselines of one run share: for the omniscient policy, the work that all of them
+// sent recently.
 type SharedState struct {
 	Oracle      Oracle
-	Speeds      []float64 // of each kind, for sita
-	Parallelism []float64 // of each kind
+	Speeds      []float64 // by kind, for sita
+	Parallelism []float64 // by kind: jobs that run at full speed at the same time
 	recentWork  map[string][]sentWork
 }
 
 type sentWork struct{ at, cost float64 }
 
-// way is one policy's choice among workers that may be sent to; nil: none now.
+// policy picks one of the workers that may get a hand-off; nil: none now.
 type policy func(b *Baseline, it *item, all []*worker) *worker
 
 var policies = map[string]policy{
 	"random":      func(b *Baseline, _ *item, all []*worker) *worker { return all[b.rnd.IntN(len(all))] },
 	"round-robin": roundRobin, "least": leastOutstanding, "two-choices": twoChoices, "sita": sita, "omniscient": omniscient}
 
-// New makes the baseline of that name; nil if there is none.
+// New makes the baseline of that name, or returns nil if there is none.
 func New(name string, settings dispatch.Settings, shared *SharedState) *Baseline {
 	choose := policies[name]
 	if choose == nil {
@@ -52,7 +55,7 @@
 		items: map[uint64]*item{}, byID: map[string]*worker{}}
 }
 
-// Baseline keeps the books that each policy needs, and the rules.
+// Baseline tracks what each policy needs and keeps the rules.
 type Baseline struct {
 	settings  dispatch.Settings
 	choose    policy
@@ -61,19 +64,19 @@
 	now       float64
 	out       dispatch.Writer
 	items     map[uint64]*item
-	pending   []*item // no worker was there for them
+	pending   []*item // items without a worker so far
 	workers   []*worker
 	byID      map[string]*worker
 	rotation  int
 	nextRetry float64
-	hints     []float64 // the last ones, for sita
+	hints     []float64 // the most recent ones, for sita
 	hintCount int
 	cutoff    float64
 }
 
 type worker struct {
 	dispatch.Entry
-	outstanding int // own hand-offs that have not ended
+	outstanding int // hand-offs of this dispatcher that have not ended
 	avoidUntil  float64
 }
 
@@ -81,7 +84,7 @@
 	dispatch.WorkItem
 	expiry     float64
 	handOffs   []handoff
-	mayHaveRun bool // it may have run
+	mayHaveRun bool // one of its hand-offs may have run
 	ended      bool
 }
 
@@ -91,13 +94,13 @@
 }
 
 const (
-	retryInterval = 20  // ms between looks at what is held
-	avoidTime     = 500 // a worker that could not be reached is left alone for so long
+	retryInterval = 20  // milliseconds between attempts to place pending items
+	avoidTime     = 500 // milliseconds for which a worker is avoided after it could not be reached
 	maxHints      = 2048
 )
 
-// Round takes in what came and places what is held.
-func (b *Baseline) Round(now float64, in dispatch.Inbox, out dispatch.Executor) {
+// Round takes in the events and places pending items.
+func (b *Baseline) Round(now float64, in dispatch.Inbox, out dispatch.Writer) {
 	b.now, b.out = now, out
 	in.Deliver(b)
 	held := b.pending
@@ -129,24 +132,25 @@
 	b.pending = append(b.pending, it)
 }
 
-// Left forgets one whose client is gone.
-func (b *Baseline) ClientLeft(wi uint64) {
+// ClientLeft drops a work item whose client is gone.
+func (b *Baseline) Left(wi uint64) {
 	if it := b.items[wi]; it != nil {
 		b.finish(it)
 	}
 }
 
-// Noticed, Streaming and Heard tell a baseline nothing.
-func (b *Baseline) HandOffProgressed(uint64, int, bool, float64) {}
+// HandOffProgressed does nothing: a baseline ignores it.
+func (b *Baseline) Noticed(uint64, int, bool, float64) {}
 
-// Streaming as Noticed.
-func (b *Baseline) ResponseStarted(uint64, int) {}
+// ResponseStarted does nothing, like HandOffProgressed.
+func (b *Baseline) Streaming(uint64, int) {}
 
-// Heard as Noticed.
-func (b *Baseline) PeerMessageReceived(int, []byte) {}
+// PeerMessageReceived does nothing, like HandOffProgressed.
+func (b *Baseline) Heard(int, []byte) {}
 
-// Answered ends a hand-off: what finished is done, what never ran or may run again is placed anew, the rest given up.
-func (b *Baseline) HandOffEnded(a dispatch.HandOffResult) {
+// HandOffEnded ends a hand-off. A finished work item is done. One that never ran, or may run again, is placed
+// anew. Any other is given up.
+func (b *Baseline) Answered(a dispatch.Answer) {
 	it := b.items[a.WI]
 	if it == nil || a.HO >= len(it.handOffs) || it.handOffs[a.HO].ended {
 		return
@@ -173,9 +177,9 @@
 	}
 }
 
-// Listed keeps the list in order of ids.
-func (b *Baseline) Listed(form dispatch.ListType, entries []dispatch.Entry) {
-	if form == dispatch.ListUnavailable {
+// Listed keeps the list of workers, sorted by ID.
+func (b *Baseline) Listed(form dispatch.Form, entries []dispatch.Entry) {
+	if form == dispatch.Unavailable {
 		return
 	}
 	if form == dispatch.Complete || form == dispatch.Restored {
@@ -197,7 +201,7 @@
 
 func (b *Baseline) category(it *item) *dispatch.Category { return &b.settings.Categories[it.Category] }
 
-// place sends one to the worker of the policy's choice, or holds it.
+// place hands an item off to the worker that the policy picks, or keeps it pending.
 func (b *Baseline) place(it *item) {
 	switch {
 	case it.ended:
@@ -217,8 +221,8 @@
 	b.out.HandOff(it.ID, w.Worker, 0)
 }
 
-// able are the workers to choose among: up, not at rest, warm; where none is warm, cold ones without a hand-off, and
-// of those only what is sure to stay within the budget.
+// candidates returns the workers to choose among: those that are up, not avoided and warm. If none is warm,
+// it returns cold ones without a hand-off, and of these only such as are sure to stay within their budget.
 func (b *Baseline) candidates(it *item) []*worker {
 	var warm, cold []*worker
 	for _, w := range b.workers {
@@ -259,7 +263,7 @@
 	return all[b.rotation%len(all)]
 }
 
-// least takes the fewest own hand-offs out, by chance among equals.
+// leastOutstanding picks the worker with the fewest outstanding hand-offs of its own, at random among equals.
 func leastOutstanding(b *Baseline, _ *item, all []*worker) *worker {
 	var best *worker
 	ties := 0
@@ -284,10 +288,11 @@
 	return x
 }
 
-// sita cuts kinds in order of speed in two lanes of capacities as even as can be, sends hints below the cutoff to the
-// fast one, and draws uniformly within. The cutoff gives each lane its part of the work.
+// sita splits the kinds, ordered by speed, into two lanes whose capacities are as equal as possible. It sends
+// work with a hint up to the cutoff to the fast lane and picks uniformly within a lane. The cutoff gives each
+// lane its share of the work.
 func sita(b *Baseline, it *item, all []*worker) *worker {
-	capacities := make([]float64, len(b.shared.Speeds)) // capacity of each
+	capacities := make([]float64, len(b.shared.Speeds)) // by kind
 	total := 0.
 	for _, w := range all {
 		c := b.shared.Speeds[w.Kind] * b.shared.Parallelism[w.Kind]
@@ -310,7 +315,7 @@
 			}
 		}
 	}
-	if fastShare == 0 { // one kind: no lanes
+	if fastShare == 0 { // only one kind: no lanes
 		return all[b.rnd.IntN(len(all))]
 	}
 	if b.hintCount%256 == 1 || b.cutoff == 0 {
@@ -324,7 +329,7 @@
 	return lane[b.rnd.IntN(len(lane))]
 }
 
-// cut sets the hint below which the last hints hold a share of the work.
+// updateCutoff sets the hint below which the recent hints make up a share of the work.
 func (b *Baseline) updateCutoff(share float64) {
 	hints := slices.Sorted(slices.Values(b.hints))
 	all, sum := 0., 0.
@@ -339,7 +344,8 @@
 	}
 }
 
-// omniscient sees each worker's true queue, and what all sent just now. It is greedy: no proof that nothing is better.
+// omniscient picks by each worker's true queue and by what all dispatchers sent within the last millisecond.
+// It is greedy, so a better policy may exist.
 func omniscient(b *Baseline, it *item, all []*worker) *worker {
 	best, earliest := all[0], math.Inf(1)
 	for _, w := range all {
--- a/internal/virtualtime/fault_cases_test.go
+++ b/internal/virtualtime/fault_cases_test.go
@@ -7,7 +7,8 @@
 	"weldmast/internal/fleetmodel"
 )
 
-// hard is a small world for one hard case: its exclusive and rerunnable work is quick, so much is under way.
+// faultCase is a small experiment for one fault case. Its exclusive and rerunnable work items are short and
+// frequent, so that many are in progress at any time.
 const faultCase = `
 length = "4s"
 [dispatchers]
@@ -37,13 +38,15 @@
 rate = 500
 `
 
-// TestHardCases: each plays a few seeds, breaks no rule, and must have had its effect.
+// TestFaultCases runs each case with several seeds. No run may break a rule, and each case must have had its
+// effect.
 func TestFaultCases(t *testing.T) {
 	for _, c := range []struct {
 		name, more string
 		effect     func(model *fleetmodel.Model, outcomes map[fleetmodel.Outcome]int) bool
 	}{
-		{"workers die with hand-offs before their 202, after it, and between start and callback", // a slow wire holds each state open
+		// network delays keep each of these states open for a while
+		{"workers die with hand-offs before their 202, after it, and between start and callback",
 			"[[fault]]\nat = \"1s\"\nfor = \"200ms\"\nwhat = \"kill\"\ncount = 5\n[[fault]]\nat = \"2s\"\nfor = \"200ms\"\nwhat = \"kill\"\ncount = 6\n",
 			func(_ *fleetmodel.Model, outcomes map[fleetmodel.Outcome]int) bool {
 				return outcomes[fleetmodel.WrittenOff] > 0
@@ -53,7 +56,8 @@
 			func(_ *fleetmodel.Model, outcomes map[fleetmodel.Outcome]int) bool {
 				return outcomes[fleetmodel.WrittenOff]+outcomes[fleetmodel.Deferred] > 0
 			}},
-		{"expiries that fall into the instant of the answer", // fixed: 20.4 ms there and back
+		// fixed costs: the way there, the work and the way back take 20.4 ms
+		{"expiries that fall into the instant of the answer",
 			"",
 			func(_ *fleetmodel.Model, outcomes map[fleetmodel.Outcome]int) bool {
 				return outcomes[fleetmodel.Finished] > 100 && outcomes[fleetmodel.WrittenOff] > 100
@@ -109,10 +113,10 @@
 					t.Errorf("seed %d: %v", seed, v)
 				}
 				if outcomes[fleetmodel.Waiting] > 0 || len(model.Jobs) < 1500 {
-					t.Errorf("seed %d: %d waiting of %d", seed, outcomes[fleetmodel.Waiting], len(model.Jobs))
+					t.Errorf("seed %d: %d of %d jobs without an outcome, or too few jobs", seed, outcomes[fleetmodel.Waiting], len(model.Jobs))
 				}
 				if seed == 3 && !c.effect(model, total) {
-					t.Errorf("it had no effect: %s", fmt.Sprint(total))
+					t.Errorf("the case had no effect: outcomes %s", fmt.Sprint(total))
 				}
 			}
 		})
--- a/internal/virtualtime/fleet.go
+++ b/internal/virtualtime/fleet.go
@@ -1,5 +1,6 @@
-// This file plays a fleet in virtual time: its council with all its voters, and members by hundreds, over links that lose
-// and delay and are cut. What members do is internal/fleet's; only when they beat and ask is modelled, as internal/member does it.
+// This file simulates a fleet in virtual time: its consensus group with all voters, and hundreds of members,
+// over links that lose and delay messages and can be cut. Members run the code of internal/fleet. Only when
+// they send heartbeats and requests is modelled, after internal/fleetagent.
 
 package virtualtime
 
@@ -16,33 +17,34 @@
 	"weldmast/internal/fleet"
 )
 
-// FleetDay is what is played.
+// FleetScenario says what to simulate.
 type FleetScenario struct {
-	Members     int // followers among them
+	Members     int // followers, in addition to the voters
 	Voters      int
 	Seed        uint64
-	MessageLoss float64 // of each message, one way
-	CutShare    float64 // share of members cut off for three seconds in the midst of a publish
-	Faults      int     // kills, cuts and standstills of single members, drawn
+	MessageLoss float64 // probability that a message is lost, one way
+	CutShare    float64 // share of members that are cut off for three seconds during every second publish
+	Faults      int     // number of random stops, cuts and pauses of single members, and stops of voters
 	Length      float64
 }
 
-// FleetResult is what came of it. Times are milliseconds, bytes those of the messages' content.
+// FleetResult is the result of a simulation. Times are milliseconds, bytes those of the messages' content.
 type FleetResult struct {
-	Published         int
-	TimeTo99          []float64 // from a publish's answer until 99% of the members that are not cut off have it in force
-	TimeToAll         []float64 // the same for all, cut off or not
-	LeaderMessageRate float64   // messages a second at the leader, in and out
-	MemberByteRate    float64   // a member a second
-	FencesCompleted   int       // told to be complete
+	Published int
+	// from the answer to a publish until 99% of the members that are not cut off have it in force
+	TimeTo99          []float64
+	TimeToAll         []float64 // the same for all members, cut off or not
+	LeaderMessageRate float64   // messages per second at the leader, received and sent
+	MemberByteRate    float64   // bytes per second and member
+	FencesCompleted   int       // number of fences that were reported complete
 	Violation         string
 }
 
 const (
-	linkDelay       = 0.5 // ms, one way; twice that at most
-	applyDelay      = 2   // ms until the reducer has a version in force
+	linkDelay       = 0.5 // milliseconds one way; at most twice that
+	applyDelay      = 2   // milliseconds until the event loop has a version in force
 	pollTimeout     = 2000
-	maxSharedStates = 256 // states that are kept for other members
+	maxSharedStates = 256 // states that are kept to share them with other members
 )
 
 type fleetEvent struct {
@@ -61,7 +63,7 @@
 func (q *fleetQueue) Push(x any)   { *q = append(*q, x.(fleetEvent)) }
 func (q *fleetQueue) Pop() any     { x := (*q)[len(*q)-1]; *q = (*q)[:len(*q)-1]; return x }
 
-// kept is a voter's store.
+// voterStore is a voter's storage.
 type voterStore struct{ persisted council.Kept }
 
 func (s *voterStore) Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
@@ -83,7 +85,7 @@
 	return nil
 }
 
-// waiter is a long poll at a voter.
+// pollRequest is a long poll at a voter.
 type pollRequest struct {
 	member, run int
 	pollSeq     int
@@ -94,17 +96,17 @@
 	run         fleet.Run
 	runCount    int
 	up          bool
-	pausedUntil float64 // it stands still until then
+	pausedUntil float64 // it does nothing before this time
 	cut         bool
-	pollSeq     int // of its poll
+	pollSeq     int // number of its present poll
 	bytes       float64
 	leader      int
 }
 
-// spread is a version on its way to all.
+// publication is a version that has not reached all members yet.
 type publication struct {
 	at        float64
-	reached99 bool // 99% have it
+	reached99 bool // 99% of the members have it
 }
 
 type fleetSim struct {
@@ -120,18 +122,19 @@
 	members        []*fleetMember
 	leaderMessages float64
 	result         FleetResult
-	fenceCompleted map[uint64]float64      // fences, by version
-	publications   map[uint64]*publication // publishes that are on their way, by version
-	// States that entries led to, by their digests, and these from the oldest on.
+	fenceCompleted map[uint64]float64      // by version: when its fence was reported complete
+	publications   map[uint64]*publication // by version
+	// States that entries lead to, by the digest of the entry, and their digests from the oldest on.
 	shared       bool
 	derived      map[fleet.Digest]*fleet.State
 	derivedOrder []fleet.Digest
 }
 
-// PlayFleet plays a day.
+// RunFleet simulates a scenario.
 func RunFleet(scenario FleetScenario) FleetResult { return simulateFleet(scenario, true) }
 
-// playFleet is the same; not shared: each member works out by itself what entries lead to.
+// simulateFleet does the same. Unless shared is set, each member computes by itself the states that entries
+// lead to.
 func simulateFleet(scenario FleetScenario, shared bool) FleetResult {
 	s := &fleetSim{scenario: scenario, shared: shared, timing: fleet.Figures{Beat: 250, Lease: 1000, Drift: 0.01}, rnd: rand.New(rand.NewPCG(scenario.Seed, 0x666c6474)), voterIndex: map[uint64]int{},
 		fenceCompleted: map[uint64]float64{}, publications: map[uint64]*publication{}, derived: map[fleet.Digest]*fleet.State{}}
@@ -235,7 +238,8 @@
 	}
 }
 
-// carry brings a message between a member and a voter, either way, with its bytes on the member's account.
+// transmit carries a message between member k and a voter, in either direction, and adds its size to the
+// member's bytes.
 func (s *fleetSim) transmit(k int, size int, action func()) {
 	m := s.members[k]
 	m.bytes += float64(size)
@@ -249,7 +253,8 @@
 	})
 }
 
-// lives tells whether a process of a member is there to act; one that stands still does it when it goes on.
+// whenRunning runs an action if the given run of member k is up. If the member is paused, the action runs
+// when it resumes.
 func (s *fleetSim) whenRunning(k, run int, action func()) {
 	m := s.members[k]
 	if !m.up || m.runCount != run {
@@ -262,7 +267,8 @@
 	action()
 }
 
-// beat tells the council once; further ones follow, unless it is one between others.
+// sendHeartbeat sends one heartbeat to the consensus group. With repeat set, further ones follow at the
+// heartbeat interval.
 func (s *fleetSim) sendHeartbeat(k, run int, repeat bool) {
 	s.whenRunning(k, run, func() {
 		m := s.members[k]
@@ -287,7 +293,7 @@
 			s.countAtLeader(v)
 			c.Beat(s.now, heartbeat, func(renewal fleet.Renewal, err error) {
 				s.countAtLeader(v)
-				if err != nil { // it says who leads
+				if err != nil { // the error names the leader
 					leader := s.leaderOf(v)
 					s.transmit(k, 64, func() { s.whenRunning(k, run, func() { m.leader = leader }) })
 					return
@@ -296,7 +302,7 @@
 					s.whenRunning(k, run, func() {
 						m.leader = v
 						m.leaseHolder.Renewed(sent, renewal)
-						if renewal.Newest > m.leaseHolder.State().Newest() { // the poll that is under way may hang
+						if renewal.Newest > m.leaseHolder.State().Newest() { // the present poll may hang
 							s.startPoll(k, run)
 						}
 						if renewal.Again > 0 {
@@ -318,7 +324,7 @@
 	return -1
 }
 
-// count counts a message at a voter that leads.
+// countAtLeader counts a message at voter v if it leads.
 func (s *fleetSim) countAtLeader(v int) {
 	if c := s.cores[v]; c != nil && c.Book() != nil {
 		s.leaderMessages++
@@ -331,7 +337,7 @@
 		m.pollSeq++
 		m.pollSeq++
 		seq, v := m.pollSeq, s.rnd.IntN(s.scenario.Voters)
-		s.at(s.now+pollTimeout+1000, func() { // no answer: another voter, after a drawn pause
+		s.at(s.now+pollTimeout+1000, func() { // no answer: poll another voter after a random delay
 			if m.pollSeq == seq {
 				s.at(s.now+300*s.rnd.Float64(), func() { s.startPoll(k, run) })
 			}
@@ -344,7 +350,7 @@
 	})
 }
 
-// serve answers a poll once there is something, or once it has waited long enough.
+// answerPoll answers a poll once there is something to send, or at the deadline.
 func (s *fleetSim) answerPoll(v int, poll pollRequest, n uint64, digest fleet.Digest, deadline float64) {
 	var attempt func()
 	attempt = func() {
@@ -387,9 +393,10 @@
 	attempt()
 }
 
-// follow takes further entries. What an entry leads to from the one before it, its digest tells: it is worked out by the first
-// member that comes there and taken over by the others, as processors cost nothing here. Whatever does not fit is the member's
-// own to refuse.
+// followEntries applies further entries to a member. The digest of an entry determines the state that it
+// leads to from the entry before it. So the first member that reaches a state computes it, and the others
+// copy it, because virtual time does not model the cost of processors. An entry that does not fit is left to
+// the member itself to reject.
 func (s *fleetSim) followEntries(holder *fleet.Self, entries []fleet.Entry) error {
 	for k, e := range entries {
 		state := holder.State()
@@ -428,7 +435,7 @@
 	}
 }
 
-// publish asks the leader, again and again until it answers.
+// publish sends a version to the leader and repeats the request until it is answered.
 func (s *fleetSim) publish(n, attempts int) {
 	request := fmt.Sprint("r", n)
 	if attempts > 200 {
@@ -455,7 +462,8 @@
 	})
 }
 
-// tick has voters step, messages between them carried, fences told and acts judged, each millisecond.
+// tick runs every millisecond: it advances the voters, carries the messages between them, records completed
+// fences and checks the members.
 func (s *fleetSim) tick() {
 	for v, c := range s.cores {
 		if c == nil {
@@ -495,7 +503,7 @@
 	s.at(s.now+1, s.tick)
 }
 
-// look judges what members could do now, and how far versions have spread.
+// checkMembers checks which actions members could take now, and how far versions have spread.
 func (s *fleetSim) checkMembers() {
 	fence := uint64(0)
 	for v := range s.fenceCompleted {
--- a/internal/virtualtime/fleet_test.go
+++ b/internal/virtualtime/fleet_test.go
@@ -6,7 +6,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestFleet plays small fleets with faults: no two histories, nobody acting behind a fence that was told.
+// TestFleetUnderFaults simulates small fleets with faults. The history must not diverge, and no member may
+// act on an older version after a fence was reported complete.
 func TestFleetUnderFaults(t *testing.T) {
 	published, fences := 0, 0
 	for seed := range uint64(40) {
@@ -18,11 +19,11 @@
 		fences += r.FencesCompleted
 	}
 	if published < 200 || fences < 80 {
-		t.Errorf("%d versions and %d fences in 40 days: they show little", published, fences)
+		t.Errorf("%d versions and %d fences in 40 runs are too few to show anything", published, fences)
 	}
 }
 
-// TestFleetRepeats: the same seed is the same day, elections included.
+// TestFleetIsDeterministic checks that the same seed gives the same run, including its elections.
 func TestFleetIsDeterministic(t *testing.T) {
 	d := FleetScenario{Members: 20, Voters: 5, Seed: 3, MessageLoss: 0.1, CutShare: 0.2, Faults: 10, Length: 20000}
 	a, b := RunFleet(d), RunFleet(d)
@@ -31,12 +32,13 @@
 	}
 }
 
-// TestShared: that members take over from one another what an entry leads to changes nothing of what comes of a day.
+// TestSharedStatesChangeNothing checks that copying computed states between members does not change the
+// result.
 func TestSharedStatesChangeNothing(t *testing.T) {
 	for seed := range uint64(6) {
 		d := FleetScenario{Members: 12, Voters: 3, Seed: seed, MessageLoss: 0.1, CutShare: 0.2, Faults: 6, Length: 16000}
 		if diff := cmp.Diff(simulateFleet(d, false), simulateFleet(d, true)); diff != "" {
-			t.Errorf("seed %d (-each by itself +shared):\n%s", seed, diff)
+			t.Errorf("seed %d (-computed by each member +shared):\n%s", seed, diff)
 		}
 	}
 }
--- a/internal/virtualtime/virtualtime.go
+++ b/internal/virtualtime/virtualtime.go
@@ -1,6 +1,7 @@
-// Package virtual plays a world in virtual time with whole nodes, reducer, rounds and decisions, hundreds of them in one
-// goroutine. The same experiment and seed give the same history, on any machine. It must never draw by chance, read a
-// clock, or decide anything itself.
+// Package virtualtime runs a model in virtual time with whole nodes, including their event loops, rounds and
+// decisions, hundreds of them in one goroutine. The same experiment and seed give the same history on any
+// machine. The package must never draw random numbers of its own, read a clock, or make a decision for a
+// dispatcher.
 package virtualtime
 
 import (
@@ -15,17 +16,17 @@
 	"weldmast/internal/node"
 )
 
-// epoch is the nodes' time at the model's time 0: far from 0, which stands for long ago.
+// epoch is the nodes' time at the model's time 0. It is far from 0, because 0 stands for long ago.
 const epoch = 1e9
 
-// Start is when clients come: dispatchers are up before them.
+// ArrivalStart is when clients begin to arrive, in milliseconds. Dispatchers are up before it.
 const ArrivalStart = 1000
 
-// Decide makes the decider of one dispatcher; nil in its place: the program's own.
+// NewDecider makes the decider of one dispatcher. A nil NewDecider selects the program's own decider.
 type NewDecider func(s dispatch.Settings, w *fleetmodel.Model) dispatch.Decider
 
-// Play plays an experiment to its end, or until the context ends it: then whole is false, and what is open stays so.
-// Progress, if not nil, is called now and then with the part done.
+// Run runs an experiment to its end, or until the context ends; then complete is false, and open jobs stay
+// open. Progress, if not nil, is called from time to time with the share done.
 func Run(ctx context.Context, experiment *fleetmodel.Experiment, seed uint64, newDecider NewDecider, progress func(float64)) (
 	model *fleetmodel.Model, complete bool, err error) {
 	model = fleetmodel.New(experiment, seed)
@@ -41,7 +42,7 @@
 	model.Begin(d, ArrivalStart)
 	for end, k := ArrivalStart+float64(experiment.Length), 0; !model.Done(); k++ {
 		if model.Next() > end+1e7 || math.IsInf(model.Next(), 1) {
-			return model, false, fmt.Errorf("the day does not end: %.0f ms", model.Now())
+			return model, false, fmt.Errorf("the run does not end: clients still wait at %.0f ms", model.Now())
 		}
 		if model.Step(); k%1000 == 0 {
 			if ctx.Err() != nil {
@@ -52,7 +53,7 @@
 			}
 		}
 	}
-	model.Advance(model.Now() + 1000) // what is still under way is judged too
+	model.Advance(model.Now() + 1000) // messages that are still on their way are checked too
 	model.Checker.Finish(model.Now())
 	return model, true, nil
 }
@@ -62,10 +63,10 @@
 	driver   *driver
 	index    int
 	node     *node.Node
-	wakeSeq  uint64 // number of the present plan to wake it
+	wakeSeq  uint64 // number of the present wake-up; older scheduled ones are ignored
 	stopped  bool
-	paused   bool  // it stands still
-	pending  []any // what came meanwhile
+	paused   bool  // the process is suspended
+	pending  []any // events that arrived meanwhile
 	requests map[string]*node.Client
 }
 
@@ -80,7 +81,7 @@
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError + 1}))
 
-// Start brings a node up. Its seed is new with each start, and follows from the experiment's.
+// StartDispatcher starts a node. Each start gets a new seed, which follows from the experiment's seed.
 func (d *driver) StartDispatcher(index int, known []fleetmodel.WorkerEntry) {
 	s := d.settings[index]
 	d.startCount++
@@ -96,7 +97,8 @@
 	h.scheduleWake(h.node.Begin(h))
 }
 
-// planned sees what a step brought about, and has the node woken when it wants to.
+// scheduleWake reports changes of the node's phase to the model and schedules the time at which the node
+// wants to wake.
 func (h *host) scheduleWake(next float64) {
 	switch h.node.Phase() {
 	case node.Serving:
@@ -123,7 +125,7 @@
 	h.scheduleWake(h.node.Step(values...))
 }
 
-// Freeze has a node stand still, or go on with what came meanwhile.
+// SetPaused suspends a node, or resumes it with the events that arrived meanwhile.
 func (d *driver) SetPaused(index int, on bool) {
 	h := d.hosts[index]
 	if h == nil || h.stopped || h.paused == on {
@@ -136,10 +138,10 @@
 	}
 }
 
-// Trouble is of a fleet's links and folders, which there are none of here yet.
+// SetFleetFault does nothing: virtual time does not model a fleet's links and folders here yet.
 func (d *driver) SetFleetFault(*fleetmodel.Fault, []int, bool) {}
 
-// to gives a value to a dispatcher's node, if it lives.
+// deliver passes an event to a dispatcher's node and reports whether the node runs.
 func (d *driver) deliver(index int, v any) bool {
 	h := d.hosts[index]
 	if h == nil || h.stopped {
@@ -222,57 +224,58 @@
 	}
 }
 
-// Up and Down: the world knows.
+// WorkerStarted does nothing: the model itself knows the state of workers.
 func (d *driver) WorkerStarted(string) {}
 
-// Down as Up.
+// WorkerStopped does nothing, like WorkerStarted.
 func (d *driver) WorkerStopped(string) {}
 
 func (d *driver) StopDispatcher(index int) { d.deliver(index, node.Stop{}) }
 
-// Upgrade and Flood are of processes and connections, which there are none of here.
+// UpgradeDispatcher and FloodConnections do nothing: there are no processes or connections here.
 func (d *driver) UpgradeDispatcher(int)                  {}
 func (d *driver) FloodConnections(int, float64, float64) {}
 
 func (d *driver) ReloadDispatcher(index int) { d.deliver(index, node.Moved{Discovery: "discovery"}) }
 
-// attempt is a hand-off that the node has out.
+// attempt is a hand-off that the node has sent.
 type attempt struct {
 	model   *fleetmodel.Model
 	handOff *fleetmodel.HandOff
 }
 
-// GiveUp has the worker drop it.
+// Cancel makes the worker drop the job.
 func (a attempt) GiveUp() { a.model.CancelHandOff(a.handOff) }
 
-// Taken: each is at once.
-func (a attempt) Accepted() bool { return true }
+// Accepted returns true: a worker takes each hand-off at once.
+func (a attempt) Taken() bool { return true }
 
-// Written: each is at once.
+// Written returns true: each hand-off is written at once.
 func (a attempt) Written() bool { return true }
 
-// Continue has nobody to take one over from.
-func (h *host) AdoptHandOff(s node.HandOffRequest) node.Attempt { return h.Send(s) }
+// AdoptHandOff sends a new hand-off: there is no other process to adopt one from.
+func (h *host) Continue(s node.Sending) node.Attempt { return h.Send(s) }
 
 // Send starts a hand-off.
 func (h *host) Send(s node.Sending) node.Attempt {
 	return attempt{h.driver.model, h.driver.model.HandOff(h.index, s.ID, s.Addr, s)}
 }
 
-// Watch asks discovery.
+// Watch starts a discovery watch.
 func (h *host) Watch(number int, _ string, after int64) { h.driver.model.Watch(h.index, number, after) }
 
-// Unwatch ends a watch; the world has each dispatcher's newest one alone.
+// Unwatch does nothing: the model serves only the newest watch of each dispatcher.
 func (h *host) Unwatch(int) {}
 
-// Tell sends a message to siblings.
+// SendToPeer sends a message to other dispatchers.
 func (h *host) Tell(to int, data []byte) { h.driver.model.SendToPeers(h.index, to, data) }
 
-// Drain and Dismiss close connections of clients; here each request has its own.
-func (h *host) Drain(func() node.TakeoverState) bool { return false }
+// Drain does nothing, like CloseIdle: each request of a client has a connection of its own, so none stays
+// open.
+func (h *host) Drain(func() node.Known) bool { return false }
 
-// Pass has nobody to ask.
-func (h *host) ForwardCallback(c node.Callback) { c.Respond(node.CallbackUnknown) }
+// ForwardCallback answers that the job is unknown: there is no other process to ask.
+func (h *host) Pass(c node.Callback) { c.Answer(node.NotKnown) }
 
-// Dismiss as Drain.
-func (h *host) CloseIdle() {}
+// CloseIdle does nothing, like Drain.
+func (h *host) Dismiss() {}
--- a/internal/virtualtime/virtualtime_test.go
+++ b/internal/virtualtime/virtualtime_test.go
@@ -20,7 +20,7 @@
 	return x
 }
 
-// TestCalm: with room enough, all is answered in time and no rule broken.
+// TestLowLoad checks that with enough capacity, nearly every job is answered in time and no rule is broken.
 func TestLowLoad(t *testing.T) {
 	model, _, err := Run(t.Context(), readExperiment(t, "calm"), 1, nil, nil)
 	if err != nil {
@@ -33,11 +33,12 @@
 		}
 	}
 	if len(model.Jobs) < 10000 || late > len(model.Jobs)/1000 || !model.Checker.Clean() {
-		t.Errorf("%d of %d late; %v", late, len(model.Jobs), model.Checker.Violations)
+		t.Errorf("%d of %d jobs late; violations: %v", late, len(model.Jobs), model.Checker.Violations)
 	}
 }
 
-// TestAllFaults: every trouble on one day breaks no rule, and each leaves its mark on somebody.
+// TestAllFaults checks that a run with every type of fault breaks no rule, and that the faults affect
+// clients.
 func TestAllFaults(t *testing.T) {
 	for seed := range uint64(3) {
 		model, _, err := Run(t.Context(), readExperiment(t, "all-faults"), seed, nil, nil)
@@ -52,15 +53,16 @@
 			t.Errorf("seed %d: %v", seed, v)
 		}
 		if outcomes[fleetmodel.ConnectionLost]+outcomes[fleetmodel.NoDispatcher] == 0 || outcomes[fleetmodel.Deferred] == 0 || outcomes[fleetmodel.ClientLeft] == 0 {
-			t.Errorf("seed %d: no trouble: %v", seed, outcomes)
+			t.Errorf("seed %d: the faults did not affect clients: %v", seed, outcomes)
 		}
 		if outcomes[fleetmodel.Waiting] > 0 || outcomes[fleetmodel.Finished] < len(model.Jobs)*8/10 {
-			t.Errorf("seed %d: %v of %d", seed, outcomes, len(model.Jobs))
+			t.Errorf("seed %d: outcomes %v of %d jobs", seed, outcomes, len(model.Jobs))
 		}
 	}
 }
 
-// TestOddWorlds: no worker, one, one kind, no time at all, the ends of the seeds.
+// TestEdgeCases runs experiments with no worker, one worker, an expiry of 0, simultaneous faults and the loss
+// of all workers, with the smallest and the largest seed.
 func TestEdgeCases(t *testing.T) {
 	for name, text := range map[string]string{
 		"no worker":    "[[kind]]\nname = \"a\"\ncount = 0\n[[category]]\nname = \"c\"\nexpiry = \"300ms\"\n",
@@ -79,7 +81,7 @@
 				t.Fatalf("%s: %v", name, err)
 			}
 			if !model.Checker.Clean() || len(model.Jobs) < 30 {
-				t.Errorf("%s, seed %d: %d jobs, %v", name, seed, len(model.Jobs), model.Checker.Violations)
+				t.Errorf("%s, seed %d: %d jobs, violations %v", name, seed, len(model.Jobs), model.Checker.Violations)
 			}
 		}
 	}
