--- a/internal/fleetmodel/clients.go
+++ b/internal/fleetmodel/clients.go
@@ -142,12 +142,12 @@
 }
 
 // pickWeighted samples an index by weight.
-func pickWeighted(r *rand.Rand, n int, weight func(int) float64) int {
+func pickWeighted(rnd *rand.Rand, n int, weight func(int) float64) int {
 	sum := 0.
 	for k := range n {
 		sum += weight(k)
 	}
-	x := r.Float64() * sum
+	x := rnd.Float64() * sum
 	for k := range n {
 		if x -= weight(k); x < 0 {
 			return k
@@ -160,8 +160,8 @@
 // of another site if its own has none.
 func (m *Model) sendRequest(j *Job) {
 	category := &m.Experiment.Categories[j.Category]
-	left := j.Arrival + float64(category.Expiry) - m.now
-	if left < 0 || left == 0 && category.Expiry > 0 {
+	remaining := j.Arrival + float64(category.Expiry) - m.now
+	if remaining < 0 || remaining == 0 && category.Expiry > 0 {
 		m.finishJob(j, Unanswered)
 		return
 	}
@@ -185,7 +185,7 @@
 	}
 	d := near[m.clientRand.IntN(len(near))]
 	m.requestCount++
-	r := &Request{ID: fmt.Sprintf("%016x", m.idBase+m.requestCount*0x9e3779b97f4a7c15), Job: j, Dispatcher: d.index, Deadline: m.now + left,
+	r := &Request{ID: fmt.Sprintf("%016x", m.idBase+m.requestCount*0x9e3779b97f4a7c15), Job: j, Dispatcher: d.index, Deadline: m.now + remaining,
 		Retry: j.Requests > 1}
 	m.requests[r.ID] = r
 	cut := m.isCut(clientPath, d, j.Site)
--- a/internal/fleetmodel/direct_driver.go
+++ b/internal/fleetmodel/direct_driver.go
@@ -18,8 +18,8 @@
 }
 
 // RequestArrived hands the request off.
-func (p *DirectDriver) RequestArrived(d int, t *Request) {
-	p.Model.HandOff(d, t.ID, p.Pick(t.Job), nil)
+func (p *DirectDriver) RequestArrived(d int, r *Request) {
+	p.Model.HandOff(d, r.ID, p.Pick(r.Job), nil)
 }
 
 // Callback answers the request once its job is done.
--- a/internal/fleetmodel/experiment.go
+++ b/internal/fleetmodel/experiment.go
@@ -64,7 +64,7 @@
 }
 
 // Defaults sets the default values of random faults.
-func (s *Chaos) Defaults() { s.Count, s.From, s.Until, s.MaxTime, s.MaxHit = 12, 1000, 10000, 2000, 3 }
+func (c *Chaos) Defaults() { c.Count, c.From, c.Until, c.MaxTime, c.MaxHit = 12, 1000, 10000, 2000, 3 }
 
 // Dispatchers says how many dispatchers there are and what they may do.
 type Dispatchers struct {
--- a/internal/fleetmodel/misbehaving_dispatcher_test.go
+++ b/internal/fleetmodel/misbehaving_dispatcher_test.go
@@ -13,7 +13,7 @@
 // when its job is done.
 type misbehaving struct {
 	model    *Model
-	fault    string
+	defect   string
 	workers  []string
 	rotation int
 	requests map[string]*Request
@@ -21,8 +21,8 @@
 	states   map[string]dispatch.State
 }
 
-func (c *misbehaving) send(d int, t *Request, to string) {
-	c.handOffs[t.ID] = append(c.handOffs[t.ID], c.model.HandOff(d, t.ID, to, nil))
+func (c *misbehaving) send(d int, r *Request, to string) {
+	c.handOffs[r.ID] = append(c.handOffs[r.ID], c.model.HandOff(d, r.ID, to, nil))
 }
 
 func (c *misbehaving) next() string {
@@ -35,32 +35,32 @@
 	return ""
 }
 
-func (c *misbehaving) RequestArrived(d int, t *Request) {
-	c.requests[t.ID] = t
+func (c *misbehaving) RequestArrived(d int, r *Request) {
+	c.requests[r.ID] = r
 	to := c.next()
-	switch c.fault {
+	switch c.defect {
 	case "drained worker":
-		to = c.workers[t.Job.Number%len(c.workers)]
+		to = c.workers[r.Job.Number%len(c.workers)]
 	case "one cold worker":
 		to = c.workers[0]
 	}
 	if to == "" {
-		c.answer(d, t.ID, RetryLater, "")
+		c.answer(d, r.ID, RetryLater, "")
 		return
 	}
-	if c.send(d, t, to); c.fault == "come again at once" {
-		c.answer(d, t.ID, RetryLater, "")
+	if c.send(d, r, to); c.defect == "come again at once" {
+		c.answer(d, r.ID, RetryLater, "")
 	}
-	if c.fault == "a second copy" {
-		c.send(d, t, c.next())
+	if c.defect == "a second copy" {
+		c.send(d, r, c.next())
 	}
-	if c.fault == "too many hand-offs" {
+	if c.defect == "too many hand-offs" {
 		for range 5 {
-			c.model.CancelHandOff(c.handOffs[t.ID][len(c.handOffs[t.ID])-1])
-			c.send(d, t, c.next())
+			c.model.CancelHandOff(c.handOffs[r.ID][len(c.handOffs[r.ID])-1])
+			c.send(d, r, c.next())
 		}
 	}
-	if c.fault == "an id of its own" {
+	if c.defect == "an id of its own" {
 		c.model.HandOff(d, "made-up", to, nil)
 	}
 }
@@ -73,11 +73,11 @@
 }
 
 func (c *misbehaving) ClientLeft(int, *Request) {}
-func (c *misbehaving) HandOffEnded(d int, h *HandOff, how HandOffResult) {
-	switch how {
+func (c *misbehaving) HandOffEnded(d int, h *HandOff, result HandOffResult) {
+	switch result {
 	case Rejected, ConnectFailed:
-		if t := c.requests[h.ID]; t != nil && len(c.handOffs[h.ID]) < 5 {
-			c.send(d, t, c.next())
+		if r := c.requests[h.ID]; r != nil && len(c.handOffs[h.ID]) < 5 {
+			c.send(d, r, c.next())
 		} else {
 			c.answer(d, h.ID, RetryLater, "")
 		}
@@ -88,12 +88,12 @@
 
 // handOffLost handles a hand-off that may have run.
 func (c *misbehaving) handOffLost(d int, id string) {
-	t := c.requests[id]
+	r := c.requests[id]
 	switch {
-	case t == nil:
-	case c.fault == "exclusive again":
-		c.send(d, t, c.next())
-	case c.fault == "come again after a loss":
+	case r == nil:
+	case c.defect == "exclusive again":
+		c.send(d, r, c.next())
+	case c.defect == "come again after a loss":
 		c.answer(d, id, RetryLater, "")
 	default:
 		c.answer(d, id, OtherStatus, "")
@@ -105,20 +105,20 @@
 	case "lost":
 		c.handOffLost(d, b.ID)
 	case "done":
-		t := c.requests[b.ID]
+		r := c.requests[b.ID]
 		switch {
-		case t == nil:
-		case c.fault == "no answer":
-		case c.fault == "two answers":
+		case r == nil:
+		case c.defect == "no answer":
+		case c.defect == "two answers":
 			c.answer(d, b.ID, Served, b.Result)
 			c.model.Answer(d, b.ID, Served, b.Result, 0)
-		case c.fault == "made up":
+		case c.defect == "made up":
 			c.answer(d, b.ID, Served, "all is well")
-		case c.fault == "late answer":
-			c.model.At(t.Deadline+100, func() { c.answer(d, b.ID, Served, b.Result) })
-		case c.fault == "hand-off after the answer":
+		case c.defect == "late answer":
+			c.model.At(r.Deadline+100, func() { c.answer(d, b.ID, Served, b.Result) })
+		case c.defect == "hand-off after the answer":
 			c.answer(d, b.ID, Served, b.Result)
-			c.send(d, t, c.next())
+			c.send(d, r, c.next())
 		default:
 			c.answer(d, b.ID, Served, b.Result)
 		}
@@ -177,10 +177,10 @@
 // and not before it happens, and that the same dispatcher without a fault gets no violation.
 func TestDetectsEachFault(t *testing.T) {
 	for _, c := range []struct {
-		way, repeat, fault string
-		copies             bool
-		rule               invariants.Rule
-		after              float64 // no violation before this time of the model's clock; clients arrive from 1000 on
+		defect, repeat, fault string
+		copies                bool
+		rule                  invariants.Rule
+		after                 float64 // no violation before this time of the model's clock; clients arrive from 1000 on
 	}{
 		{"none", "exclusive", "", false, "", 0},
 		{"none", "exclusive", "kill", false, "", 0},
@@ -201,7 +201,7 @@
 		{"drained worker", "rerunnable", "drain", true, invariants.DrainRespected, 2500},
 		{"one cold worker", "rerunnable", "cold", true, invariants.NoColdOverload, 2000},
 	} {
-		t.Run(c.way+" "+c.repeat+" "+c.fault, func(t *testing.T) {
+		t.Run(c.defect+" "+c.repeat+" "+c.fault, func(t *testing.T) {
 			text := fmt.Sprintf(misbehavingText, c.copies, c.repeat)
 			if c.fault == "cold" {
 				text += "[workers]\nfall = \"200ms\"\nstart_share = 0.05\n"
@@ -214,25 +214,25 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w := New(x, 7)
-			b := &misbehaving{model: w, fault: c.way, requests: map[string]*Request{}, handOffs: map[string][]*HandOff{},
+			model := New(x, 7)
+			dispatcher := &misbehaving{model: model, defect: c.defect, requests: map[string]*Request{}, handOffs: map[string][]*HandOff{},
 				states: map[string]dispatch.State{}}
-			w.Begin(b, 1000)
-			for !w.Done() && !math.IsInf(w.Next(), 1) {
-				w.Step()
+			model.Begin(dispatcher, 1000)
+			for !model.Done() && !math.IsInf(model.Next(), 1) {
+				model.Step()
 			}
-			w.Advance(w.Now() + 1000)
-			w.Checker.Finish(w.Now())
+			model.Advance(model.Now() + 1000)
+			model.Checker.Finish(model.Now())
 			if c.rule == "" {
-				if !w.Checker.Clean() || w.Checker.Answers < 700 {
-					t.Errorf("%d answers, want at least 700; violations: %v", w.Checker.Answers, w.Checker.Violations[:min(3, len(w.Checker.Violations))])
+				if !model.Checker.Clean() || model.Checker.Answers < 700 {
+					t.Errorf("%d answers, want at least 700; violations: %v", model.Checker.Answers, model.Checker.Violations[:min(3, len(model.Checker.Violations))])
 				}
 				return
 			}
-			if w.Checker.Clean() {
+			if model.Checker.Clean() {
 				t.Fatal("no violation reported")
 			}
-			v := w.Checker.Violations[0]
+			v := model.Checker.Violations[0]
 			if v.Rule != c.rule || v.At < c.after || v.ID == "" {
 				t.Errorf("first violation: %v", v)
 			}
--- a/internal/fleetmodel/model.go
+++ b/internal/fleetmodel/model.go
@@ -17,15 +17,15 @@
 // parameter d is a dispatcher's index.
 type Driver interface {
 	// RequestArrived reports that all bytes of a client's request have reached the dispatcher.
-	RequestArrived(d int, t *Request)
+	RequestArrived(d int, r *Request)
 	// ClientLeft reports that a client closed its connection before it got an answer.
-	ClientLeft(d int, t *Request)
+	ClientLeft(d int, r *Request)
 	// HandOffEnded reports what the dispatcher observes on the connection of a hand-off, Accepted included.
-	HandOffEnded(d int, h *HandOff, how HandOffResult)
+	HandOffEnded(d int, h *HandOff, result HandOffResult)
 	// Callback delivers a worker's callback. It returns false when no process received it.
 	Callback(d int, c Callback) bool
 	// DiscoveryUpdated delivers an update on the dispatcher's discovery watch.
-	DiscoveryUpdated(d int, l DiscoveryUpdate)
+	DiscoveryUpdated(d int, update DiscoveryUpdate)
 	// WatchEnded reports that a discovery watch has ended.
 	WatchEnded(d int, watch int)
 	// PeerMessage delivers a message of another dispatcher.
@@ -43,12 +43,12 @@
 	StopDispatcher(d int)
 	ReloadDispatcher(d int)
 	// UpgradeDispatcher starts a new process that takes over from the dispatcher's present one.
-	// FloodConnections opens rate connections per second for span milliseconds, none of which ever sends a
+	// FloodConnections opens rate connections per second for duration milliseconds, none of which ever sends a
 	// complete request.
 	UpgradeDispatcher(d int)
-	FloodConnections(d int, rate, span float64)
+	FloodConnections(d int, rate, duration float64)
 	// SetPaused suspends the dispatcher's process, or resumes it.
-	SetPaused(d int, on bool)
+	SetPaused(d int, paused bool)
 	// SetFleetFault begins a fault of the fleet's links, folders or operators for the dispatchers hit, and
 	// ends it when called again with on false.
 	SetFleetFault(f *Fault, hit []int, on bool)
@@ -258,20 +258,20 @@
 func (m *Model) Now() float64 { return m.now }
 
 // At schedules an action. An action in the past runs next.
-func (w *Model) At(at float64, action func()) {
-	w.seq++
-	heap.Push(&w.events, &event{max(at, w.now), w.seq, action})
+func (m *Model) At(at float64, action func()) {
+	m.seq++
+	heap.Push(&m.events, &event{max(at, m.now), m.seq, action})
 }
 
 // After schedules an action after a delay.
 func (m *Model) After(delay float64, action func()) { m.At(m.now+delay, action) }
 
 // Next returns the time of the next scheduled action, or infinity when there is none.
-func (w *Model) Next() float64 {
-	if len(w.events) == 0 {
+func (m *Model) Next() float64 {
+	if len(m.events) == 0 {
 		return math.Inf(1)
 	}
-	return w.events[0].at
+	return m.events[0].at
 }
 
 // Step runs the next scheduled action.
@@ -296,13 +296,13 @@
 func (m *Model) Done() bool { return m.arrivalsEnded && m.openJobs == 0 }
 
 // networkDelay returns the one-way delay of a message between two sites.
-func (w *Model) networkDelay(a, b int) float64 {
-	t := float64(w.Experiment.Network.SameSite)
+func (m *Model) networkDelay(a, b int) float64 {
+	t := float64(m.Experiment.Network.SameSite)
 	if a != b {
-		t = float64(w.Experiment.Network.CrossSite)
+		t = float64(m.Experiment.Network.CrossSite)
 	}
-	if j := float64(w.Experiment.Network.Jitter); j > 0 {
-		t += j * w.networkRand.ExpFloat64()
+	if j := float64(m.Experiment.Network.Jitter); j > 0 {
+		t += j * m.networkRand.ExpFloat64()
 	}
 	return t
 }
@@ -318,11 +318,11 @@
 )
 
 // isCut reports whether no message passes at present between dispatcher d and the counterpart at a site.
-func (m *Model) isCut(s networkPath, d *dispatcher, site int) bool {
+func (m *Model) isCut(path networkPath, d *dispatcher, site int) bool {
 	for _, f := range m.activeCuts {
-		of := map[string]networkPath{"workers": workerPath, "clients": clientPath, "siblings": peerPath,
+		cutPath := map[string]networkPath{"workers": workerPath, "clients": clientPath, "siblings": peerPath,
 			"discovery": discoveryPath}[f.Path]
-		if of == s && (f.Site == "" || SiteName(site) == f.Site) && (f.Count == 0 || d.index < f.Count) {
+		if cutPath == path && (f.Site == "" || SiteName(site) == f.Site) && (f.Count == 0 || d.index < f.Count) {
 			return true
 		}
 	}
--- a/internal/fleetmodel/workers.go
+++ b/internal/fleetmodel/workers.go
@@ -32,7 +32,7 @@
 	running     []*execution
 	queue       []*execution
 	advancedTo  float64    // time up to which the progress of running jobs is computed
-	planSeq     uint64     // number of the present schedule; older scheduled ends are ignored
+	scheduleSeq uint64     // number of the present schedule; older scheduled ends are ignored
 	busyCoreMs  float64    // core time used, in milliseconds
 	recentWork  []sentWork // within the overload window, while cold
 	undelivered []*HandOff
@@ -115,9 +115,9 @@
 // advanceWorker brings the progress of a worker's running jobs up to the present.
 func (m *Model) advanceWorker(w *worker) {
 	if elapsed := m.now - w.advancedTo; elapsed > 0 && len(w.running) > 0 {
-		warmth := m.warmthIntegral(w, w.advancedTo, m.now)
+		integral := m.warmthIntegral(w, w.advancedTo, m.now)
 		for _, e := range w.running {
-			e.remaining -= warmth * w.speedPerJob()
+			e.remaining -= integral * w.speedPerJob()
 		}
 		w.busyCoreMs += elapsed * min(float64(len(w.running)), float64(w.spec.Cores))
 	}
@@ -130,27 +130,27 @@
 	if w.startTime < 0 || from >= end {
 		return to - from
 	}
-	warmFrom := min(to, end)
-	return (warmFrom-from)*(m.warmth(w, from)+m.warmth(w, warmFrom))/2 + max(to-end, 0)
+	coldEnd := min(to, end)
+	return (coldEnd-from)*(m.warmth(w, from)+m.warmth(w, coldEnd))/2 + max(to-end, 0)
 }
 
 // timeForWarmth returns how long it takes from now until the integral of the warmth reaches a value.
-func (m *Model) timeForWarmth(w *worker, warmth float64) float64 {
+func (m *Model) timeForWarmth(w *worker, integral float64) float64 {
 	end := w.startTime + float64(m.Experiment.Workers.WarmUpTime)
 	if w.startTime < 0 || m.now >= end {
-		return warmth
+		return integral
 	}
-	if rest := m.warmthIntegral(w, m.now, end); warmth >= rest {
-		return end - m.now + warmth - rest
+	if coldIntegral := m.warmthIntegral(w, m.now, end); integral >= coldIntegral {
+		return end - m.now + integral - coldIntegral
 	}
 	now := m.warmth(w, m.now)
 	slope := (1 - m.Experiment.Workers.StartCapacity) / float64(m.Experiment.Workers.WarmUpTime)
-	return 2 * warmth / (now + math.Sqrt(now*now+2*slope*warmth))
+	return 2 * integral / (now + math.Sqrt(now*now+2*slope*integral))
 }
 
 // scheduleNextEnd schedules the end of the running job that finishes first.
 func (m *Model) scheduleNextEnd(w *worker) {
-	w.planSeq++
+	w.scheduleSeq++
 	if len(w.running) == 0 || !w.up {
 		return
 	}
@@ -160,12 +160,12 @@
 			next = e
 		}
 	}
-	seq, speed := w.planSeq, w.speedPerJob()
+	seq, speed := w.scheduleSeq, w.speedPerJob()
 	if speed <= 0 {
 		return
 	}
 	m.After(m.timeForWarmth(w, max(next.remaining, 0)/speed), func() {
-		if w.planSeq != seq {
+		if w.scheduleSeq != seq {
 			return
 		}
 		m.advanceWorker(w)
@@ -427,7 +427,7 @@
 	lost := append(slices.Clone(w.running), w.queue...)
 	w.up = false
 	w.incarnation++
-	w.planSeq++
+	w.scheduleSeq++
 	w.running, w.queue, w.recentWork = nil, nil, nil
 	for _, e := range lost {
 		if !w.unreachable {
--- a/internal/invariants/cold_budget_test.go
+++ b/internal/invariants/cold_budget_test.go
@@ -13,17 +13,17 @@
 func TestColdBudget(t *testing.T) {
 	const mean = 10.
 	for n, holds := range map[float64]int{4: 4, 25: 30, 100: 120, 400: 442, 2500: 2602} {
-		a := New(Config{Categories: []Category{{}}, MaxHandOffs: 1, WarmUpTime: 1e12, OverloadWindow: 1000, OverloadMultiple: 1, StartCapacity: 0.5, MeanCost: mean})
-		a.WorkerStarted(0, "w", 0, n*mean/0.5/1000, 0)
+		checker := New(Config{Categories: []Category{{}}, MaxHandOffs: 1, WarmUpTime: 1e12, OverloadWindow: 1000, OverloadMultiple: 1, StartCapacity: 0.5, MeanCost: mean})
+		checker.WorkerStarted(0, "w", 0, n*mean/0.5/1000, 0)
 		for d := range 30 {
-			a.DispatcherStarted(0, d)
-			a.WorkerListed(0, d, "w", dispatch.Up, 0)
+			checker.DispatcherStarted(0, d)
+			checker.WorkerListed(0, d, "w", dispatch.Up, 0)
 		}
 		for k := range holds + 1 {
 			id := fmt.Sprint(k)
-			a.RequestReceived(1, k%30, id, 0, k, 1e6)
-			a.HandOffSent(1, k%30, id, 0, "w", mean)
-			if broken := a.Counts[NoColdOverload] > 0; broken != (k == holds) {
+			checker.RequestReceived(1, k%30, id, 0, k, 1e6)
+			checker.HandOffSent(1, k%30, id, 0, "w", mean)
+			if broken := checker.Counts[NoColdOverload] > 0; broken != (k == holds) {
 				t.Fatalf("N %v: violation reported: %v at request %d; %d requests are within the limit", n, broken, k+1, holds)
 			}
 		}
--- a/internal/invariants/fleet_checker.go
+++ b/internal/invariants/fleet_checker.go
@@ -111,8 +111,8 @@
 // sees the newest.
 func (f *FleetChecker) checkHistory() {
 	type state struct {
-		newest uint64
-		made   string // requests with their versions, as text
+		newest   uint64
+		versions string // requests with their versions, as text
 	}
 	type input struct{ request string }
 	type output struct {
@@ -128,29 +128,29 @@
 		if !c.Answered && c.Request == "" {
 			continue // a read without an answer shows nothing
 		}
-		to := c.End
+		returned := c.End
 		if !c.Answered { // it may take effect at any later time, or never
-			to = end + 1e6
+			returned = end + 1e6
 		}
-		history = append(history, porcupine.Operation{ClientId: k, Input: input{c.Request}, Call: int64(c.Start * 1000), Output: output{c.Answered, c.Version}, Return: int64(to * 1000)})
+		history = append(history, porcupine.Operation{ClientId: k, Input: input{c.Request}, Call: int64(c.Start * 1000), Output: output{c.Answered, c.Version}, Return: int64(returned * 1000)})
 	}
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{state{}} },
 		Step: func(prev, in, out any) []any {
-			s, request, reply := prev.(state), in.(input), out.(output)
-			if request.request == "" {
+			s, call, reply := prev.(state), in.(input), out.(output)
+			if call.request == "" {
 				if reply.version == s.newest {
 					return []any{s}
 				}
 				return nil
 			}
-			if v, ok := versionOf(s.made, request.request); ok {
+			if v, ok := versionOf(s.versions, call.request); ok {
 				if !reply.known || reply.version == v {
 					return []any{s}
 				}
 				return nil
 			}
-			next := state{s.newest + 1, fmt.Sprintf("%s%s=%d;", s.made, request.request, s.newest+1)}
+			next := state{s.newest + 1, fmt.Sprintf("%s%s=%d;", s.versions, call.request, s.newest+1)}
 			if !reply.known {
 				return []any{s, next}
 			}
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -91,14 +91,14 @@
 	Counts                map[Rule]int
 	Answers               int // given to clients
 	items                 map[string]*item
-	received              []*item
+	received              []*item // in order of arrival
 	workers               map[string]*worker
 	knownWorkers          []map[string]knownState // by dispatcher and worker
-	incarnations          []int
-	exclusiveStarts       map[int]int // starts of each exclusive job
-	results               map[string][]string
-	pausedSince           map[int]float64 // by dispatcher whose process is suspended: since when
-	UnansweredWhilePaused int             // work items without an answer only because their dispatcher was suspended
+	incarnations          []int                   // number of each dispatcher\'s present process
+	exclusiveStarts       map[int]int             // starts of each exclusive job
+	results               map[string][]string     // of workers, by ID of the work item
+	pausedSince           map[int]float64         // by dispatcher whose process is suspended: since when
+	UnansweredWhilePaused int                     // work items without an answer only because their dispatcher was suspended
 }
 
 type item struct {
@@ -116,8 +116,8 @@
 
 // latestAnswer returns the time by which an item must be answered. For a process that was suspended, the
 // limit counts from its resumption.
-func (a *Checker) latestAnswer(it *item) float64 {
-	return max(it.deadline, it.resumedAt) + a.config.AnswerSlack + messageSlack
+func (c *Checker) latestAnswer(it *item) float64 {
+	return max(it.deadline, it.resumedAt) + c.config.AnswerSlack + messageSlack
 }
 
 // handOff is one hand-off of a work item.
@@ -152,120 +152,120 @@
 		exclusiveStarts: map[int]int{}, results: map[string][]string{}, pausedSince: map[int]float64{}}
 }
 
-func (a *Checker) report(at float64, rule Rule, id string, d int, worker, format string, args ...any) {
-	a.Counts[rule]++
-	if len(a.Violations) < maxViolations {
-		a.Violations = append(a.Violations, Violation{at, rule, id, d, worker, fmt.Sprintf(format, args...)})
+func (c *Checker) report(at float64, rule Rule, id string, d int, worker, format string, args ...any) {
+	c.Counts[rule]++
+	if len(c.Violations) < maxViolations {
+		c.Violations = append(c.Violations, Violation{at, rule, id, d, worker, fmt.Sprintf(format, args...)})
 	}
 }
 
 // DispatcherStarted records that a process of the dispatcher started. It knows only what it is notified of
 // from now on.
-func (a *Checker) DispatcherStarted(_ float64, d int) {
-	for len(a.knownWorkers) <= d {
-		a.knownWorkers = append(a.knownWorkers, nil)
-		a.incarnations = append(a.incarnations, 0)
+func (c *Checker) DispatcherStarted(_ float64, d int) {
+	for len(c.knownWorkers) <= d {
+		c.knownWorkers = append(c.knownWorkers, nil)
+		c.incarnations = append(c.incarnations, 0)
 	}
-	a.incarnations[d]++
-	delete(a.pausedSince, d)
-	a.knownWorkers[d] = map[string]knownState{}
+	c.incarnations[d]++
+	delete(c.pausedSince, d)
+	c.knownWorkers[d] = map[string]knownState{}
 }
 
 // DispatcherDied records that the dispatcher's process ended. Requests that it had not answered are lost with
 // it, which is no violation, because no dispatcher can prevent it.
-func (a *Checker) DispatcherDied(_ float64, d int) {
-	for _, it := range a.received {
-		if it.dispatcher == d && it.incarnation == a.incarnations[d] && it.answers == 0 {
+func (c *Checker) DispatcherDied(_ float64, d int) {
+	for _, it := range c.received {
+		if it.dispatcher == d && it.incarnation == c.incarnations[d] && it.answers == 0 {
 			it.dispatcherDied = true
 		}
 	}
-	a.received = slices.DeleteFunc(a.received, func(it *item) bool { return it.answers > 0 })
+	c.received = slices.DeleteFunc(c.received, func(it *item) bool { return it.answers > 0 })
 }
 
 // DispatcherPaused records that the dispatcher's process is suspended from now on. It is not bound by limits
 // until DispatcherResumed or DispatcherDied is called.
-func (a *Checker) DispatcherPaused(at float64, d int) { a.pausedSince[d] = at }
+func (c *Checker) DispatcherPaused(at float64, d int) { c.pausedSince[d] = at }
 
 // DispatcherResumed records that the dispatcher's process continues. It must answer overdue requests at once.
 // Drains of which it was notified while suspended, or too shortly before to act on them, count as notified
 // now.
-func (a *Checker) DispatcherResumed(at float64, d int) {
-	pausedAt, ok := a.pausedSince[d]
+func (c *Checker) DispatcherResumed(at float64, d int) {
+	pausedAt, ok := c.pausedSince[d]
 	if !ok {
 		return
 	}
-	delete(a.pausedSince, d)
-	for _, it := range a.received {
-		if it.dispatcher == d && it.incarnation == a.incarnations[d] && it.answers == 0 {
+	delete(c.pausedSince, d)
+	for _, it := range c.received {
+		if it.dispatcher == d && it.incarnation == c.incarnations[d] && it.answers == 0 {
 			it.resumedAt = at
 		}
 	}
-	for id, w := range a.knownWorkers[d] {
-		if w.knownSince+a.config.DrainGrace+messageSlack > pausedAt {
+	for id, w := range c.knownWorkers[d] {
+		if w.knownSince+c.config.DrainGrace+messageSlack > pausedAt {
 			w.knownSince = at
-			a.knownWorkers[d][id] = w
+			c.knownWorkers[d][id] = w
 		}
 	}
 }
 
 // RequestReceived records that the last byte of a request has reached the dispatcher. The job number is the
 // same for all requests that a client sends for one job.
-func (a *Checker) RequestReceived(_ float64, d int, id string, category, job int, deadline float64) {
-	it := &item{id: id, dispatcher: d, incarnation: a.incarnations[d], category: category, job: job, deadline: deadline}
-	a.items[id] = it
-	a.received = append(a.received, it)
+func (c *Checker) RequestReceived(_ float64, d int, id string, category, job int, deadline float64) {
+	it := &item{id: id, dispatcher: d, incarnation: c.incarnations[d], category: category, job: job, deadline: deadline}
+	c.items[id] = it
+	c.received = append(c.received, it)
 }
 
 // RequestNotReceived records that the request never reached the dispatcher, contrary to RequestReceived.
-func (a *Checker) RequestNotReceived(id string) {
-	if it := a.items[id]; it != nil && len(it.handOffs) == 0 {
+func (c *Checker) RequestNotReceived(id string) {
+	if it := c.items[id]; it != nil && len(it.handOffs) == 0 {
 		it.clientLeft = true
 	}
 }
 
 // ClientLeft records that the client closed its connection before an answer. A client may leave at any time;
 // but if it waited longer than any answer may take, the work item is lost.
-func (a *Checker) ClientLeft(at float64, id string) {
-	it := a.items[id]
+func (c *Checker) ClientLeft(at float64, id string) {
+	it := c.items[id]
 	if it == nil || it.answers > 0 || it.clientLeft {
 		return
 	}
 	it.clientLeft = true
-	if _, frozen := a.pausedSince[it.dispatcher]; frozen {
-		a.UnansweredWhilePaused++
+	if _, frozen := c.pausedSince[it.dispatcher]; frozen {
+		c.UnansweredWhilePaused++
 		return
 	}
-	if at > a.latestAnswer(it) {
-		a.report(at, NoItemLost, id, it.dispatcher, "", "not answered when its client left %.1f ms after its deadline", at-it.deadline)
+	if at > c.latestAnswer(it) {
+		c.report(at, NoItemLost, id, it.dispatcher, "", "not answered when its client left %.1f ms after its deadline", at-it.deadline)
 	}
 }
 
 // Answered records that the last byte of an answer left the dispatcher. With comeAgain, the answer says that
 // a retry is harmless.
-func (a *Checker) Answered(at float64, id string, served, comeAgain bool, body string) {
-	a.Answers++
-	it := a.items[id]
+func (c *Checker) Answered(at float64, id string, served, comeAgain bool, body string) {
+	c.Answers++
+	it := c.items[id]
 	if it == nil {
-		a.report(at, NoItemLost, id, -1, "", "answered, but nobody asked")
+		c.report(at, NoItemLost, id, -1, "", "answered, but nobody asked")
 		return
 	}
 	it.answers++
 	switch {
 	case it.answers > 1:
-		a.report(at, NoItemLost, id, it.dispatcher, "", "answer %d to one request", it.answers)
+		c.report(at, NoItemLost, id, it.dispatcher, "", "answer %d to one request", it.answers)
 	case it.clientLeft: // nobody reads the answer; a late one was reported when the client left
-	case at > a.latestAnswer(it):
-		a.report(at, NoItemLost, id, it.dispatcher, "", "answered %.1f ms after its deadline", at-it.deadline)
+	case at > c.latestAnswer(it):
+		c.report(at, NoItemLost, id, it.dispatcher, "", "answered %.1f ms after its deadline", at-it.deadline)
 	}
-	if served && !slices.Contains(a.results[id], body) {
-		a.report(at, NoItemLost, id, it.dispatcher, "", "served with what no worker made for it")
+	if served && !slices.Contains(c.results[id], body) {
+		c.report(at, NoItemLost, id, it.dispatcher, "", "served with what no worker made for it")
 	}
-	if c := a.config.Categories[it.category]; comeAgain && c.RepeatPolicy != dispatch.Rerunnable &&
+	if category := c.config.Categories[it.category]; comeAgain && category.RepeatPolicy != dispatch.Rerunnable &&
 		// here the ticket also covers a retry
-		!(c.RepeatPolicy == dispatch.Ticketed && c.DedupScope == dispatch.GroupAll) {
+		!(category.RepeatPolicy == dispatch.Ticketed && category.DedupScope == dispatch.GroupAll) {
 		for _, h := range it.handOffs {
 			if !h.notRun {
-				a.report(at, NoDoubleEffect, id, it.dispatcher, h.worker, "told to come again, though it may have run")
+				c.report(at, NoDoubleEffect, id, it.dispatcher, h.worker, "told to come again, though it may have run")
 				break
 			}
 		}
@@ -273,141 +273,141 @@
 }
 
 // WorkerListed records that discovery has reported a worker's state and start time to the dispatcher.
-func (a *Checker) WorkerListed(at float64, d int, worker string, state dispatch.State, startTime float64) {
-	previous, known := a.knownWorkers[d][worker]
+func (c *Checker) WorkerListed(at float64, d int, worker string, state dispatch.State, startTime float64) {
+	previous, known := c.knownWorkers[d][worker]
 	switch {
 	case known && previous.state == state:
 		at = previous.knownSince
-	case known && previous.state == dispatch.Up && state == dispatch.Gone && a.config.OnlyDrainingBinds:
+	case known && previous.state == dispatch.Up && state == dispatch.Gone && c.config.OnlyDrainingBinds:
 		return
 	}
-	a.knownWorkers[d][worker] = knownState{state, at, startTime}
+	c.knownWorkers[d][worker] = knownState{state, at, startTime}
 }
 
 // WorkerStarted records that a worker's process started at a time; a negative time means long ago. The
 // capacity is the work per millisecond when warm.
-func (a *Checker) WorkerStarted(_ float64, id string, site int, capacity, startTime float64) {
-	a.workers[id] = &worker{site: site, capacity: capacity, startTime: startTime}
+func (c *Checker) WorkerStarted(_ float64, id string, site int, capacity, startTime float64) {
+	c.workers[id] = &worker{site: site, capacity: capacity, startTime: startTime}
 }
 
 // HandOffSent records that the first byte of hand-off n of a work item left for a worker. The hint is the
 // cost as far as the dispatcher could know it.
-func (a *Checker) HandOffSent(at float64, d int, id string, n int, workerID string, hint float64) {
-	it := a.items[id]
+func (c *Checker) HandOffSent(at float64, d int, id string, n int, workerID string, hint float64) {
+	it := c.items[id]
 	if it == nil {
-		a.report(at, NoDoubleEffect, id, d, workerID, "handed off under an id that no client sent")
+		c.report(at, NoDoubleEffect, id, d, workerID, "handed off under an id that no client sent")
 		return
 	}
-	if w := a.knownWorkers[d][workerID]; w.state != dispatch.Up && at > w.knownSince+a.config.DrainGrace+messageSlack {
-		a.report(at, DrainRespected, id, d, workerID, "handed off %.1f ms after the drain was told", at-w.knownSince)
+	if w := c.knownWorkers[d][workerID]; w.state != dispatch.Up && at > w.knownSince+c.config.DrainGrace+messageSlack {
+		c.report(at, DrainRespected, id, d, workerID, "handed off %.1f ms after the drain was told", at-w.knownSince)
 	}
-	if n >= a.config.MaxHandOffs {
-		a.report(at, NoDoubleEffect, id, d, workerID, "hand-off %d of at most %d", n+1, a.config.MaxHandOffs)
+	if n >= c.config.MaxHandOffs {
+		c.report(at, NoDoubleEffect, id, d, workerID, "hand-off %d of at most %d", n+1, c.config.MaxHandOffs)
 	}
 	if it.answers > 0 {
-		a.report(at, NoDoubleEffect, id, d, workerID, "handed off after its answer")
+		c.report(at, NoDoubleEffect, id, d, workerID, "handed off after its answer")
 	}
-	c := a.config.Categories[it.category]
+	category := c.config.Categories[it.category]
 	for _, h := range it.handOffs {
 		switch {
 		case h.notRun:
 			continue
-		case c.RepeatPolicy == dispatch.Exclusive:
-			a.report(at, NoDoubleEffect, id, d, workerID, "exclusive, handed off again though it may have run at %s", h.worker)
-		case c.RepeatPolicy == dispatch.Ticketed && (at-h.at > c.DedupWindow+messageSlack || !a.sameGroup(c.DedupScope, h.worker, workerID)):
-			a.report(at, NoDoubleEffect, id, d, workerID, "ticketed, handed off again where %s's ticket does not hold", h.worker)
-		case !h.ended && !a.config.SecondCopies:
-			a.report(at, NoDoubleEffect, id, d, workerID, "a second copy while one is at %s", h.worker)
+		case category.RepeatPolicy == dispatch.Exclusive:
+			c.report(at, NoDoubleEffect, id, d, workerID, "exclusive, handed off again though it may have run at %s", h.worker)
+		case category.RepeatPolicy == dispatch.Ticketed && (at-h.at > category.DedupWindow+messageSlack || !c.sameGroup(category.DedupScope, h.worker, workerID)):
+			c.report(at, NoDoubleEffect, id, d, workerID, "ticketed, handed off again where %s's ticket does not hold", h.worker)
+		case !h.ended && !c.config.SecondCopies:
+			c.report(at, NoDoubleEffect, id, d, workerID, "a second copy while one is at %s", h.worker)
 		default:
 			continue
 		}
 		break
 	}
 	it.handOffs = append(it.handOffs, handOff{at: at, worker: workerID})
-	a.checkColdBudget(at, d, id, workerID, hint)
+	c.checkColdBudget(at, d, id, workerID, hint)
 }
 
-func (a *Checker) sameGroup(g dispatch.DedupScope, one, other string) bool {
-	x, y := a.workers[one], a.workers[other]
-	return g != dispatch.DedupZone || x != nil && y != nil && x.site == y.site
+func (c *Checker) sameGroup(g dispatch.Group, one, other string) bool {
+	x, y := c.workers[one], c.workers[other]
+	return g != dispatch.GroupZone || x != nil && y != nil && x.site == y.site
 }
 
 // checkColdBudget adds up the work that all dispatchers send to a cold worker within a window. A single work
 // item from senders that know that the worker is cold is always allowed. There is no violation while more
 // than a third of the work comes from senders that could not know it.
-func (a *Checker) checkColdBudget(at float64, d int, id, workerID string, hint float64) {
-	w := a.workers[workerID]
-	if w == nil || w.startTime < 0 || at >= w.startTime+a.config.WarmUpTime {
+func (c *Checker) checkColdBudget(at float64, d int, id, workerID string, hint float64) {
+	w := c.workers[workerID]
+	if w == nil || w.startTime < 0 || at >= w.startTime+c.config.WarmUpTime {
 		return
 	}
-	w.recentWork = slices.DeleteFunc(w.recentWork, func(s sentWork) bool { return s.at <= at-a.config.OverloadWindow })
-	w.recentWork = append(w.recentWork, sentWork{at, hint, a.knownWorkers[d][workerID].startTime >= w.startTime})
-	sum, senderKnew, largest, knowing := 0., 0., 0., 0
+	w.recentWork = slices.DeleteFunc(w.recentWork, func(s sentWork) bool { return s.at <= at-c.config.OverloadWindow })
+	w.recentWork = append(w.recentWork, sentWork{at, hint, c.knownWorkers[d][workerID].startTime >= w.startTime})
+	sum, knownSum, largest, knowing := 0., 0., 0., 0
 	for _, s := range w.recentWork {
 		sum, largest = sum+s.cost, max(largest, s.cost)
 		if s.senderKnew {
-			senderKnew += s.cost
+			knownSum += s.cost
 			knowing++
 		}
 	}
-	warmth := a.config.StartCapacity + (1-a.config.StartCapacity)*max(at-w.startTime, 0)/a.config.WarmUpTime
-	if limit := a.config.maxColdWork(a.config.OverloadMultiple*warmth*w.capacity*a.config.OverloadWindow, largest); knowing > 1 && sum > limit && senderKnew >= sum*2/3 {
-		a.report(at, NoColdOverload, id, d, workerID, "sent work of %.1f ms within %.0f ms, %.1f are its most", sum, a.config.OverloadWindow, limit)
+	warmth := c.config.StartCapacity + (1-c.config.StartCapacity)*max(at-w.startTime, 0)/c.config.WarmUpTime
+	if limit := c.config.maxColdWork(c.config.OverloadMultiple*warmth*w.capacity*c.config.OverloadWindow, largest); knowing > 1 && sum > limit && knownSum >= sum*2/3 {
+		c.report(at, NoColdOverload, id, d, workerID, "sent work of %.1f ms within %.0f ms, %.1f are its most", sum, c.config.OverloadWindow, limit)
 	}
 }
 
-func (a *Checker) findHandOff(id string, n int) *handOff {
-	if it := a.items[id]; it != nil && n >= 0 && n < len(it.handOffs) {
+func (c *Checker) findHandOff(id string, n int) *handOff {
+	if it := c.items[id]; it != nil && n >= 0 && n < len(it.handOffs) {
 		return &it.handOffs[n]
 	}
 	return nil
 }
 
 // HandOffNotRun records that the dispatcher has been notified that the hand-off never ran.
-func (a *Checker) HandOffNotRun(_ float64, id string, n int) {
-	if h := a.findHandOff(id, n); h != nil {
+func (c *Checker) HandOffNotRun(_ float64, id string, n int) {
+	if h := c.findHandOff(id, n); h != nil {
 		h.notRun, h.ended = true, true
 	}
 }
 
 // HandOffEnded records that the dispatcher has been notified of the hand-off's end, whether or not it ran.
-func (a *Checker) HandOffEnded(_ float64, id string, n int) {
-	if h := a.findHandOff(id, n); h != nil {
+func (c *Checker) HandOffEnded(_ float64, id string, n int) {
+	if h := c.findHandOff(id, n); h != nil {
 		h.ended = true
 	}
 }
 
 // HandOffCancelled records that the dispatcher closed the hand-off's connection or sent a DELETE.
-func (a *Checker) HandOffCancelled(at float64, id string, n int) { a.HandOffEnded(at, id, n) }
+func (c *Checker) HandOffCancelled(at float64, id string, n int) { c.HandOffEnded(at, id, n) }
 
 // JobStarted records that a worker runs the work item, which may have its effect from now on.
-func (a *Checker) JobStarted(at float64, id string, n, job int) {
-	it, h := a.items[id], a.findHandOff(id, n)
+func (c *Checker) JobStarted(at float64, id string, n, job int) {
+	it, h := c.items[id], c.findHandOff(id, n)
 	if it == nil || h == nil {
-		a.report(at, NoDoubleEffect, id, -1, "", "runs, but was never handed off")
+		c.report(at, NoDoubleEffect, id, -1, "", "runs, but was never handed off")
 		return
 	}
 	if h.notRun {
-		a.report(at, NoDoubleEffect, id, it.dispatcher, h.worker, "runs, though it was told to have not: the stand-in is wrong")
+		c.report(at, NoDoubleEffect, id, it.dispatcher, h.worker, "runs, though it was told to have not: the stand-in is wrong")
 	}
-	if a.config.Categories[it.category].RepeatPolicy == dispatch.Exclusive {
-		if a.exclusiveStarts[job]++; a.exclusiveStarts[job] > 1 {
-			a.report(at, NoDoubleEffect, id, it.dispatcher, h.worker, "one client's exclusive wish runs for time %d", a.exclusiveStarts[job])
+	if c.config.Categories[it.category].RepeatPolicy == dispatch.Exclusive {
+		if c.exclusiveStarts[job]++; c.exclusiveStarts[job] > 1 {
+			c.report(at, NoDoubleEffect, id, it.dispatcher, h.worker, "one client's exclusive wish runs for time %d", c.exclusiveStarts[job])
 		}
 	}
 }
 
 // JobFinished records that a worker has a result for the work item.
-func (a *Checker) JobFinished(id, result string) { a.results[id] = append(a.results[id], result) }
+func (c *Checker) JobFinished(id, result string) { c.results[id] = append(c.results[id], result) }
 
 // Finish ends the check: a work item that still has no answer is lost.
-func (a *Checker) Finish(at float64) {
-	for _, it := range a.received {
+func (c *Checker) Finish(at float64) {
+	for _, it := range c.received {
 		if it.answers == 0 && !it.clientLeft && !it.dispatcherDied {
-			a.report(at, NoItemLost, it.id, it.dispatcher, "", "never answered")
+			c.report(at, NoItemLost, it.id, it.dispatcher, "", "never answered")
 		}
 	}
 }
 
 // Clean reports whether no rule was broken.
-func (a *Checker) Clean() bool { return len(a.Violations) == 0 }
+func (c *Checker) Clean() bool { return len(c.Violations) == 0 }
--- a/internal/virtualtime/fleet.go
+++ b/internal/virtualtime/fleet.go
@@ -116,7 +116,7 @@
 	rnd            *rand.Rand
 	queue          fleetQueue
 	seq            int
-	cores          []*council.Core
+	voters         []*council.Core
 	stores         []*voterStore
 	voterIndex     map[uint64]int
 	members        []*fleetMember
@@ -146,7 +146,7 @@
 	}
 	for range scenario.Voters {
 		s.stores = append(s.stores, &voterStore{council.First("lab", voters)})
-		s.cores = append(s.cores, nil)
+		s.voters = append(s.voters, nil)
 	}
 	for k := range scenario.Voters {
 		s.startVoter(k)
@@ -165,20 +165,20 @@
 		}
 	}
 	for range scenario.Faults {
-		k, at, span := s.rnd.IntN(scenario.Members), 3000+s.rnd.Float64()*max(scenario.Length-9000, 0), 100+s.rnd.Float64()*2500
+		k, at, duration := s.rnd.IntN(scenario.Members), 3000+s.rnd.Float64()*max(scenario.Length-9000, 0), 100+s.rnd.Float64()*2500
 		switch s.rnd.IntN(4) {
 		case 0:
 			s.at(at, func() { s.stopMember(k) })
-			s.at(at+span, func() { s.startMember(k) })
+			s.at(at+duration, func() { s.startMember(k) })
 		case 1:
 			s.at(at, func() { s.members[k].cut = true })
-			s.at(at+span, func() { s.members[k].cut = false })
+			s.at(at+duration, func() { s.members[k].cut = false })
 		case 2:
-			s.at(at, func() { s.members[k].pausedUntil = s.now + span })
+			s.at(at, func() { s.members[k].pausedUntil = s.now + duration })
 		case 3:
 			v := s.rnd.IntN(scenario.Voters)
-			s.at(at, func() { s.cores[v] = nil })
-			s.at(at+span, func() { s.startVoter(v) })
+			s.at(at, func() { s.voters[v] = nil })
+			s.at(at+duration, func() { s.startVoter(v) })
 		}
 	}
 	for len(s.queue) > 0 && s.now < scenario.Length && s.result.Violation == "" {
@@ -203,7 +203,7 @@
 		s.violated("voter %d: %v", k, err)
 		return
 	}
-	s.cores[k] = c
+	s.voters[k] = c
 }
 
 func (s *fleetSim) violated(format string, a ...any) {
@@ -286,7 +286,7 @@
 		m.leader = -1 // until it answers
 		sent := s.now
 		s.transmit(k, len(fleet.Encode(heartbeat)), func() {
-			c := s.cores[v]
+			c := s.voters[v]
 			if c == nil {
 				return
 			}
@@ -316,7 +316,7 @@
 }
 
 func (s *fleetSim) leaderOf(v int) int {
-	if c := s.cores[v]; c != nil {
+	if c := s.voters[v]; c != nil {
 		if k, ok := s.voterIndex[c.Lead()]; ok {
 			return k
 		}
@@ -326,7 +326,7 @@
 
 // countAtLeader counts a message at voter v if it leads.
 func (s *fleetSim) countAtLeader(v int) {
-	if c := s.cores[v]; c != nil && c.Book() != nil {
+	if c := s.voters[v]; c != nil && c.Book() != nil {
 		s.leaderMessages++
 	}
 }
@@ -354,7 +354,7 @@
 func (s *fleetSim) answerPoll(v int, poll pollRequest, n uint64, digest fleet.Digest, deadline float64) {
 	var attempt func()
 	attempt = func() {
-		c := s.cores[v]
+		c := s.voters[v]
 		if c == nil {
 			return
 		}
@@ -443,7 +443,7 @@
 		return
 	}
 	answered := false
-	for _, c := range s.cores {
+	for _, c := range s.voters {
 		if c != nil && c.Book() != nil {
 			c.Propose(s.now, fleet.Command{Kind: fleet.Published, Request: request, Text: []byte(`{"mark":"` + request + `"}`), Fence: n%2 == 1}, func(r fleet.Result, err error) {
 				if err == nil && !answered {
@@ -465,7 +465,7 @@
 // tick runs every millisecond: it advances the voters, carries the messages between them, records completed
 // fences and checks the members.
 func (s *fleetSim) tick() {
-	for v, c := range s.cores {
+	for v, c := range s.voters {
 		if c == nil {
 			continue
 		}
@@ -479,12 +479,12 @@
 				continue
 			}
 			s.at(s.now+linkDelay*(1+s.rnd.Float64()), func() {
-				if c := s.cores[to]; c != nil {
+				if c := s.voters[to]; c != nil {
 					s.countAtLeader(to)
 					c.Receive(s.now, message.Data)
 				}
-				if message.Snap && s.cores[v] != nil {
-					s.cores[v].SnapshotSent(s.now, message.To, true)
+				if message.Snap && s.voters[v] != nil {
+					s.voters[v].SnapshotSent(s.now, message.To, true)
 				}
 			})
 		}
--- a/internal/virtualtime/virtualtime.go
+++ b/internal/virtualtime/virtualtime.go
@@ -126,12 +126,12 @@
 }
 
 // SetPaused suspends a node, or resumes it with the events that arrived meanwhile.
-func (d *driver) SetPaused(index int, on bool) {
+func (d *driver) SetPaused(index int, paused bool) {
 	h := d.hosts[index]
-	if h == nil || h.stopped || h.paused == on {
+	if h == nil || h.stopped || h.paused == paused {
 		return
 	}
-	if h.paused = on; !on {
+	if h.paused = paused; !paused {
 		held := h.pending
 		h.pending = nil
 		h.step(held...)
@@ -151,32 +151,32 @@
 	return true
 }
 
-func (d *driver) RequestArrived(index int, t *fleetmodel.Request) {
+func (d *driver) RequestArrived(index int, r *fleetmodel.Request) {
 	h := d.hosts[index]
 	if h == nil || h.stopped {
 		return
 	}
-	j := t.Job
-	c := &node.Client{ID: t.ID, Category: j.Category, Tenant: j.Tenant, Hint: j.Hint,
-		Expiry: epoch + d.model.Now() + min(t.Deadline-d.model.Now(), float64(d.model.Experiment.Categories[j.Category].Expiry))}
-	h.requests[t.ID] = c
-	c.Answer = func(r node.Reply) {
-		delete(h.requests, t.ID)
-		switch r.Result {
+	j := r.Job
+	c := &node.Client{ID: r.ID, Category: j.Category, Tenant: j.Tenant, Hint: j.Hint,
+		Expiry: epoch + d.model.Now() + min(r.Deadline-d.model.Now(), float64(d.model.Experiment.Categories[j.Category].Expiry))}
+	h.requests[r.ID] = c
+	c.Answer = func(reply node.Reply) {
+		delete(h.requests, r.ID)
+		switch reply.Result {
 		case node.Served:
-			d.model.Answer(index, t.ID, fleetmodel.Served, r.Body, 0)
+			d.model.Answer(index, r.ID, fleetmodel.Served, reply.Body, 0)
 		case node.Deferred:
-			d.model.Answer(index, t.ID, fleetmodel.RetryLater, "", r.Pause)
+			d.model.Answer(index, r.ID, fleetmodel.RetryLater, "", reply.Pause)
 		case node.Gone:
 		default:
-			d.model.Answer(index, t.ID, fleetmodel.OtherStatus, "", 0)
+			d.model.Answer(index, r.ID, fleetmodel.OtherStatus, "", 0)
 		}
 	}
 	h.step(node.RequestArrived{Request: c})
 }
 
-func (d *driver) ClientLeft(index int, t *fleetmodel.Request) {
-	if c := d.hosts[index].requests[t.ID]; c != nil {
+func (d *driver) ClientLeft(index int, r *fleetmodel.Request) {
+	if c := d.hosts[index].requests[r.ID]; c != nil {
 		d.deliver(index, node.Departed{Client: c})
 	}
 }
@@ -184,10 +184,10 @@
 var handOffOutcomes = map[fleetmodel.HandOffResult]dispatch.Outcome{fleetmodel.Rejected: dispatch.Full, fleetmodel.ConnectFailed: dispatch.ConnectFailed,
 	fleetmodel.ConnectionReset: dispatch.Reset, fleetmodel.Failed: dispatch.Failed, fleetmodel.Cancelled: dispatch.Cancelled}
 
-func (d *driver) HandOffEnded(index int, h *fleetmodel.HandOff, how fleetmodel.HandOffResult) {
-	if how != fleetmodel.Accepted {
+func (d *driver) HandOffEnded(index int, h *fleetmodel.HandOff, result fleetmodel.HandOffResult) {
+	if result != fleetmodel.Accepted {
 		s := h.Tag.(node.Sending)
-		d.deliver(index, node.Ended{WI: s.WI, HO: s.HO, Outcome: handOffOutcomes[how]})
+		d.deliver(index, node.Ended{WI: s.WI, HO: s.HO, Outcome: handOffOutcomes[result]})
 	}
 }
 
@@ -211,8 +211,8 @@
 	return list
 }
 
-func (d *driver) DiscoveryUpdated(index int, l fleetmodel.DiscoveryUpdate) {
-	d.deliver(index, node.Listing{Watch: l.Watch, Revision: l.Revision, Complete: l.Complete, Members: discoveryMembers(l.Workers)})
+func (d *driver) DiscoveryUpdated(index int, update fleetmodel.DiscoveryUpdate) {
+	d.deliver(index, node.Listing{Watch: update.Watch, Revision: update.Revision, Complete: update.Complete, Members: discoveryMembers(update.Workers)})
 }
 func (d *driver) WatchEnded(index int, watch int) { d.deliver(index, node.Broken{Watch: watch}) }
 func (d *driver) PeerMessage(index, from int, data []byte) {
