--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -52,26 +52,26 @@
 		shared.recentWork = map[string][]sentWork{}
 	}
 	return &Baseline{settings: settings, choose: choose, shared: shared, rnd: rand.New(rand.NewPCG(settings.Seed, uint64(settings.Number))),
-		items: map[uint64]*item{}, byID: map[string]*worker{}}
+		items: map[uint64]*item{}, workersByID: map[string]*worker{}}
 }
 
 // Baseline tracks what each policy needs and keeps the rules.
 type Baseline struct {
-	settings  dispatch.Settings
-	choose    policy
-	shared    *SharedState
-	rnd       *rand.Rand
-	now       float64
-	out       dispatch.Writer
-	items     map[uint64]*item
-	pending   []*item // items without a worker so far
-	workers   []*worker
-	byID      map[string]*worker
-	rotation  int
-	nextRetry float64
-	hints     []float64 // the most recent ones, for sita
-	hintCount int
-	cutoff    float64
+	settings    dispatch.Settings
+	choose      policy
+	shared      *SharedState
+	rnd         *rand.Rand
+	now         float64
+	executor    dispatch.Writer
+	items       map[uint64]*item
+	pending     []*item // items without a worker so far
+	workers     []*worker
+	workersByID map[string]*worker
+	rotation    int
+	nextRetry   float64
+	hints       []float64 // the most recent ones, for sita
+	hintCount   int
+	cutoff      float64
 }
 
 type worker struct {
@@ -83,12 +83,12 @@
 type item struct {
 	dispatch.WorkItem
 	expiry     float64
-	handOffs   []handoff
+	handOffs   []handOff
 	mayHaveRun bool // one of its hand-offs may have run
 	ended      bool
 }
 
-type handoff struct {
+type handOff struct {
 	worker *worker
 	ended  bool
 }
@@ -101,11 +101,11 @@
 
 // Round takes in the events and places pending items.
 func (b *Baseline) Round(now float64, in dispatch.Inbox, out dispatch.Writer) {
-	b.now, b.out = now, out
+	b.now, b.executor = now, out
 	in.Deliver(b)
-	held := b.pending
+	pending := b.pending
 	b.pending = nil
-	for _, it := range held {
+	for _, it := range pending {
 		b.place(it)
 	}
 	if now >= b.nextRetry {
@@ -172,7 +172,7 @@
 		it.mayHaveRun = it.mayHaveRun || !a.Outcome.ProvesUnrun()
 		b.pending = append(b.pending, it)
 	}
-	if it.ended && !slices.ContainsFunc(it.handOffs, func(h handoff) bool { return !h.ended }) {
+	if it.ended && !slices.ContainsFunc(it.handOffs, func(h handOff) bool { return !h.ended }) {
 		delete(b.items, it.ID)
 	}
 }
@@ -188,10 +188,10 @@
 		}
 	}
 	for _, e := range entries {
-		w := b.byID[e.Worker]
+		w := b.workersByID[e.Worker]
 		if w == nil {
 			w = &worker{}
-			b.byID[e.Worker] = w
+			b.workersByID[e.Worker] = w
 			b.workers = append(b.workers, w)
 		}
 		w.Entry = e
@@ -217,8 +217,8 @@
 	}
 	w := b.choose(b, it, all)
 	w.outstanding++
-	it.handOffs = append(it.handOffs, handoff{worker: w})
-	b.out.HandOff(it.ID, w.Worker, 0)
+	it.handOffs = append(it.handOffs, handOff{worker: w})
+	b.executor.HandOff(it.ID, w.Worker, 0)
 }
 
 // candidates returns the workers to choose among: those that are up, not avoided and warm. If none is warm,
@@ -242,9 +242,9 @@
 
 func (b *Baseline) giveUp(it *item) {
 	if c := b.category(it); it.mayHaveRun && (c.Repeat == dispatch.Exclusive || c.Repeat == dispatch.Ticketed && c.Group != dispatch.GroupAll) {
-		b.out.WriteOff(it.ID)
+		b.executor.WriteOff(it.ID)
 	} else {
-		b.out.Defer(it.ID, min(1000, b.settings.MaxPause))
+		b.executor.Defer(it.ID, min(1000, b.settings.MaxPause))
 	}
 	b.finish(it)
 }
@@ -253,7 +253,7 @@
 	it.ended = true
 	for k := range it.handOffs {
 		if !it.handOffs[k].ended && b.settings.MayCancel {
-			b.out.Cancel(it.ID, k)
+			b.executor.Cancel(it.ID, k)
 		}
 	}
 }
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -231,7 +231,7 @@
 		return
 	}
 	it.clientLeft = true
-	if _, frozen := c.pausedSince[it.dispatcher]; frozen {
+	if _, paused := c.pausedSince[it.dispatcher]; paused {
 		c.UnansweredWhilePaused++
 		return
 	}
--- a/internal/virtualtime/virtualtime.go
+++ b/internal/virtualtime/virtualtime.go
@@ -132,9 +132,9 @@
 		return
 	}
 	if h.paused = paused; !paused {
-		held := h.pending
+		pending := h.pending
 		h.pending = nil
-		h.step(held...)
+		h.step(pending...)
 	}
 }
 
