--- a/internal/fleetmodel/clients.go
+++ b/internal/fleetmodel/clients.go
@@ -25,6 +25,7 @@
 	NoDispatcher           // no dispatcher could be reached
 )
 
+// String returns the outcome as results and reports show it.
 func (o Outcome) String() string {
 	return [...]string{"waiting", "finished", "deferred", "written off", "lost", "unanswered", "left", "refused"}[o]
 }
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -77,6 +77,7 @@
 	Detail     string  `json:"what"`
 }
 
+// String returns the violation as one line of a report.
 func (v Violation) String() string {
 	return fmt.Sprintf("%.3f %s: id=%s dispatcher=%d worker=%s: %s", v.At, v.Rule, v.ID, v.Dispatcher, v.Worker, v.Detail)
 }
