--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -241,9 +241,9 @@
 	}
 }
 
-// Answered records that the last byte of an answer left the dispatcher. With comeAgain, the answer says that
+// Answered records that the last byte of an answer left the dispatcher. With mayRetry, the answer says that
 // a retry is harmless.
-func (c *Checker) Answered(at float64, id string, served, comeAgain bool, body string) {
+func (c *Checker) Answered(at float64, id string, served, mayRetry bool, body string) {
 	c.Answers++
 	it := c.items[id]
 	if it == nil {
@@ -261,7 +261,7 @@
 	if served && !slices.Contains(c.results[id], body) {
 		c.report(at, NoItemLost, id, it.dispatcher, "", "served with what no worker made for it")
 	}
-	if category := c.config.Categories[it.category]; comeAgain && category.RepeatPolicy != dispatch.Rerunnable &&
+	if category := c.config.Categories[it.category]; mayRetry && category.RepeatPolicy != dispatch.Rerunnable &&
 		// here the ticket also covers a retry
 		!(category.RepeatPolicy == dispatch.Ticketed && category.DedupScope == dispatch.GroupAll) {
 		for _, h := range it.handOffs {
