--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -51,7 +51,7 @@
 	if shared.recentWork == nil {
 		shared.recentWork = map[string][]sentWork{}
 	}
-	return &Baseline{settings: settings, choose: choose, shared: shared, rnd: rand.New(rand.NewPCG(settings.Seed, uint64(settings.Number))),
+	return &Baseline{settings: settings, choose: choose, shared: shared, rnd: rand.New(rand.NewPCG(settings.Seed, uint64(settings.Position))),
 		items: map[uint64]*item{}, workersByID: map[string]*worker{}}
 }
 
@@ -62,7 +62,7 @@
 	shared      *SharedState
 	rnd         *rand.Rand
 	now         float64
-	executor    dispatch.Writer
+	executor    dispatch.Executor
 	items       map[uint64]*item
 	pending     []*item // items without a worker so far
 	workers     []*worker
@@ -100,7 +100,7 @@
 )
 
 // Round takes in the events and places pending items.
-func (b *Baseline) Round(now float64, in dispatch.Inbox, out dispatch.Writer) {
+func (b *Baseline) Round(now float64, in dispatch.Inbox, out dispatch.Executor) {
 	b.now, b.executor = now, out
 	in.Deliver(b)
 	pending := b.pending
@@ -110,9 +110,9 @@
 	}
 	if now >= b.nextRetry {
 		b.nextRetry = now + retryInterval
-		out.Timer(0, retryInterval)
-		if b.settings.MustAsk {
-			out.Watch(true)
+		out.SetTimer(0, retryInterval)
+		if b.settings.DiscoveryOnRequest {
+			out.WatchDiscovery(true)
 		}
 	}
 }
@@ -133,24 +133,24 @@
 }
 
 // ClientLeft drops a work item whose client is gone.
-func (b *Baseline) Left(wi uint64) {
+func (b *Baseline) ClientLeft(wi uint64) {
 	if it := b.items[wi]; it != nil {
 		b.finish(it)
 	}
 }
 
 // HandOffProgressed does nothing: a baseline ignores it.
-func (b *Baseline) Noticed(uint64, int, bool, float64) {}
+func (b *Baseline) HandOffProgressed(uint64, int, bool, float64) {}
 
 // ResponseStarted does nothing, like HandOffProgressed.
-func (b *Baseline) Streaming(uint64, int) {}
+func (b *Baseline) ResponseStarted(uint64, int) {}
 
 // PeerMessageReceived does nothing, like HandOffProgressed.
-func (b *Baseline) Heard(int, []byte) {}
+func (b *Baseline) PeerMessageReceived(int, []byte) {}
 
 // HandOffEnded ends a hand-off. A finished work item is done. One that never ran, or may run again, is placed
 // anew. Any other is given up.
-func (b *Baseline) Answered(a dispatch.Answer) {
+func (b *Baseline) HandOffEnded(a dispatch.HandOffResult) {
 	it := b.items[a.WI]
 	if it == nil || a.HO >= len(it.handOffs) || it.handOffs[a.HO].ended {
 		return
@@ -158,18 +158,18 @@
 	h := &it.handOffs[a.HO]
 	h.ended = true
 	h.worker.outstanding--
-	if a.Outcome == dispatch.ConnectFailed || a.Outcome == dispatch.Reset {
+	if a.Outcome == dispatch.ConnectFailed || a.Outcome == dispatch.ConnReset {
 		h.worker.avoidUntil = b.now + avoidTime
 	}
 	switch {
 	case it.ended:
 	case a.Final:
 		b.finish(it)
-	case !a.Outcome.ProvesUnrun() && b.category(it).Repeat != dispatch.Rerunnable:
+	case !a.Outcome.ProvesNotRun() && b.category(it).Repeat != dispatch.Rerunnable:
 		it.mayHaveRun = true
 		b.giveUp(it)
 	default:
-		it.mayHaveRun = it.mayHaveRun || !a.Outcome.ProvesUnrun()
+		it.mayHaveRun = it.mayHaveRun || !a.Outcome.ProvesNotRun()
 		b.pending = append(b.pending, it)
 	}
 	if it.ended && !slices.ContainsFunc(it.handOffs, func(h handOff) bool { return !h.ended }) {
@@ -178,11 +178,11 @@
 }
 
 // Listed keeps the list of workers, sorted by ID.
-func (b *Baseline) Listed(form dispatch.Form, entries []dispatch.Entry) {
-	if form == dispatch.Unavailable {
+func (b *Baseline) Listed(form dispatch.ListType, entries []dispatch.Entry) {
+	if form == dispatch.ListUnavailable {
 		return
 	}
-	if form == dispatch.Complete || form == dispatch.Restored {
+	if form == dispatch.ListComplete || form == dispatch.ListRestored {
 		for _, w := range b.workers {
 			w.State = dispatch.Gone
 		}
@@ -228,9 +228,9 @@
 	for _, w := range b.workers {
 		switch {
 		case w.State != dispatch.Up || b.now < w.avoidUntil:
-		case w.Since == 0 || b.now >= w.Since+b.settings.Cold:
+		case w.Since == 0 || b.now >= w.Since+b.settings.WarmUpTime:
 			warm = append(warm, w)
-		case w.outstanding == 0 && b.now > w.Since+b.settings.Cold/4:
+		case w.outstanding == 0 && b.now > w.Since+b.settings.WarmUpTime/4:
 			cold = append(cold, w)
 		}
 	}
@@ -241,10 +241,10 @@
 }
 
 func (b *Baseline) giveUp(it *item) {
-	if c := b.category(it); it.mayHaveRun && (c.Repeat == dispatch.Exclusive || c.Repeat == dispatch.Ticketed && c.Group != dispatch.GroupAll) {
+	if c := b.category(it); it.mayHaveRun && (c.Repeat == dispatch.Exclusive || c.Repeat == dispatch.Ticketed && c.DedupScope != dispatch.DedupAll) {
 		b.executor.WriteOff(it.ID)
 	} else {
-		b.executor.Defer(it.ID, min(1000, b.settings.MaxPause))
+		b.executor.Defer(it.ID, min(1000, b.settings.MaxRetryAfter))
 	}
 	b.finish(it)
 }
--- a/internal/fleetmodel/experiment.go
+++ b/internal/fleetmodel/experiment.go
@@ -16,7 +16,7 @@
 )
 
 // Millis is a time in milliseconds.
-type Millis = tomlfile.Span
+type Millis = tomlfile.Millis
 
 // Experiment is one run to simulate: a deployment, its traffic and its faults.
 type Experiment struct {
@@ -205,7 +205,7 @@
 	d := tomlfile.Parse(file, text)
 	d.Decode(x)
 	if d.Err() == nil {
-		x.validate(d.Fault)
+		x.validate(d.AddFault)
 	}
 	return x, d.Err()
 }
--- a/internal/fleetmodel/misbehaving_dispatcher_test.go
+++ b/internal/fleetmodel/misbehaving_dispatcher_test.go
@@ -18,7 +18,7 @@
 	rotation int
 	requests map[string]*Request
 	handOffs map[string][]*HandOff
-	states   map[string]dispatch.State
+	states   map[string]dispatch.WorkerState
 }
 
 func (c *misbehaving) send(d int, r *Request, to string) {
@@ -216,7 +216,7 @@
 			}
 			model := New(x, 7)
 			dispatcher := &misbehaving{model: model, defect: c.defect, requests: map[string]*Request{}, handOffs: map[string][]*HandOff{},
-				states: map[string]dispatch.State{}}
+				states: map[string]dispatch.WorkerState{}}
 			model.Begin(dispatcher, 1000)
 			for !model.Done() && !math.IsInf(model.Next(), 1) {
 				model.Step()
--- a/internal/fleetmodel/model.go
+++ b/internal/fleetmodel/model.go
@@ -79,7 +79,7 @@
 	ID            string
 	Site          int
 	Kind          int
-	State         dispatch.State
+	State         dispatch.WorkerState
 	StartTime     float64 // on the model's clock; negative: long ago
 	reportedStart float64 // StartTime if it is right, negative if it is not
 }
@@ -225,13 +225,13 @@
 	return r
 }
 
-func (c *Category) repeatPolicy() dispatch.Repeat {
-	return map[string]dispatch.Repeat{"rerunnable": dispatch.Rerunnable, "ticketed": dispatch.Ticketed,
+func (c *Category) repeatPolicy() dispatch.RepeatPolicy {
+	return map[string]dispatch.RepeatPolicy{"rerunnable": dispatch.Rerunnable, "ticketed": dispatch.Ticketed,
 		"exclusive": dispatch.Exclusive}[c.RepeatPolicy]
 }
 
-func (c *Category) dedupScope() dispatch.Group {
-	return map[string]dispatch.Group{"all": dispatch.GroupAll, "zone": dispatch.GroupZone, "cell": dispatch.GroupCell}[c.DedupScope]
+func (c *Category) dedupScope() dispatch.DedupScope {
+	return map[string]dispatch.DedupScope{"all": dispatch.DedupAll, "zone": dispatch.DedupZone, "cell": dispatch.DedupCell}[c.DedupScope]
 }
 
 // Begin starts the dispatchers and schedules the faults and the first arrival. Clients arrive from time start
--- a/internal/fleetmodel/workers.go
+++ b/internal/fleetmodel/workers.go
@@ -18,7 +18,7 @@
 	kind        int
 	spec        *Kind
 	site        int
-	state       dispatch.State // as discovery has it
+	state       dispatch.WorkerState // as discovery has it
 	listed      bool
 	falselyGone bool    // discovery lists it as gone although it runs
 	up          bool    // its process runs
--- a/internal/invariants/fleet_checker.go
+++ b/internal/invariants/fleet_checker.go
@@ -209,15 +209,15 @@
 	for _, s := range f.HandOffs {
 		k := key{members[s.Dispatcher], f.VersionByRelease[s.Release]}
 		at := unix(s.At)
-		unknown := slices.ContainsFunc(gaps[k.member], func(g fleet.Gap) bool {
-			return at >= g.Span.From-messageSlack && (g.Span.To == 0 || at <= g.Span.To+messageSlack)
+		unknown := slices.ContainsFunc(gaps[k.member], func(g fleet.ReportGap) bool {
+			return at >= g.Interval.From-messageSlack && (g.Interval.To == 0 || at <= g.Interval.To+messageSlack)
 		})
 		if unknown {
 			continue
 		}
 		observed[k]++
-		if !slices.ContainsFunc(lines[k], func(l fleet.Line) bool {
-			handedOff := l.Acts.Kinds[fleet.HandedOff]
+		if !slices.ContainsFunc(lines[k], func(l fleet.AuditLine) bool {
+			handedOff := l.Actions.Counts[fleet.HandedOff]
 			return handedOff.Count > 0 && at >= handedOff.First-messageSlack && at <= handedOff.Last+maxConnectTime
 		}) {
 			f.report(s.At, AuditComplete, s, "handed off under version %d, which the audit of %s has not", k.version, k.member)
@@ -226,7 +226,7 @@
 	for k, n := range observed {
 		recorded := uint64(0)
 		for _, l := range lines[k] {
-			recorded += l.Acts.Kinds[fleet.HandedOff].Count
+			recorded += l.Actions.Counts[fleet.HandedOff].Count
 		}
 		if n > recorded {
 			f.report(0, AuditComplete, ObservedHandOff{Dispatcher: slices.Index(members, k.member)}, "%d hand-offs under version %d were seen, the audit has %d", n, k.version, recorded)
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -32,8 +32,8 @@
 // Category is what the rules need to know of a category of work items.
 type Category struct {
 	Name         string
-	RepeatPolicy dispatch.Repeat
-	DedupScope   dispatch.Group
+	RepeatPolicy dispatch.RepeatPolicy
+	DedupScope   dispatch.DedupScope
 	DedupWindow  float64
 }
 
@@ -95,7 +95,7 @@
 	received              []*item // in order of arrival
 	workers               map[string]*worker
 	knownWorkers          []map[string]knownState // by dispatcher and worker
-	incarnations          []int                   // number of each dispatcher\'s present process
+	incarnations          []int                   // number of each dispatcher's present process
 	exclusiveStarts       map[int]int             // starts of each exclusive job
 	results               map[string][]string     // of workers, by ID of the work item
 	pausedSince           map[int]float64         // by dispatcher whose process is suspended: since when
@@ -130,7 +130,7 @@
 }
 
 type knownState struct {
-	state      dispatch.State
+	state      dispatch.WorkerState
 	knownSince float64 // when the dispatcher learned of the state
 	startTime  float64 // the worker's start time, as reported to the dispatcher
 }
@@ -263,7 +263,7 @@
 	}
 	if category := c.config.Categories[it.category]; mayRetry && category.RepeatPolicy != dispatch.Rerunnable &&
 		// here the ticket also covers a retry
-		!(category.RepeatPolicy == dispatch.Ticketed && category.DedupScope == dispatch.GroupAll) {
+		!(category.RepeatPolicy == dispatch.Ticketed && category.DedupScope == dispatch.DedupAll) {
 		for _, h := range it.handOffs {
 			if !h.notRun {
 				c.report(at, NoDoubleEffect, id, it.dispatcher, h.worker, "told to come again, though it may have run")
@@ -274,7 +274,7 @@
 }
 
 // WorkerListed records that discovery has reported a worker's state and start time to the dispatcher.
-func (c *Checker) WorkerListed(at float64, d int, worker string, state dispatch.State, startTime float64) {
+func (c *Checker) WorkerListed(at float64, d int, worker string, state dispatch.WorkerState, startTime float64) {
 	previous, known := c.knownWorkers[d][worker]
 	switch {
 	case known && previous.state == state:
@@ -328,9 +328,9 @@
 	c.checkColdBudget(at, d, id, workerID, hint)
 }
 
-func (c *Checker) sameGroup(g dispatch.Group, one, other string) bool {
+func (c *Checker) sameGroup(g dispatch.DedupScope, one, other string) bool {
 	x, y := c.workers[one], c.workers[other]
-	return g != dispatch.GroupZone || x != nil && y != nil && x.site == y.site
+	return g != dispatch.DedupZone || x != nil && y != nil && x.site == y.site
 }
 
 // checkColdBudget adds up the work that all dispatchers send to a cold worker within a window. A single work
--- a/internal/virtualtime/fleet.go
+++ b/internal/virtualtime/fleet.go
@@ -64,14 +64,14 @@
 func (q *fleetQueue) Pop() any     { x := (*q)[len(*q)-1]; *q = (*q)[:len(*q)-1]; return x }
 
 // voterStore is a voter's storage.
-type voterStore struct{ persisted council.Kept }
+type voterStore struct{ persisted consensus.PersistedState }
 
 func (s *voterStore) Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	if snapshot.GetMetadata().GetIndex() > 0 {
 		s.persisted.Snapshot, s.persisted.Entries = snapshot, nil
 	}
 	if hard != nil {
-		s.persisted.Hard = hard
+		s.persisted.HardState = hard
 	}
 	if len(entries) > 0 {
 		s.persisted.Entries = append(slices.DeleteFunc(s.persisted.Entries, func(e *pb.Entry) bool { return e.GetIndex() >= entries[0].GetIndex() }), entries...)
@@ -92,8 +92,8 @@
 }
 
 type fleetMember struct {
-	leaseHolder *fleet.Self
-	run         fleet.Run
+	leaseHolder *fleet.LeaseHolder
+	run         fleet.RunRecord
 	runCount    int
 	up          bool
 	pausedUntil float64 // it does nothing before this time
@@ -111,12 +111,12 @@
 
 type fleetSim struct {
 	scenario       FleetScenario
-	timing         fleet.Figures
+	timing         fleet.Timing
 	now            float64
 	rnd            *rand.Rand
 	queue          fleetQueue
 	seq            int
-	voters         []*council.Core
+	voters         []*consensus.Core
 	stores         []*voterStore
 	voterIndex     map[uint64]int
 	members        []*fleetMember
@@ -136,16 +136,16 @@
 // simulateFleet does the same. Unless shared is set, each member computes by itself the states that entries
 // lead to.
 func simulateFleet(scenario FleetScenario, shared bool) FleetResult {
-	s := &fleetSim{scenario: scenario, shared: shared, timing: fleet.Figures{Beat: 250, Lease: 1000, Drift: 0.01}, rnd: rand.New(rand.NewPCG(scenario.Seed, 0x666c6474)), voterIndex: map[uint64]int{},
+	s := &fleetSim{scenario: scenario, shared: shared, timing: fleet.Timing{Beat: 250, Lease: 1000, Drift: 0.01}, rnd: rand.New(rand.NewPCG(scenario.Seed, 0x666c6474)), voterIndex: map[uint64]int{},
 		fenceCompleted: map[uint64]float64{}, publications: map[uint64]*publication{}, derived: map[fleet.Digest]*fleet.State{}}
 	var voters []fleet.Voter
 	for k := range scenario.Voters {
 		name := fmt.Sprintf("m%04d", k)
-		voters = append(voters, fleet.Voter{Name: name, Address: name, Seat: council.FirstSeat("lab", name)})
-		s.voterIndex[voters[k].Seat] = k
+		voters = append(voters, fleet.Voter{Name: name, Address: name, RaftID: consensus.InitialRaftID("lab", name)})
+		s.voterIndex[voters[k].RaftID] = k
 	}
 	for range scenario.Voters {
-		s.stores = append(s.stores, &voterStore{council.First("lab", voters)})
+		s.stores = append(s.stores, &voterStore{consensus.InitialState("lab", voters)})
 		s.voters = append(s.voters, nil)
 	}
 	for k := range scenario.Voters {
@@ -198,7 +198,7 @@
 }
 
 func (s *fleetSim) startVoter(k int) {
-	c, err := council.NewCore(s.timing, council.FirstSeat("lab", fmt.Sprintf("m%04d", k)), s.stores[k].persisted, s.stores[k], s.rnd.Uint64(), s.now)
+	c, err := consensus.NewCore(s.timing, consensus.InitialRaftID("lab", fmt.Sprintf("m%04d", k)), s.stores[k].persisted, s.stores[k], s.rnd.Uint64(), s.now)
 	if err != nil {
 		s.violated("voter %d: %v", k, err)
 		return
@@ -222,9 +222,9 @@
 		state = m.leaseHolder.State()
 	}
 	m.runCount++
-	m.up, m.run = true, fleet.Run{ID: fmt.Sprint(k, "-", m.runCount), Began: s.now}
-	m.run.Since(s.now, 0)
-	m.leaseHolder = fleet.NewSelf(s.timing, fmt.Sprintf("m%04d", k), "1.0.0", fleet.Stop, state, s.now)
+	m.up, m.run = true, fleet.RunRecord{ID: fmt.Sprint(k, "-", m.runCount), StartedAt: s.now}
+	m.run.RecordVersion(s.now, 0)
+	m.leaseHolder = fleet.NewLeaseHolder(s.timing, fmt.Sprintf("m%04d", k), "1.0.0", fleet.StopWhenIsolated, state, s.now)
 	s.applyNext(k)
 	s.sendHeartbeat(k, m.runCount, true)
 	s.startPoll(k, m.runCount)
@@ -276,9 +276,9 @@
 			s.at(s.now+s.timing.Beat, func() { s.sendHeartbeat(k, run, true) })
 		}
 		state := m.leaseHolder.State()
-		m.run.Saved = s.now
-		heartbeat := fleet.Beat{Fleet: "lab", Format: fleet.Format, Member: fmt.Sprintf("m%04d", k), Address: fmt.Sprint("a", k), Run: m.run.ID, Bound: true, Alone: fleet.Stop,
-			Program: "1.0.0", N: state.N(), Digest: state.Digest(), InForce: m.leaseHolder.InForce(), Lease: s.timing.Lease, Drift: s.timing.Drift, Runs: []fleet.Run{m.run.Clone()}}
+		m.run.KnownUntil = s.now
+		heartbeat := fleet.Heartbeat{Fleet: "lab", Format: fleet.FormatVersion, Member: fmt.Sprintf("m%04d", k), Address: fmt.Sprint("a", k), RunID: m.run.ID, OwnsAddress: true, IsolationPolicy: fleet.StopWhenIsolated,
+			ProgramVersion: "1.0.0", LastSeq: state.LastSeq(), Digest: state.Digest(), ActiveVersion: m.leaseHolder.ActiveVersion(), Lease: s.timing.Lease, Drift: s.timing.Drift, Runs: []fleet.RunRecord{m.run.Clone()}}
 		v := m.leader
 		if v < 0 {
 			v = s.rnd.IntN(s.scenario.Voters)
@@ -291,7 +291,7 @@
 				return
 			}
 			s.countAtLeader(v)
-			c.Beat(s.now, heartbeat, func(renewal fleet.Renewal, err error) {
+			c.Heartbeat(s.now, heartbeat, func(renewal fleet.LeaseRenewal, err error) {
 				s.countAtLeader(v)
 				if err != nil { // the error names the leader
 					leader := s.leaderOf(v)
@@ -301,12 +301,12 @@
 				s.transmit(k, len(fleet.Encode(renewal)), func() {
 					s.whenRunning(k, run, func() {
 						m.leader = v
-						m.leaseHolder.Renewed(sent, renewal)
-						if renewal.Newest > m.leaseHolder.State().Newest() { // the present poll may hang
+						m.leaseHolder.HandleRenewal(sent, renewal)
+						if renewal.NewestVersion > m.leaseHolder.State().NewestVersion() { // the present poll may hang
 							s.startPoll(k, run)
 						}
-						if renewal.Again > 0 {
-							s.at(s.now+renewal.Again, func() { s.sendHeartbeat(k, run, false) })
+						if renewal.RetryAfter > 0 {
+							s.at(s.now+renewal.RetryAfter, func() { s.sendHeartbeat(k, run, false) })
 						}
 					})
 				})
@@ -317,7 +317,7 @@
 
 func (s *fleetSim) leaderOf(v int) int {
 	if c := s.voters[v]; c != nil {
-		if k, ok := s.voterIndex[c.Lead()]; ok {
+		if k, ok := s.voterIndex[c.Leader()]; ok {
 			return k
 		}
 	}
@@ -326,7 +326,7 @@
 
 // countAtLeader counts a message at voter v if it leads.
 func (s *fleetSim) countAtLeader(v int) {
-	if c := s.voters[v]; c != nil && c.Book() != nil {
+	if c := s.voters[v]; c != nil && c.Leases() != nil {
 		s.leaderMessages++
 	}
 }
@@ -342,7 +342,7 @@
 				s.at(s.now+300*s.rnd.Float64(), func() { s.startPoll(k, run) })
 			}
 		})
-		n, digest := m.leaseHolder.State().N(), m.leaseHolder.State().Digest()
+		n, digest := m.leaseHolder.State().LastSeq(), m.leaseHolder.State().Digest()
 		s.transmit(k, 96, func() {
 			s.countAtLeader(v)
 			s.answerPoll(v, pollRequest{k, run, seq}, n, digest, s.now+pollTimeout)
@@ -358,7 +358,7 @@
 		if c == nil {
 			return
 		}
-		entries, snapshot, diverged := c.Entries(n, digest)
+		entries, snapshot, diverged := c.EntriesAfter(n, digest)
 		if diverged {
 			s.violated("two histories: member %d at %d", poll.member, n)
 			return
@@ -377,7 +377,7 @@
 				if snapshot != nil {
 					restored, err := fleet.Restore(snapshot)
 					if err == nil {
-						err = m.leaseHolder.Replace(restored)
+						err = m.leaseHolder.ReplaceState(restored)
 					}
 					if err != nil {
 						s.violated("member %d: %v", poll.member, err)
@@ -397,19 +397,19 @@
 // leads to from the entry before it. So the first member that reaches a state computes it, and the others
 // copy it, because virtual time does not model the cost of processors. An entry that does not fit is left to
 // the member itself to reject.
-func (s *fleetSim) followEntries(holder *fleet.Self, entries []fleet.Entry) error {
+func (s *fleetSim) followEntries(holder *fleet.LeaseHolder, entries []fleet.Entry) error {
 	for k, e := range entries {
 		state := holder.State()
-		if e.N <= state.N() {
+		if e.Seq <= state.LastSeq() {
 			continue
 		}
-		if known := s.derived[e.Digest]; s.shared && known != nil && e.N == state.N()+1 && e.Prev == state.Digest() {
-			if err := holder.Replace(known.Clone()); err != nil {
+		if known := s.derived[e.Digest]; s.shared && known != nil && e.Seq == state.LastSeq()+1 && e.PrevDigest == state.Digest() {
+			if err := holder.ReplaceState(known.Clone()); err != nil {
 				return err
 			}
 			continue
 		}
-		if err := holder.Follow(entries[k : k+1]); err != nil {
+		if err := holder.ApplyEntries(entries[k : k+1]); err != nil {
 			return err
 		}
 		s.derived[e.Digest] = holder.State()
@@ -424,11 +424,11 @@
 func (s *fleetSim) applyNext(k int) {
 	m := s.members[k]
 	run := m.runCount
-	if v, ok := m.leaseHolder.Next(); ok {
+	if v, ok := m.leaseHolder.NextVersion(); ok {
 		s.at(s.now+applyDelay, func() {
 			s.whenRunning(k, run, func() {
-				m.leaseHolder.Applied(v.Number)
-				m.run.Since(s.now, v.Number)
+				m.leaseHolder.VersionApplied(v.Number)
+				m.run.RecordVersion(s.now, v.Number)
 				s.applyNext(k)
 			})
 		})
@@ -444,8 +444,8 @@
 	}
 	answered := false
 	for _, c := range s.voters {
-		if c != nil && c.Book() != nil {
-			c.Propose(s.now, fleet.Command{Kind: fleet.Published, Request: request, Text: []byte(`{"mark":"` + request + `"}`), Fence: n%2 == 1}, func(r fleet.Result, err error) {
+		if c != nil && c.Leases() != nil {
+			c.Propose(s.now, fleet.Command{Kind: fleet.PublishVersion, RequestID: request, Text: []byte(`{"mark":"` + request + `"}`), Fence: n%2 == 1}, func(r fleet.Result, err error) {
 				if err == nil && !answered {
 					answered = true
 					s.result.Published++
@@ -469,10 +469,10 @@
 		if c == nil {
 			continue
 		}
-		c.Step(s.now)
-		for _, message := range c.Take(s.now) {
+		c.Tick(s.now)
+		for _, message := range c.TakeMessages(s.now) {
 			to := s.voterIndex[message.To]
-			if c.Book() != nil {
+			if c.Leases() != nil {
 				s.leaderMessages++
 			}
 			if s.rnd.Float64() < s.scenario.MessageLoss {
@@ -483,14 +483,14 @@
 					s.countAtLeader(to)
 					c.Receive(s.now, message.Data)
 				}
-				if message.Snap && s.voters[v] != nil {
-					s.voters[v].SnapshotSent(s.now, message.To, true)
+				if message.IsSnapshot && s.voters[v] != nil {
+					s.voters[v].ReportSnapshot(s.now, message.To, true)
 				}
 			})
 		}
-		if b := c.Book(); b != nil && int(s.now)%10 == 0 {
-			if f := c.State().Fenced(); f > 0 && s.fenceCompleted[f] == 0 {
-				if at, _ := b.Fence(s.now, s.now, f, c.State()); at > 0 {
+		if b := c.Leases(); b != nil && int(s.now)%10 == 0 {
+			if f := c.State().FencedVersion(); f > 0 && s.fenceCompleted[f] == 0 {
+				if at, _ := b.FenceStatus(s.now, s.now, f, c.State()); at > 0 {
 					s.fenceCompleted[f] = s.now
 					s.result.FencesCompleted++
 				}
@@ -510,19 +510,19 @@
 		fence = max(fence, v)
 	}
 	for k, m := range s.members {
-		if m.up && s.now >= m.pausedUntil && m.leaseHolder.InForce() < fence && m.leaseHolder.OpenUntil(s.now) > s.now {
-			s.violated("member %d acts on version %d, the fence of %d was told at %.0f", k, m.leaseHolder.InForce(), fence, s.fenceCompleted[fence])
+		if m.up && s.now >= m.pausedUntil && m.leaseHolder.ActiveVersion() < fence && m.leaseHolder.AcceptUntil(s.now) > s.now {
+			s.violated("member %d acts on version %d, the fence of %d was told at %.0f", k, m.leaseHolder.ActiveVersion(), fence, s.fenceCompleted[fence])
 		}
 	}
 	for _, v := range slices.Sorted(maps.Keys(s.publications)) {
 		publication := s.publications[v]
 		have, reachable, all := 0, 0, 0
 		for _, m := range s.members {
-			if m.up && m.leaseHolder.InForce() >= v {
+			if m.up && m.leaseHolder.ActiveVersion() >= v {
 				all++
 			}
 			if m.up && !m.cut && s.now >= m.pausedUntil {
-				if reachable++; m.leaseHolder.InForce() >= v {
+				if reachable++; m.leaseHolder.ActiveVersion() >= v {
 					have++
 				}
 			}
@@ -548,8 +548,8 @@
 	if len(s.publications) > 0 {
 		lagging := ""
 		for k, m := range s.members {
-			if !m.up || m.leaseHolder.InForce() < slices.Max(slices.Collect(maps.Keys(s.publications))) {
-				lagging += fmt.Sprintf(" member %d (runs: %v, version %d of %d known)", k, m.up, m.leaseHolder.InForce(), m.leaseHolder.State().Newest())
+			if !m.up || m.leaseHolder.ActiveVersion() < slices.Max(slices.Collect(maps.Keys(s.publications))) {
+				lagging += fmt.Sprintf(" member %d (runs: %v, version %d of %d known)", k, m.up, m.leaseHolder.ActiveVersion(), m.leaseHolder.State().NewestVersion())
 			}
 		}
 		s.violated("%d versions never came into force at all members: %s", len(s.publications), lagging)
--- a/internal/virtualtime/virtualtime.go
+++ b/internal/virtualtime/virtualtime.go
@@ -67,7 +67,7 @@
 	stopped  bool
 	paused   bool  // the process is suspended
 	pending  []any // events that arrived meanwhile
-	requests map[string]*node.Client
+	requests map[string]*node.Request
 }
 
 type driver struct {
@@ -86,9 +86,9 @@
 	s := d.settings[index]
 	d.startCount++
 	s.Seed = (d.seed+d.startCount)*0x9e3779b97f4a7c15 | 1<<40
-	h := &host{driver: d, index: index, requests: map[string]*node.Client{}}
+	h := &host{driver: d, index: index, requests: map[string]*node.Request{}}
 	o := node.Options{Settings: s, MaxOpen: d.model.Experiment.Dispatchers.MaxOpen, Discovery: "discovery", Log: discardLog,
-		Known: node.Listing{Members: discoveryMembers(known)}, Clock: func() float64 { return epoch + d.model.Now() }}
+		CachedList: node.DiscoveryUpdate{Members: discoveryMembers(known)}, Clock: func() float64 { return epoch + d.model.Now() }}
 	if d.newDecider != nil {
 		o.Decider = d.newDecider(s, d.model)
 	}
@@ -157,17 +157,17 @@
 		return
 	}
 	j := r.Job
-	c := &node.Client{ID: r.ID, Category: j.Category, Tenant: j.Tenant, Hint: j.Hint,
+	c := &node.Request{ID: r.ID, Category: j.Category, Tenant: j.Tenant, Hint: j.Hint,
 		Expiry: epoch + d.model.Now() + min(r.Deadline-d.model.Now(), float64(d.model.Experiment.Categories[j.Category].Expiry))}
 	h.requests[r.ID] = c
-	c.Answer = func(reply node.Reply) {
+	c.Respond = func(reply node.Reply) {
 		delete(h.requests, r.ID)
 		switch reply.Result {
 		case node.Served:
 			d.model.Answer(index, r.ID, fleetmodel.Served, reply.Body, 0)
 		case node.Deferred:
-			d.model.Answer(index, r.ID, fleetmodel.RetryLater, "", reply.Pause)
-		case node.Gone:
+			d.model.Answer(index, r.ID, fleetmodel.RetryLater, "", reply.RetryAfter)
+		case node.ClientGone:
 		default:
 			d.model.Answer(index, r.ID, fleetmodel.OtherStatus, "", 0)
 		}
@@ -177,17 +177,17 @@
 
 func (d *driver) ClientLeft(index int, r *fleetmodel.Request) {
 	if c := d.hosts[index].requests[r.ID]; c != nil {
-		d.deliver(index, node.Departed{Client: c})
+		d.deliver(index, node.ClientDisconnected{Request: c})
 	}
 }
 
 var handOffOutcomes = map[fleetmodel.HandOffResult]dispatch.Outcome{fleetmodel.Rejected: dispatch.Full, fleetmodel.ConnectFailed: dispatch.ConnectFailed,
-	fleetmodel.ConnectionReset: dispatch.Reset, fleetmodel.Failed: dispatch.Failed, fleetmodel.Cancelled: dispatch.Cancelled}
+	fleetmodel.ConnectionReset: dispatch.ConnReset, fleetmodel.Failed: dispatch.Failed, fleetmodel.Cancelled: dispatch.Cancelled}
 
 func (d *driver) HandOffEnded(index int, h *fleetmodel.HandOff, result fleetmodel.HandOffResult) {
 	if result != fleetmodel.Accepted {
-		s := h.Tag.(node.Sending)
-		d.deliver(index, node.Ended{WI: s.WI, HO: s.HO, Outcome: handOffOutcomes[result]})
+		s := h.Tag.(node.HandOffRequest)
+		d.deliver(index, node.HandOffEnded{WI: s.WI, HO: s.HO, Outcome: handOffOutcomes[result]})
 	}
 }
 
@@ -212,11 +212,11 @@
 }
 
 func (d *driver) DiscoveryUpdated(index int, update fleetmodel.DiscoveryUpdate) {
-	d.deliver(index, node.Listing{Watch: update.Watch, Revision: update.Revision, Complete: update.Complete, Members: discoveryMembers(update.Workers)})
+	d.deliver(index, node.DiscoveryUpdate{Watch: update.Watch, Revision: update.Revision, Complete: update.Complete, Members: discoveryMembers(update.Workers)})
 }
-func (d *driver) WatchEnded(index int, watch int) { d.deliver(index, node.Broken{Watch: watch}) }
+func (d *driver) WatchEnded(index int, watch int) { d.deliver(index, node.WatchEnded{Watch: watch}) }
 func (d *driver) PeerMessage(index, from int, data []byte) {
-	d.deliver(index, node.Heard{From: from, Data: data})
+	d.deliver(index, node.PeerMessage{From: from, Data: data})
 }
 func (d *driver) KillDispatcher(index int) {
 	if h := d.hosts[index]; h != nil {
@@ -236,7 +236,9 @@
 func (d *driver) UpgradeDispatcher(int)                  {}
 func (d *driver) FloodConnections(int, float64, float64) {}
 
-func (d *driver) ReloadDispatcher(index int) { d.deliver(index, node.Moved{Discovery: "discovery"}) }
+func (d *driver) ReloadDispatcher(index int) {
+	d.deliver(index, node.DiscoveryMoved{Discovery: "discovery"})
+}
 
 // attempt is a hand-off that the node has sent.
 type attempt struct {
@@ -245,19 +247,19 @@
 }
 
 // Cancel makes the worker drop the job.
-func (a attempt) GiveUp() { a.model.CancelHandOff(a.handOff) }
+func (a attempt) Cancel() { a.model.CancelHandOff(a.handOff) }
 
 // Accepted returns true: a worker takes each hand-off at once.
-func (a attempt) Taken() bool { return true }
+func (a attempt) Accepted() bool { return true }
 
 // Written returns true: each hand-off is written at once.
 func (a attempt) Written() bool { return true }
 
 // AdoptHandOff sends a new hand-off: there is no other process to adopt one from.
-func (h *host) Continue(s node.Sending) node.Attempt { return h.Send(s) }
+func (h *host) AdoptHandOff(s node.HandOffRequest) node.Attempt { return h.Send(s) }
 
 // Send starts a hand-off.
-func (h *host) Send(s node.Sending) node.Attempt {
+func (h *host) Send(s node.HandOffRequest) node.Attempt {
 	return attempt{h.driver.model, h.driver.model.HandOff(h.index, s.ID, s.Addr, s)}
 }
 
@@ -268,14 +270,14 @@
 func (h *host) Unwatch(int) {}
 
 // SendToPeer sends a message to other dispatchers.
-func (h *host) Tell(to int, data []byte) { h.driver.model.SendToPeers(h.index, to, data) }
+func (h *host) SendToPeer(to int, data []byte) { h.driver.model.SendToPeers(h.index, to, data) }
 
 // Drain does nothing, like CloseIdle: each request of a client has a connection of its own, so none stays
 // open.
-func (h *host) Drain(func() node.Known) bool { return false }
+func (h *host) Drain(func() node.TakeoverState) bool { return false }
 
 // ForwardCallback answers that the job is unknown: there is no other process to ask.
-func (h *host) Pass(c node.Callback) { c.Answer(node.NotKnown) }
+func (h *host) ForwardCallback(c node.Callback) { c.Respond(node.CallbackUnknown) }
 
 // CloseIdle does nothing, like Drain.
-func (h *host) Dismiss() {}
+func (h *host) CloseIdle() {}
