--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -67,7 +67,7 @@
 // refuse answers what is no call. What is left of a long head is read first: closed over it, the connection would be
 // reset and the answer lost.
 func refuse(ctx *fasthttp.RequestCtx, err error) {
-	status := transport.UnreadStatus(err)
+	status := transport.ErrorStatus(err)
 	if status == fasthttp.StatusRequestHeaderFieldsTooLarge {
 		ctx.Conn().SetReadDeadline(time.Now().Add(callWithin / 20))
 		io.CopyN(io.Discard, ctx.Conn(), 16*headMost)
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -37,7 +37,7 @@
 		return l, err
 	}
 	if len(l.Known) > 0 && string(l.Known) != "null" {
-		if l.known, err = transport.DecodeListing(l.Known, l.Names); err != nil {
+		if l.known, err = transport.DecodeDiscoveryUpdate(l.Known, l.Names); err != nil {
 			return l, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -109,24 +109,24 @@
 	}
 	c.Links.MaxOpen = min(c.Links.MaxOpen, c.Sockets/2)
 	o := transport.Options{Listen: c.Listen, PeerListen: c.PeerListen, Peers: c.Peers,
-		PeersAll: c.PeersAll, Number: c.Settings.Position, Names: c.Names, Links: c.Links,
-		Copies: c.Settings.SecondCopies, Asked: c.Settings.DiscoveryOnRequest, Sockets: c.Sockets}
+		PeersAll: c.PeersAll, PeerIndex: c.Settings.Position, Names: c.Names, Connections: c.Links,
+		SecondCopies: c.Settings.SecondCopies, DiscoveryOnRequest: c.Settings.DiscoveryOnRequest, MaxSockets: c.Sockets}
 	for _, category := range c.Settings.Categories {
 		o.Expiries = append(o.Expiries, category.Expiry)
 	}
 	if c.Ops.IsValid() {
-		o.Figures = metrics.New(c.Names.Categories)
-		o.Sockets -= admin.MaxDescriptors
+		o.Metrics = metrics.New(c.Names.Categories)
+		o.MaxSockets -= admin.MaxDescriptors
 	}
 	var exchange *takeover.Exchange
 	if c.Temp != "" {
 		exchange = takeover.New(takeover.Options{Dir: c.Temp, Name: c.Name, Listen: c.Listen.String()})
-		if o.Found, err = exchange.Find(); err != nil {
+		if o.InheritedSockets, err = exchange.Find(); err != nil {
 			return err
 		}
-		o.Exchange, o.Shared = exchange, func(half bool) { aim(c.MemoryMB, half) }
+		o.Exchange, o.OnShare = exchange, func(half bool) { aim(c.MemoryMB, half) }
 	}
-	no := node.Options{Settings: c.Settings, MaxOpen: c.Links.MaxOpen, Discovery: c.Discovery.String(), CachedList: c.known, Metrics: o.Figures,
+	no := node.Options{Settings: c.Settings, MaxOpen: c.Links.MaxOpen, Discovery: c.Discovery.String(), CachedList: c.known, Metrics: o.Metrics,
 		Mark: c.Mark}
 	force := &inForce{running: c.Config}
 	var of *part
@@ -135,13 +135,13 @@
 			return err
 		}
 		defer of.close()
-		no.Guard, o.Gate = of.gate, of.gate
-		o.Sockets -= of.descriptors()
-		force.most = o.Sockets / 2
+		no.Guard, o.Guard = of.gate, of.gate
+		o.MaxSockets -= of.descriptors()
+		force.most = o.MaxSockets / 2
 		no.MaxOpen = force.bound(no.MaxOpen)
 	}
-	aside := c.Sockets - o.Sockets // for other parts, of whatever there is; half at most
-	o.Limit = func() int { now := descriptors(c.Sockets); return max(now-aside, now/2) }
+	aside := c.Sockets - o.MaxSockets // for other parts, of whatever there is; half at most
+	o.SystemSocketLimit = func() int { now := descriptors(c.Sockets); return max(now-aside, now/2) }
 	n := node.New(no)
 	force.node = n
 	p, err := transport.Start(o, n)
@@ -149,7 +149,7 @@
 		return err
 	}
 	if c.Ops.IsValid() {
-		front, err := admin.Start(admin.Options{Listen: c.Ops, Metrics: o.Figures,
+		front, err := admin.Start(admin.Options{Listen: c.Ops, Metrics: o.Metrics,
 			Ready: func() (string, bool) { return n.Phase().String(), n.Phase() == node.Serving }})
 		if err != nil {
 			return fmt.Errorf("ops: %w", err)
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -69,11 +69,11 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &clients{node: n, names: o.Names, expiries: o.Expiries, figures: o.Figures, listener: l,
+	c := &clients{node: n, names: o.Names, expiries: o.Expiries, figures: o.Metrics, listener: l,
 		passing: o.Exchange != nil, conns: map[*clientConn]bool{}, short: func(error) {}}
 	c.sayMost = max(readWithin, time.Duration(slices.Max(o.Expiries)*float64(time.Millisecond)))
 	c.server = &fasthttp.Server{Handler: c.handle, ErrorHandler: refuseUnread,
-		Concurrency: 2*int(clientPart*float64(o.Sockets)) + 1, // closed ones may still be ending
+		Concurrency: 2*int(clientPart*float64(o.MaxSockets)) + 1, // closed ones may still be ending
 		ReadTimeout: readWithin, WriteTimeout: readWithin, IdleTimeout: clientIdle,
 		MaxRequestBodySize: bodyMost, ReadBufferSize: headMost, DisablePreParseMultipartForm: true,
 		NoDefaultServerHeader: true, NoDefaultContentType: true, Logger: serverLog{},
@@ -127,7 +127,7 @@
 }
 
 // UnreadStatus is the answer to what could not be read as a request.
-func UnreadStatus(err error) int {
+func ErrorStatus(err error) int {
 	var small *fasthttp.ErrSmallBuffer
 	var timeout net.Error
 	switch {
@@ -141,7 +141,7 @@
 	return fasthttp.StatusBadRequest
 }
 
-func refuseUnread(ctx *fasthttp.RequestCtx, err error) { refuse(ctx, UnreadStatus(err), err.Error()) }
+func refuseUnread(ctx *fasthttp.RequestCtx, err error) { refuse(ctx, ErrorStatus(err), err.Error()) }
 
 // serverLog keeps what fasthttp says, but for what was refused and logged here.
 type serverLog struct{}
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -36,7 +36,7 @@
 )
 
 // DecodeListing reads one list in discovery's form. A member that cannot be read is passed over.
-func DecodeListing(text []byte, names settings.Names) (node.DiscoveryUpdate, error) {
+func DecodeDiscoveryUpdate(text []byte, names settings.Names) (node.DiscoveryUpdate, error) {
 	var in struct {
 		Revision *int64
 		Complete bool
@@ -105,7 +105,7 @@
 
 func newDiscovery(ctx context.Context, n *node.Node, o Options, running *sync.WaitGroup) *discovery {
 	d := &discovery{ctx: ctx, node: n, names: o.Names, running: running, first: discoveryFirst, stops: map[int]context.CancelFunc{}, short: func(error) {}}
-	if o.Asked {
+	if o.DiscoveryOnRequest {
 		d.first = discoveryTurn
 	}
 	return d
@@ -154,7 +154,7 @@
 			if err != nil {
 				return err
 			}
-			l, err := DecodeListing(text, d.names)
+			l, err := DecodeDiscoveryUpdate(text, d.names)
 			if err != nil {
 				return fmt.Errorf("bad list: %w", err)
 			}
@@ -206,7 +206,7 @@
 			if !begins && !bytes.HasSuffix(bytes.TrimSpace(line), []byte("}")) {
 				continue
 			}
-			l, err := DecodeListing(text, d.names)
+			l, err := DecodeDiscoveryUpdate(text, d.names)
 			var cut *json.SyntaxError
 			if errors.As(err, &cut) && cut.Error() == moreToCome {
 				continue
--- a/internal/transport/siblings.go
+++ b/internal/transport/peers.go
@@ -35,7 +35,7 @@
 }
 
 func listenSiblings(o Options, n *node.Node) (*siblings, error) {
-	s := &siblings{node: n, peers: o.Peers, all: o.PeersAll, me: o.Number, out: make(chan datagram, datagramsOut)}
+	s := &siblings{node: n, peers: o.Peers, all: o.PeersAll, me: o.PeerIndex, out: make(chan datagram, datagramsOut)}
 	if !o.PeerListen.IsValid() || len(o.Peers) == 0 {
 		return s, nil
 	}
--- a/internal/transport/endings_test.go
+++ b/internal/transport/races_test.go
@@ -32,7 +32,7 @@
 type rig struct {
 	t     *testing.T
 	n     *node.Node
-	p     *Platform
+	p     *Transport
 	disc  net.Listener
 	lists chan net.Conn // each watch, its request read
 	// What each watch but the first asks after.
@@ -94,7 +94,7 @@
 		Categories: []dispatch.Category{{DueTime: 4000, Expiry: 5000, Credit: 1, Kind: -1},
 			{DueTime: 4000, Expiry: 5000, Credit: 1, Kind: -1, Repeat: dispatch.Exclusive}}}
 	return Options{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Names: settings.Names{Categories: []string{"plan", "order"}},
-			Links: settings.ConnectionSettings{IdleTimeout: 15000, ConnectTimeout: 5000}, Expiries: []float64{5000, 5000}, Copies: true, Sockets: 400},
+			Connections: settings.ConnectionSettings{IdleTimeout: 15000, ConnectTimeout: 5000}, Expiries: []float64{5000, 5000}, SecondCopies: true, MaxSockets: 400},
 		node.Options{Settings: s, MaxOpen: 100}
 }
 
@@ -661,7 +661,7 @@
 		})
 	}
 	t.Run("a call that waits its turn", func(t *testing.T) {
-		r := newRig(t, func(o *Options, no *node.Options) { o.Asked, no.Settings.DiscoveryOnRequest = true, true })
+		r := newRig(t, func(o *Options, no *node.Options) { o.DiscoveryOnRequest, no.Settings.DiscoveryOnRequest = true, true })
 		first := await(t, "the first call", r.lists)
 		defer first.Close()
 		second := await(t, "the second, beside it", r.lists)
@@ -674,7 +674,7 @@
 // However few there are, a job, its callback and a hand-off have theirs.
 func TestShares(t *testing.T) {
 	for sockets := 1; sockets <= 2048; sockets += 7 {
-		p := &Platform{o: Options{Sockets: sockets}, clients: &clients{}, workers: &workers{}, node: node.New(node.Options{})}
+		p := &Transport{o: Options{MaxSockets: sockets}, clients: &clients{}, workers: &workers{}, node: node.New(node.Options{})}
 		p.SetHalfLimits(false)
 		if left := sockets - int(p.clients.most.Load()) - p.workers.most; left < ownSockets && sockets >= 64 {
 			t.Fatalf("of %d descriptors %d are left", sockets, left)
@@ -690,7 +690,7 @@
 func TestLimitFalls(t *testing.T) {
 	limit := 500
 	r := newRig(t, func(o *Options, _ *node.Options) {
-		o.Sockets, o.Limit = 500, func() int { return limit }
+		o.MaxSockets, o.SystemSocketLimit = 500, func() int { return limit }
 	})
 	for range 100 {
 		r.dial()
--- a/internal/transport/takeover.go
+++ b/internal/transport/takeover.go
@@ -74,8 +74,8 @@
 	var l net.Listener
 	var err error
 	switch {
-	case len(o.Found) > clientSocket:
-		l, err = net.FileListener(o.Found[clientSocket])
+	case len(o.InheritedSockets) > clientSocket:
+		l, err = net.FileListener(o.InheritedSockets[clientSocket])
 	case o.Exchange != nil:
 		l, err = shareable.Listen(context.Background(), "tcp", o.Listen.String())
 	default:
@@ -97,8 +97,8 @@
 	var c net.PacketConn
 	var err error
 	switch {
-	case len(o.Found) > siblingSocket:
-		c, err = net.FilePacketConn(o.Found[siblingSocket])
+	case len(o.InheritedSockets) > siblingSocket:
+		c, err = net.FilePacketConn(o.InheritedSockets[siblingSocket])
 	case o.Exchange != nil:
 		c, err = shareable.ListenPacket(context.Background(), "udp", o.PeerListen.String())
 	default:
@@ -116,7 +116,7 @@
 }
 
 // Sockets are those that a newer process is given.
-func (p *Platform) ListeningSockets() []syscall.Conn {
+func (p *Transport) ListeningSockets() []syscall.Conn {
 	all := []syscall.Conn{p.clients.listener}
 	if p.siblings.conn != nil {
 		all = append(all, p.siblings.conn)
@@ -125,7 +125,7 @@
 }
 
 // Pause leaves what comes in to the other process.
-func (p *Platform) Pause() {
+func (p *Transport) Pause() {
 	p.clients.gate.shut()
 	p.clients.listener.SetDeadline(time.Unix(1, 0))
 	if c := p.siblings.conn; c != nil {
@@ -135,7 +135,7 @@
 }
 
 // Resume takes in what comes.
-func (p *Platform) Resume() {
+func (p *Transport) Resume() {
 	p.clients.giving.Store(nil)
 	p.clients.listener.SetDeadline(time.Time{})
 	p.clients.gate.open()
@@ -146,25 +146,25 @@
 }
 
 // GiveIdle gives away connections that wait for a request.
-func (p *Platform) TransferIdle(give func(syscall.Conn) bool) { p.clients.giveIdle(give) }
+func (p *Transport) TransferIdle(give func(syscall.Conn) bool) { p.clients.giveIdle(give) }
 
 // Adopt serves a connection that was given away.
-func (p *Platform) AdoptConn(c net.Conn) { go p.clients.adopt(c) }
+func (p *Transport) AdoptConn(c net.Conn) { go p.clients.adopt(c) }
 
 // Share keeps to half of the bounds while another process has the other half.
-func (p *Platform) SetHalfLimits(half bool) {
+func (p *Transport) SetHalfLimits(half bool) {
 	p.sharing.Lock()
 	p.half = half
 	p.share()
 	p.sharing.Unlock()
-	if p.o.Shared != nil {
-		p.o.Shared(half)
+	if p.o.OnShare != nil {
+		p.o.OnShare(half)
 	}
 }
 
 // share gives clients and workers their parts. The lock is held.
-func (p *Platform) share() {
-	part := float64(p.o.Sockets)
+func (p *Transport) share() {
+	part := float64(p.o.MaxSockets)
 	if p.half {
 		part /= 2
 	}
@@ -177,7 +177,7 @@
 }
 
 // Succeeded tells the node that a newer process is there.
-func (p *Platform) SuccessorConnected() { p.node.Enqueue(node.SuccessorReady{}) }
+func (p *Transport) SuccessorConnected() { p.node.Enqueue(node.SuccessorReady{}) }
 
 const lookAgain = 100 * time.Millisecond // a job that is handed over has arrived by then
 
@@ -190,7 +190,7 @@
 }
 
 // hand gives a job away. Where that fails its client is answered as for one that may have run.
-func (p *Platform) hand(conn *clientConn, j *node.Job, m *message) bool {
+func (p *Transport) hand(conn *clientConn, j *node.Job, m *message) bool {
 	text, err := json.Marshal(goods{*j, m.head, m.body, conn.ahead, conn.spilt})
 	if err == nil {
 		err = p.o.Exchange.TransferJob(conn.Conn.(syscall.Conn), text)
@@ -202,7 +202,7 @@
 }
 
 // AdoptJob answers a job that the older process gave away.
-func (p *Platform) AdoptJob(conn net.Conn, text []byte) {
+func (p *Transport) AdoptJob(conn net.Conn, text []byte) {
 	var g goods
 	if err := json.Unmarshal(text, &g); err != nil || g.Job.Category >= len(p.o.Expiries) {
 		slog.Warn("takeover", "takeover", "a job cannot be read", "err", err)
@@ -264,7 +264,7 @@
 	takeover.ResultUnknown: node.CallbackUndetermined}
 
 // Pass asks the other processes about a callback.
-func (p *Platform) ForwardCallback(c node.Callback) {
+func (p *Transport) ForwardCallback(c node.Callback) {
 	text, err := json.Marshal(told{c.ID, c.From, c.State, c.Share, c.Result})
 	if err != nil || p.o.Exchange == nil {
 		c.Respond(node.CallbackUnknown)
@@ -289,7 +289,7 @@
 }
 
 // Callback takes one that another process did not know.
-func (p *Platform) ForwardedCallback(text []byte, newer bool, answer func(takeover.CallbackResult)) {
+func (p *Transport) ForwardedCallback(text []byte, newer bool, answer func(takeover.CallbackResult)) {
 	var t told
 	if json.Unmarshal(text, &t) != nil {
 		answer(takeover.JobNotFound)
@@ -320,7 +320,7 @@
 }
 
 // Inherit takes what the older process knew.
-func (p *Platform) ImportState(text []byte) error {
+func (p *Transport) ImportState(text []byte) error {
 	var k node.TakeoverState
 	if err := json.Unmarshal(text, &k); err != nil {
 		return err
@@ -329,4 +329,4 @@
 	return nil
 }
 
-var _ takeover.Host = (*Platform)(nil)
+var _ takeover.Host = (*Transport)(nil)
--- a/internal/transport/platform.go
+++ b/internal/transport/transport.go
@@ -25,28 +25,28 @@
 
 // Options is what the parts need to know.
 type Options struct {
-	Listen     netip.AddrPort
-	PeerListen netip.AddrPort
-	Peers      []netip.AddrPort
-	PeersAll   netip.AddrPort
-	Number     int // this dispatcher's among the peers
-	Names      settings.Names
-	Links      settings.ConnectionSettings
-	Expiries   []float64 // of each category
-	Copies     bool      // second copies are allowed
-	Asked      bool      // discovery tells only what it is asked for
-	Sockets    int
-	Figures    *metrics.Metrics // nil: none are asked for
-	Gate       node.LeaseGuard  // nil: of no fleet
+	Listen             netip.AddrPort
+	PeerListen         netip.AddrPort
+	Peers              []netip.AddrPort
+	PeersAll           netip.AddrPort
+	PeerIndex          int // this dispatcher's among the peers
+	Names              settings.Names
+	Connections        settings.ConnectionSettings
+	Expiries           []float64 // of each category
+	SecondCopies       bool      // second copies are allowed
+	DiscoveryOnRequest bool      // discovery tells only what it is asked for
+	MaxSockets         int
+	Metrics            *metrics.Metrics // nil: none are asked for
+	Guard              node.LeaseGuard  // nil: of no fleet
 	// Exchange is with other processes of this dispatcher; nil: there are none, and the addresses are its alone.
-	Exchange *takeover.Exchange
-	Found    []*os.File      // sockets of an older process, served once it has handed over
-	Shared   func(half bool) // told which part of the bounds is this process's
-	Limit    func() int      // what Sockets would be by the system's limit of this moment; nil: as it is
+	Exchange          *takeover.Exchange
+	InheritedSockets  []*os.File      // sockets of an older process, served once it has handed over
+	OnShare           func(half bool) // told which part of the bounds is this process's
+	SystemSocketLimit func() int      // what Sockets would be by the system's limit of this moment; nil: as it is
 }
 
 // Platform is the front of one node.
-type Platform struct {
+type Transport struct {
 	clients   *clients
 	workers   *workers
 	discovery *discovery
@@ -73,9 +73,9 @@
 )
 
 // Start listens and begins to serve. The node's queue takes what comes in; it need not run yet.
-func Start(o Options, n *node.Node) (*Platform, error) {
+func Start(o Options, n *node.Node) (*Transport, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	p := &Platform{o: o, node: n, stop: stop}
+	p := &Transport{o: o, node: n, stop: stop}
 	p.workers = newWorkers(n, o)
 	p.discovery = newDiscovery(ctx, n, o, &p.running)
 	var err error
@@ -89,11 +89,11 @@
 	}
 	p.clients.hand = p.hand
 	p.clients.short, p.workers.short, p.discovery.short = p.short, p.short, p.short
-	for _, f := range o.Found { // the parts have copies
+	for _, f := range o.InheritedSockets { // the parts have copies
 		f.Close()
 	}
-	p.SetHalfLimits(len(o.Found) > 0)
-	if len(o.Found) > 0 {
+	p.SetHalfLimits(len(o.InheritedSockets) > 0)
+	if len(o.InheritedSockets) > 0 {
 		p.Pause() // until the older process has handed over
 	}
 	p.running.Go(func() { p.workers.tidy(ctx) })
@@ -105,14 +105,14 @@
 
 // short is told why a connection did not come up or in. Where the system had no descriptor left it may allow fewer than it did:
 // clients and workers get their parts of these. Without that, clients that only connect would take each that becomes free.
-func (p *Platform) short(err error) {
-	if p.o.Limit == nil || !errors.Is(err, syscall.EMFILE) {
+func (p *Transport) short(err error) {
+	if p.o.SystemSocketLimit == nil || !errors.Is(err, syscall.EMFILE) {
 		return
 	}
 	p.sharing.Lock()
-	if now := p.o.Limit(); now < p.o.Sockets {
-		slog.Warn("limits", "sockets", now, "was", p.o.Sockets)
-		p.o.Sockets = now
+	if now := p.o.SystemSocketLimit(); now < p.o.MaxSockets {
+		slog.Warn("limits", "sockets", now, "was", p.o.MaxSockets)
+		p.o.MaxSockets = now
 		p.share()
 	}
 	p.sharing.Unlock()
@@ -121,25 +121,25 @@
 }
 
 // Send starts a hand-off.
-func (p *Platform) Send(s node.HandOffRequest) node.Attempt { return p.workers.send(s) }
+func (p *Transport) Send(s node.HandOffRequest) node.Attempt { return p.workers.send(s) }
 
 // Continue takes up a hand-off that another process made.
-func (p *Platform) AdoptHandOff(s node.HandOffRequest) node.Attempt { return p.workers.adopt(s) }
+func (p *Transport) AdoptHandOff(s node.HandOffRequest) node.Attempt { return p.workers.adopt(s) }
 
 // Watch opens a watch on discovery.
-func (p *Platform) Watch(number int, addr string, after int64) {
+func (p *Transport) Watch(number int, addr string, after int64) {
 	p.discovery.watch(number, addr, after)
 }
 
 // Unwatch ends a watch.
-func (p *Platform) Unwatch(number int) { p.discovery.unwatch(number) }
+func (p *Transport) Unwatch(number int) { p.discovery.unwatch(number) }
 
 // Tell sends a message to siblings.
-func (p *Platform) SendToPeer(to int, data []byte) { p.siblings.tell(to, data) }
+func (p *Transport) SendToPeer(to int, data []byte) { p.siblings.tell(to, data) }
 
 // Drain has connections closed with their next deferral; or hands over, if there is a newer process, and has them closed
 // with their next answer.
-func (p *Platform) Drain(known func() node.TakeoverState) (succeeded bool) {
+func (p *Transport) Drain(known func() node.TakeoverState) (succeeded bool) {
 	p.clients.leaving.Store(true)
 	if p.o.Exchange != nil && p.o.Exchange.HandOver(func() []byte { return encodeKnown(known()) }) {
 		p.clients.draining.Store(true)
@@ -149,13 +149,13 @@
 }
 
 // Dismiss closes connections that wait for a request, and the others with their next answer.
-func (p *Platform) CloseIdle() {
+func (p *Transport) CloseIdle() {
 	p.clients.draining.Store(true)
 	p.clients.dismiss()
 }
 
 // Close lets requests and answers under way come to their end, for a short time, and ends everything.
-func (p *Platform) Close() {
+func (p *Transport) Close() {
 	p.clients.close(readWithin) // what has begun to come in is whole by then, or never
 	p.workers.close(time.Second)
 	p.stop()
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -104,10 +104,10 @@
 }
 
 func newWorkers(n *node.Node, o Options) *workers {
-	ms, l := float64(time.Millisecond), o.Links
+	ms, l := float64(time.Millisecond), o.Connections
 	return &workers{node: n, dialer: net.Dialer{Timeout: time.Duration(l.ConnectTimeout * ms), KeepAlive: -1},
-		idleFor: time.Duration(l.IdleTimeout / 2 * ms), learned: time.Duration(l.IdleTimeout / 2 * ms), settle: settled, copies: o.Copies,
-		figures: o.Figures, gate: o.Gate, idle: map[string][]*workerConn{}, short: func(error) {}}
+		idleFor: time.Duration(l.IdleTimeout / 2 * ms), learned: time.Duration(l.IdleTimeout / 2 * ms), settle: settled, copies: o.SecondCopies,
+		figures: o.Metrics, gate: o.Guard, idle: map[string][]*workerConn{}, short: func(error) {}}
 }
 
 // errTooMany: all connections to workers that the limit allows are in use. The hand-off could not connect.
