--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,8 +1,9 @@
-// Package node is the dispatcher as a running program, without a protocol. Its one goroutine, the
-// reducer, owns the Dispatcher and every work item, hand-off, timer and phase: whatever happens comes in
-// by its queue as a small typed value, and only it changes state. Reads and writes are effects that it asks
-// a Front for. It must never block on a socket or a queue, parse or format a message, or decide where a work
-// item goes: the Dispatcher does that, called at most once per grain.
+// Package node runs one dispatcher, independent of any wire protocol. A single goroutine, the event loop,
+// owns the Dispatcher and every work item, hand-off, timer and phase. Every event arrives through its queue
+// as a small typed value, and only the event loop changes state. It requests reads and writes from a
+// Transport. It must never block on a socket or a queue, parse or format a message, or decide where a work
+// item goes: that is the job of the Dispatcher, which is called at most once per round interval
+// (Settings.Grain).
 package node
 
 import (
@@ -20,14 +21,14 @@
 	"weldmast/internal/metrics"
 )
 
-// Phase is where the program stands between its start and its exit.
+// Phase is the stage of the process between its start and its exit.
 type Phase int32
 
-// The phases, in their order.
+// The phases, in order.
 const (
 	Starting Phase = iota // no list of workers yet
 	Serving
-	Draining // told to stop: answers what it has taken
+	Draining // told to stop: still answers the requests that it has accepted
 	Stopped
 )
 
@@ -35,111 +36,132 @@
 	return [...]string{"starting", "serving", "draining", "stopped"}[p]
 }
 
-// Times of the program itself, in milliseconds; what the operators set is in the settings.
+// Times and limits of the process itself, times in milliseconds. What operators can set is in the settings.
 const (
-	cachedListDelay     = 500  // an old list must do when discovery has said nothing for so long
-	minAcceptTime       = 500  // told to stop, it takes work for so long at least: clients may not know yet
-	maxDrainTime        = 3000 // it is killed after the longest deadline, or this if that is longer,
-	killGrace           = 700  // and this more
-	answerMargin        = 200  // all is answered so long before
-	handOverRetry       = 50   // what could not be handed over is looked at again after this time
-	overloadRetryAfter  = 1000 // with as much open as may be, a client is told to come back after this time
-	guardInterval       = 10   // the gate is looked at so often while there is work
-	poolMetricsInterval = 100  // the figures of the workers are at most so old, and a round
-	watchRetryMean      = 333  // mean time before discovery is asked again; drawn, so that not all ask at once,
-	drainGraceParts     = 4    // and no longer than this part of the time within which a drain must be heeded: it may be told meanwhile
-	watchInterval       = 1000 // where discovery has said nothing, it is asked once more after this time, give or take a fifth: two
-	// watches in a row that say nothing, after one that fell silent, leave 6 s for what it has to be told
-	pollRetryMean  = 1000 // the same two where it tells only what it is asked for: calls may wait their turn there, so the next one
-	pollInterval   = 3500 // comes later, while one that fell silent has used up half of the time
-	askWithinShare = 0.35 // and no later than this part of the time within which to ask
-	maxWatches     = 3    // calls that wait for discovery at once
-	queueSize      = 4096 // values that wait for the reducer
-	maxUsedIDs     = 8192 // ids of answered work items that are remembered, twice so many at most
+	cachedListDelay = 500 // the cached list of workers is used if discovery has not answered for this long
+	minAcceptTime   = 500 // after a stop, new work is accepted for at least this long: clients may not know of the stop
+
+	// The supervisor kills the process maxDrainTime + killGrace after a stop. If the longest expiry is shorter than
+	// maxDrainTime, it counts in its place. All requests are answered answerMargin before the kill.
+	maxDrainTime = 3000
+	killGrace    = 700
+	answerMargin = 200
+
+	handOverRetry       = 50   // interval between attempts to hand over the remaining jobs
+	overloadRetryAfter  = 1000 // Retry-After for a client that is turned away at the limit of open work items
+	guardInterval       = 10   // interval at which the lease guard is checked while there is work
+	poolMetricsInterval = 100  // the metrics about workers are at most this old, plus one round
+
+	// Mean delay before a watch is opened in place of one that ended. The delay is random, so that dispatchers do not
+	// all ask at once. It is at most a quarter of the time within which a drain must be obeyed (DrainGrace): discovery
+	// may announce a drain meanwhile.
+	watchRetryMean  = 333
+	drainGraceParts = 4
+
+	// If discovery has not answered a watch, one more is opened after this time, plus or minus 20%. So a change is
+	// known within 6 s even if, after a watch fell silent, two more in a row stay silent.
+	watchInterval = 1000
+
+	// The same two times where discovery only answers requests. Calls may queue there, so the next one is made later. A
+	// call that fell silent has used up half of the time by then.
+	pollRetryMean  = 1000
+	pollInterval   = 3500
+	askWithinShare = 0.35 // both are at most this fraction of the setting AskWithin
+
+	maxWatches = 3    // watches that may wait for discovery at once
+	queueSize  = 4096 // events that wait for the event loop
+	maxUsedIDs = 8192 // remembered IDs of answered work items in each of the two generations
 )
 
-// Whole in place of a revision asks for the whole list.
+// FullList, given in place of a revision, requests the complete list of workers.
 const FullList = -1
 
-// The front is what speaks to the world. No call may block; what comes of one comes in by the queue.
+// Transport exchanges messages with clients, workers, peers and discovery. No call may block; its results
+// come in through the queue.
 type Transport interface {
-	// Send starts a hand-off. If the worker does not take it, one Ended follows; if it does, its callbacks tell.
+	// Send starts a hand-off. If the worker does not accept it, one HandOffEnded follows; if it does, the
+	// worker's callbacks report the outcome.
 	Send(s HandOffRequest) Attempt
-	// Continue takes up a hand-off that another process made and whose worker has taken it.
+	// AdoptHandOff continues a hand-off that another process made and that its worker has accepted.
 	AdoptHandOff(s HandOffRequest) Attempt
-	// Watch asks discovery at the address for what changed after the revision, or for the whole list and then
-	// for its changes, until a Broken or until Unwatch. Several may be open at once.
+	// Watch requests from discovery at addr all changes after the given revision, or the complete list
+	// followed by its changes. It lasts until a WatchEnded or until Unwatch. Several watches may be open at
+	// once.
 	Watch(number int, addr string, after int64)
-	// Unwatch ends a watch.
+	// Unwatch closes a watch.
 	Unwatch(number int)
-	// Tell sends a message to a sibling, or to all for -1.
+	// SendToPeer sends a message to one peer, or to all peers if to is -1.
 	SendToPeer(to int, data []byte)
-	// Drain makes clients go elsewhere: no connection is kept beyond its next deferral. Where another process takes this
-	// one's place it is told what is known, which may be called before Drain returns, and no connection is kept.
+	// Drain makes clients go to other dispatchers: each connection is closed after its next deferral. If
+	// another process takes over from this one, Drain sends it the takeover state, and each connection is
+	// closed after its next answer. It may call the function that returns the state before it returns.
 	Drain(known func() TakeoverState) (succeeded bool)
-	// Pass asks this dispatcher's other processes about a callback; its Answer is called once.
+	// ForwardCallback asks the other processes of this dispatcher about a callback. Its Respond is called
+	// once.
 	ForwardCallback(c Callback)
-	// Dismiss closes the connections that wait for a request.
+	// CloseIdle closes the connections that wait for a request.
 	CloseIdle()
 }
 
-// Attempt is a hand-off that the front has under way.
+// Attempt is a hand-off in progress in the transport.
 type Attempt interface {
-	// GiveUp makes the worker drop it as far as it can; an Ended follows, unless one did already.
+	// Cancel makes the worker drop the work item, as far as that is possible. A HandOffEnded follows, unless
+	// there has been one already.
 	Cancel()
-	// Taken tells whether the worker has it: only its callbacks tell more.
+	// Accepted reports whether the worker has accepted the work item. From then on only its callbacks report
+	// progress.
 	Accepted() bool
-	// Written tells whether nothing of it is still to be written.
+	// Written reports whether nothing of the hand-off remains to be written.
 	Written() bool
 }
 
-// Sending is a hand-off to make.
+// HandOffRequest describes a hand-off to make.
 type HandOffRequest struct {
 	WI      uint64
 	HO      int
-	ID      string // the client's, as it came
+	ID      string // the request ID, as the client sent it
 	Addr    string
-	Message any     // what the front gave with the arrival
-	Timeout float64 // how long the answer is waited for
-	Mark    string  // of the configuration in force; empty: none
+	Message any     // the value that the transport passed with the request
+	Timeout float64 // time to wait for the result, in ms
+	Mark    string  // release mark of the current configuration; empty: none
 }
 
-// Client is one who waits for a work item's answer.
+// Request is a work item as a client submitted it. The client waits for the answer.
 type Request struct {
 	ID       string
 	Category int
 	Tenant   int
 	Hint     float64
-	Key      string  // what it is about; empty: nothing
-	Expiry   float64 // on the clock of Now
+	Key      string  // key of the data that the work item needs; empty: none
+	Expiry   float64 // time on the clock of Now
 	Message  any
-	Respond  func(Reply) // called once, by the reducer; must not block
-	item     *workItem   // the reducer's
+	Respond  func(Reply) // called once, by the event loop; must not block
+	item     *workItem   // owned by the event loop
 }
 
-// Result says how a client is answered.
+// Result is the outcome that a client receives.
 type Result int
 
 // The results.
 const (
 	Served   Result = iota
-	Deferred        // trying again is harmless
+	Deferred        // the client may safely retry
 	WrittenOff
 	TimedOut // no answer came in time
 	DuplicateID
-	ClientGone // the client left: nobody to answer
+	ClientGone // the client disconnected: there is nobody to answer
 	HandedOver // another process answers
 )
 
-// Reply is a client's answer.
+// Reply is the answer to a client.
 type Reply struct {
 	Result     Result
 	Body       string
-	RetryAfter float64 // 0: no advice
-	Job        *Job    // what is handed over
+	RetryAfter float64 // in ms; 0: no advice
+	Job        *Job    // the job that is handed over
 }
 
-// Job is a work item that goes to the process that takes this one's place, with its client's connection.
+// Job is a work item that moves, with its client's connection, to the process that takes over from this one.
 type Job struct {
 	ID       string
 	Category int
@@ -150,106 +172,109 @@
 	HandOffs []JobHandOff
 }
 
-// JobHandOff is one of its hand-offs. At most one is out, and its worker has taken it.
+// JobHandOff is one of the hand-offs of a Job. At most one is in progress, and its worker has accepted it.
 type JobHandOff struct {
 	dispatch.Taken
-	Addr  string // where its worker was found
-	Never bool   // no callback comes of it
+	Addr  string // address of its worker
+	Never bool   // no callback will come for it
 }
 
-// The values that come in by the queue.
+// The events that come in through the queue.
 type (
-	// Arrived is a new work item.
+	// RequestArrived is a new work item.
 	RequestArrived struct{ Request *Request }
-	// Departed is the loss of a client that had not been answered.
+	// ClientDisconnected reports that a client disconnected before it was answered.
 	ClientDisconnected struct{ Request *Request }
-	// Ended is the end of a hand-off as its connection shows it.
+	// HandOffEnded is the end of a hand-off as its connection shows it.
 	HandOffEnded struct {
 		WI      uint64
 		HO      int
 		Outcome dispatch.Outcome
 	}
-	// Callback is what a worker tells of a work item.
+	// Callback is a worker's report on a work item.
 	Callback struct {
 		ID, From string
 		State    CallbackState
 		Share    float64
 		Result   string
-		// Answer is called once, by the reducer or by whom it passed it to; must not block. Nil: nobody asks.
+		// Respond is called once, by the event loop or by the transport that it forwarded the callback to. It
+		// must not block. Nil: nobody waits for the result.
 		Respond func(CallbackResult)
-		// The process that told it, if another one did: whom not to ask.
+		// The process that forwarded it, if any; that process is not asked again.
 		FromSuccessor, FromPredecessor bool
 	}
-	// Succeeded tells that another process waits to take this one's place.
+	// SuccessorReady reports that another process is ready to take over from this one.
 	SuccessorReady struct{}
-	// Adopted is a work item that the process had whose place this one takes.
+	// JobAdopted is a work item taken over from the predecessor.
 	JobAdopted struct {
 		Request *Request
 		Job     Job
 	}
-	// Inherited is what the process knew whose place this one takes.
+	// StateInherited is the state taken over from the predecessor.
 	StateInherited struct{ State TakeoverState }
-	// Listing is what discovery told.
+	// DiscoveryUpdate is a list of workers, or a change to it, that discovery sent.
 	DiscoveryUpdate struct {
-		Watch    int // the number of the watch that brought it
+		Watch    int // number of the watch that brought it
 		Revision int64
 		Complete bool
 		Members  []Member
 	}
-	// Broken is the end of a watch.
+	// WatchEnded reports the end of a watch.
 	WatchEnded struct{ Watch int }
-	// Changed gives the configuration that is in force from now on.
+	// ConfigChanged is the configuration that is in force from now on.
 	ConfigChanged struct {
-		Version   uint64 // of the fleet's history; 0: the process's own
+		Version   uint64 // version in the fleet's history; 0: the process's own configuration
 		Settings  dispatch.Settings
 		MaxOpen   int
 		Mark      string
-		Discovery string // another address than before: it is moved to
-		// Applied is called once no hand-off begun under an older version is still to be written; nil: nobody asks.
+		Discovery string // address of discovery; if it differs from the current one, the node switches to it
+		// OnApplied is called once no hand-off that began under an earlier version remains to be written;
+		// nil: nobody waits for that.
 		OnApplied func()
 	}
-	// Room gives for how many waiting clients there are descriptors from now on.
+	// ClientLimit sets how many clients may wait at once, given the descriptors that are available.
 	ClientLimit struct{ Max int }
-	// Moved gives the address at which discovery is found from now on.
+	// DiscoveryMoved sets the address of discovery.
 	DiscoveryMoved struct{ Discovery string }
-	// Heard is a sibling's message.
+	// PeerMessage is a message from a peer.
 	PeerMessage struct {
 		From int
 		Data []byte
 	}
-	// Stop asks for an orderly end.
+	// Stop requests an orderly shutdown.
 	Stop struct{}
 )
 
-// Applied is what became of a callback.
+// CallbackResult is the effect of a callback.
 type CallbackResult int
 
-// What may become of it.
+// The results of a callback.
 const (
 	CallbackApplied      CallbackResult = iota
-	CallbackUnknown                     // to nobody
+	CallbackUnknown                     // no process knows the work item
 	CallbackUndetermined                // another process may know it
 )
 
-// Gate is a fleet's word on what this process may do. No call may block.
+// LeaseGuard says whether the fleet allows this process to act. No call may block.
 type LeaseGuard interface {
-	// Open tells whether new work may be taken and handed off now.
+	// Allowed reports whether new work may be accepted and handed off now.
 	Allowed() bool
-	// InForce tells that a version of the fleet's is in force, Act that something was done.
+	// VersionInForce reports that a version of the fleet's configuration is in force here; RecordAction
+	// counts an action.
 	VersionInForce(version uint64)
 	RecordAction(fleet.Action)
 }
 
-// Known is all that a process tells the one that takes its place.
+// TakeoverState is everything that a process passes on to its successor.
 type TakeoverState struct {
-	Discovery string // where the list comes from
+	Discovery string // address of the discovery that the list came from
 	Revision  int64
 	Members   []Member
-	Used      []string // ids of work items that are open, or ran, or may have
+	Used      []string // IDs of work items that are open, or that ran or may have run
 	Learned   dispatch.Learned
 }
 
-// learner is a Decider that can be succeeded.
+// takeoverDecider is a Decider that can pass its state on to a successor.
 type takeoverDecider interface {
 	Learned() dispatch.Learned
 	Recall(dispatch.Learned)
@@ -257,10 +282,10 @@
 	Adopt(dispatch.WorkItem, []dispatch.Taken)
 }
 
-// CallbackState is what a callback tells.
+// CallbackState is the state of a work item that a callback reports.
 type CallbackState int
 
-// The states.
+// The states that a callback can report.
 const (
 	Started CallbackState = iota
 	Running
@@ -270,37 +295,37 @@
 	Lost
 )
 
-// Member is a worker as discovery lists it, and where this dispatcher finds it.
+// Member is a worker as discovery lists it, with its address.
 type Member struct {
 	dispatch.Entry
 	Addr string
 }
 
-// handoff is one hand-off as the reducer sees it.
+// handOff is one hand-off as the event loop knows it.
 type handOff struct {
 	worker      string
 	sentAt      float64
 	attempt     Attempt
 	ended       bool
-	noCallback  bool    // it did not reach the worker, or was turned away on its connection: no callback comes
-	provenUnrun bool    // it proved not to have run
-	startedAt   float64 // 0: not known to have
+	noCallback  bool    // it did not reach the worker, or was rejected on its connection: no callback will come
+	provenUnrun bool    // it is proven not to have run
+	startedAt   float64 // 0: no start has been reported
 	addr        string
 }
 
-// item is a work item until its client is answered and all its hand-offs have ended.
+// workItem exists until its client is answered and all its hand-offs have ended.
 type workItem struct {
 	wi            uint64
 	request       *Request
 	handOffs      []handOff
 	outstanding   int
-	answered      bool    // the client has its answer, or is gone
-	handedOver    bool    // or another process has it
-	processEndsIn float64 // this process ends so long after the arrival; 0: it does not
+	answered      bool    // the client has its answer, or has disconnected
+	handedOver    bool    // another process has it
+	processEndsIn float64 // time between the arrival and the end of this process; 0: no end is planned
 	arrivedAt     float64
 }
 
-// expiry is when it must have been answered.
+// deadline is the time by which the work item must be answered.
 func (it *workItem) deadline() float64 {
 	if it.processEndsIn > 0 {
 		return min(it.request.Expiry, it.arrivedAt+it.processEndsIn)
@@ -308,7 +333,8 @@
 	return it.request.Expiry
 }
 
-// due is a moment at which the reducer must act: of a hand-off, of a work item (ho -1), or of none (wi 0).
+// timer is a time at which the event loop must act on a hand-off, on a work item (ho -1), or for the
+// Dispatcher (wi 0).
 type timer struct {
 	at float64
 	wi uint64
@@ -323,12 +349,12 @@
 func (q *timerQueue) Push(x any)        { *q = append(*q, x.(timer)) }
 func (q *timerQueue) Pop() any          { x := (*q)[len(*q)-1]; *q = (*q)[:len(*q)-1]; return x }
 
-// Node is one dispatcher at work. Only Queue, Phase, Now and Done are for goroutines other than
-// the reducer's.
+// Node is one running dispatcher. Other goroutines than the event loop's may call only Enqueue, Phase, Now
+// and Done.
 type Node struct {
 	settings          dispatch.Settings
 	maxOpen           int
-	clientLimit       int // the same by descriptors
+	clientLimit       int // limit on waiting clients by the available descriptors
 	transport         Transport
 	decider           dispatch.Decider
 	queue             chan any
@@ -337,76 +363,76 @@
 	clock             func() float64
 	log               *slog.Logger
 	now               float64
-	lastRound         float64 // time of the last round
-	timerFired        bool    // a timer of the Dispatcher's is due
+	lastRound         float64 // its time
+	timerFired        bool    // a timer of the Dispatcher has expired since the last round
 	inbox             []any
 	items             map[uint64]*workItem
 	byID              map[string]*workItem
-	usedIDs           [2]map[string]bool // ids of work items that ran or may have, newer ones first
-	usedRotateAt      float64            // the newer ones are the older ones from then on
-	longestExpiry     float64            // the longest expiry: a client could still have repeated it in good faith
+	usedIDs           [2]map[string]bool // IDs of work items that ran or may have run; the newer generation first
+	usedRotateAt      float64            // the newer generation becomes the older one at this time
+	longestExpiry     float64            // a client may legitimately repeat a request within this time
 	addrs             map[string]string
-	lastAnswer        float64 // the last answer to a client
+	lastAnswer        float64 // time of the last answer to a client
 	open              int     // work items whose client waits
 	lastWI            uint64
 	timers            timerQueue
 	rngState          uint64
-	newestWatch       int     // number of the newest watch
-	openWatches       []int   // those that are open, oldest first; once one has spoken, that one alone
-	watchAnswered     bool    // it has
-	pollPending       bool    // the dispatcher asked for it and has no answer yet
-	nextWatchAt       float64 // discovery is asked again then; infinite: not now
-	discoveryAddr     string  // its address
+	newestWatch       int     // its number
+	openWatches       []int   // oldest first; once one has answered, only that one
+	watchAnswered     bool    // the open watch has answered
+	pollPending       bool    // the Dispatcher requested a poll that has no answer yet
+	nextWatchAt       float64 // time of the next watch; infinite: none is planned
+	discoveryAddr     string
 	metrics           *figures.Figures
-	nextPoolMetrics   float64 // the pool's are told again then
-	revision          int64   // the last that it told; Whole: it has told no whole list
-	discoveryAnswered bool    // discovery itself has spoken
+	nextPoolMetrics   float64 // time of the next update of the pool metrics
+	revision          int64   // revision of the last update; FullList: there has been no complete list
+	discoveryAnswered bool    // discovery has sent an update, not only the cache
 	startedAt         float64
 	drainStart        float64
-	acceptUntil       float64    // told to stop, no more work is taken from then on
-	answerBy          float64    // and all that was taken since is answered by then
-	handOverAt        float64    // what still runs is handed over then; infinite: to nobody
-	refusing          bool       // no more work is taken
-	guard             LeaseGuard // nil: of no fleet
-	configVersion     uint64     // of the fleet's history, in force
+	acceptUntil       float64    // after a stop, no new work is accepted from this time on
+	answerBy          float64    // all accepted work is answered by this time
+	handOverAt        float64    // jobs that still run are handed over from this time on; infinite: there is no successor
+	refusing          bool       // no new work is accepted
+	guard             LeaseGuard // nil: this process belongs to no fleet
+	configVersion     uint64     // version in the fleet's history that is in force
 	mark              string
-	pendingVersions   []pendingVersion // versions whose coming into force is to be told
+	pendingVersions   []pendingVersion // versions in force that are not confirmed yet
 }
 
-// older are the hand-offs begun before a version was in force and not yet written.
+// pendingVersion holds the hand-offs that began before a version was in force and that are not yet written.
 type pendingVersion struct {
 	attempts  []Attempt
 	onApplied func()
 }
 
-// Options say what a node is to be.
+// Options configure a node.
 type Options struct {
 	Settings  dispatch.Settings
-	MaxOpen   int    // clients that wait at once, at most
+	MaxOpen   int    // limit on clients that wait at once
 	Discovery string // its address
-	// Known is the list as it last was, perhaps old. Its revision says nothing to discovery, which may have been
-	// at another address then, with another count.
+	// CachedList is the last known list of workers, perhaps outdated. Its revision is not sent to discovery,
+	// which may have been at another address then and may count revisions differently.
 	CachedList DiscoveryUpdate
-	// Clock tells the time in milliseconds and never goes back; nil: the machine's, as Unix time.
+	// Clock returns the time in milliseconds and never goes back; nil: the system clock, as Unix time.
 	Clock func() float64
-	Log   *slog.Logger // nil: the default one
-	// Figures are told of the workers; nil: none.
-	Metrics *metrics.Metrics
+	Log   *slog.Logger // nil: the default logger
+	// Metrics receives the counts of workers; nil: none.
+	Metrics *figures.Figures
 	Mark    string
-	// Gate is asked before each hand-off; nil: the process is of no fleet.
+	// Guard is asked before each hand-off; nil: the process belongs to no fleet.
 	Guard LeaseGuard
-	// Decider decides; nil: the Dispatcher. Others are for measuring it.
+	// Decider makes the decisions; nil: a dispatch.Dispatcher. Others serve to measure it.
 	Decider dispatch.Decider
 }
 
-// wall is the machine's clock: Unix time as it was at first, from then on by a count that never goes back.
+// monotonicClock returns a clock that starts at the system's Unix time and from then on never goes back.
 func monotonicClock() func() float64 {
 	start := time.Now()
 	unixMs := float64(start.UnixMicro()) / 1000
 	return func() float64 { return unixMs + float64(time.Since(start))/1e6 }
 }
 
-// New makes a node that serves once it is run.
+// New returns a node that serves once it is run.
 func New(o Options) *Node {
 	s := o.Settings
 	n := &Node{settings: s, maxOpen: o.MaxOpen, clientLimit: math.MaxInt, decider: o.Decider, queue: make(chan any, queueSize),
@@ -430,16 +456,17 @@
 	return n
 }
 
-// Now is the one clock of arrivals, rounds and workers' starts.
+// Now returns the time of the clock that arrivals, rounds and the start times of workers use.
 func (n *Node) Now() float64 { return n.clock() }
 
-// Phase tells where the program stands.
+// Phase returns the current phase.
 func (n *Node) Phase() Phase { return Phase(n.phase.Load()) }
 
 // Done is closed once the node has stopped.
 func (n *Node) Done() <-chan struct{} { return n.stopped }
 
-// Queue hands a value to the reducer. It waits while the queue is full; false: the node has stopped.
+// Enqueue passes an event to the event loop. It blocks while the queue is full. It returns false if the node
+// has stopped.
 func (n *Node) Enqueue(v any) bool {
 	select {
 	case n.queue <- v:
@@ -449,7 +476,8 @@
 	}
 }
 
-// Run is the reducer. It returns once the node was told to stop and has answered all that it took.
+// Run is the event loop. It returns once the node was told to stop and has answered all the work that it
+// accepted.
 func (n *Node) Run(front Transport) {
 	n.start(front)
 	timer := time.NewTimer(0)
@@ -466,8 +494,9 @@
 	close(n.stopped)
 }
 
-// turn takes in values and all that waits in the queue before it decides anything, also when a timer brings it on: after a
-// standstill of the process both are there at once, and what has ended meanwhile must not be acted on.
+// handleQueued handles the given events and all queued ones before it decides anything, also when a timer
+// fires. After the process was suspended, both are present at once, and the node must not act on work that
+// has ended meanwhile.
 func (n *Node) handleQueued(values ...any) {
 	n.now = n.Now()
 	for _, v := range values {
@@ -485,15 +514,16 @@
 	n.advance()
 }
 
-// Begin starts a node that no goroutine runs: Step drives it, by the caller's clock. It returns as Step does.
+// Begin starts a node that no goroutine runs: the caller drives it with Step, by its own clock. It returns
+// the same as Step.
 func (n *Node) Begin(front Transport) float64 {
 	n.start(front)
 	n.advance()
 	return n.nextWake()
 }
 
-// Step takes in values and does what is due, as Run does when they come in by the queue. It returns the time, on the
-// clock of Now, by which it must be called again if nothing comes in; infinite once the node has stopped.
+// Step handles events and runs expired timers, as Run does for queued events. It returns the time, on the
+// clock of Now, by which it must be called again if no event comes in; infinite once the node has stopped.
 func (n *Node) Step(values ...any) float64 {
 	if n.Phase() == Stopped {
 		return math.Inf(1)
@@ -518,7 +548,7 @@
 	n.round()
 }
 
-// settle does what is due and, once in a grain, lets the Dispatcher decide.
+// advance runs expired timers and, once per round interval, lets the Dispatcher decide.
 func (n *Node) advance() {
 	n.runTimers()
 	if n.guard != nil {
@@ -532,18 +562,18 @@
 	}
 }
 
-// nextAt is when the reducer must act if nothing comes in.
+// nextWake returns the time at which the event loop must act if no event comes in.
 func (n *Node) nextWake() float64 {
 	wake := min(n.now+1000, n.nextWatchAt)
 	if len(n.timers) > 0 {
 		wake = min(wake, n.timers[0].at)
 	}
-	if n.guard != nil && len(n.items) > 0 || len(n.pendingVersions) > 0 { // the gate closes by time alone
+	if n.guard != nil && len(n.items) > 0 || len(n.pendingVersions) > 0 { // a lease expires without an event
 		wake = min(wake, n.now+guardInterval)
 	}
 	switch n.Phase() {
 	case Starting:
-		if t := n.startedAt + cachedListDelay; n.now < t { // past it, only discovery can help
+		if t := n.startedAt + cachedListDelay; n.now < t { // after that, only discovery can help
 			wake = min(wake, t)
 		}
 	case Draining:
@@ -563,7 +593,7 @@
 	n.phase.Store(int32(p))
 }
 
-// reduce takes in one value.
+// handle processes one event.
 func (n *Node) handle(v any) {
 	switch v := v.(type) {
 	case RequestArrived:
@@ -600,8 +630,8 @@
 	case WatchEnded:
 		n.watchEnded(v.Watch)
 	case DiscoveryMoved:
-		// What the old address told stays in use until the new one has given its whole list: it may count
-		// revisions its own way. The same address is asked anew as well.
+		// The list from the old address stays in use until the new one has sent its complete list: it may
+		// count revisions differently. The same address is asked again, too.
 		n.log.Info("moved", "discovery", v.Discovery, "was", n.discoveryAddr, "phase", n.Phase())
 		n.discoveryAddr, n.revision = v.Discovery, FullList
 		n.closeWatches(0)
@@ -622,7 +652,7 @@
 	}
 }
 
-// change brings a configuration into force. This is the one place for it, whoever asked.
+// applyConfig puts a configuration in force. Every change of configuration goes through this method.
 func (n *Node) applyConfig(v ConfigChanged) {
 	if d, ok := n.decider.(interface{ Change(dispatch.Settings) }); ok {
 		d.Change(v.Settings)
@@ -649,7 +679,7 @@
 	n.confirmVersions()
 }
 
-// apply tells of versions that are in force and before which nothing is still to be written.
+// confirmVersions confirms the versions in force for which no earlier hand-off remains to be written.
 func (n *Node) confirmVersions() {
 	n.pendingVersions = slices.DeleteFunc(n.pendingVersions, func(p pendingVersion) bool {
 		if slices.ContainsFunc(p.attempts, func(a Attempt) bool { return !a.Written() }) {
@@ -660,8 +690,9 @@
 	})
 }
 
-// shut gives up what waits while the fleet has shut this process out: what is out ends by itself. This guards against
-// work of a process that is behind, or that cannot know whether it is.
+// giveUpQueued gives up queued work items while the fleet does not allow this process to act; hand-offs in
+// progress end by themselves. This guards against work by a process that has an outdated version, or that
+// cannot know whether it has.
 func (n *Node) giveUpQueued() {
 	for _, wi := range slices.Sorted(maps.Keys(n.items)) {
 		if it := n.items[wi]; !it.answered && !it.handedOver && it.outstanding == 0 {
@@ -670,18 +701,18 @@
 	}
 }
 
-// book counts an act, where somebody keeps account.
+// recordAction counts an action, if the process belongs to a fleet.
 func (n *Node) recordAction(a fleet.Act) {
 	if n.guard != nil {
 		n.guard.RecordAction(a)
 	}
 }
 
-// allowed tells whether new work may be taken and handed off.
+// mayTakeWork reports whether new work may be accepted and handed off.
 func (n *Node) mayTakeWork() bool { return n.guard == nil || n.guard.Allowed() }
 
-// stop begins the end, anew when a process is there that takes this one's place: then no work is to be taken for longer
-// than clients may not know.
+// startDrain starts the shutdown. It runs again when a successor appears: then work is accepted only for as
+// long as clients may not know of the stop.
 func (n *Node) startDrain() {
 	if n.drainStart == 0 {
 		n.drainStart = n.now
@@ -689,23 +720,24 @@
 	drainTime := min(n.longestExpiry, maxDrainTime)
 	n.answerBy = n.drainStart + drainTime + killGrace - answerMargin
 	n.acceptUntil, n.handOverAt = n.drainStart+minAcceptTime, n.drainStart+drainTime
-	if !n.transport.Drain(n.takeoverState) { // else it goes on while what is taken has time to end: there may be nobody else
+	// Without a successor, accept work while there is time to finish it: there may be no other dispatcher.
+	if !n.transport.Drain(n.takeoverState) {
 		n.acceptUntil, n.handOverAt = n.drainStart+max(minAcceptTime, drainTime/2), math.Inf(1)
 	}
-	// What was taken before has to be answered by then as well: what is open at the kill is lost.
+	// Work accepted earlier has to be answered by then as well: what is open at the kill is lost.
 	n.inbox = append(n.inbox, answerDeadline(n.answerBy))
 }
 
 func (n *Node) requestArrived(c *Request) {
 	switch {
-	case n.byID[c.ID] != nil || n.usedIDs[0][c.ID] || n.usedIDs[1][c.ID]: // a second copy: ids are new with every request
+	case n.byID[c.ID] != nil || n.usedIDs[0][c.ID] || n.usedIDs[1][c.ID]: // a duplicate: IDs are unique to each request
 		n.log.Warn("bad", "bad", "repeated", "id", c.ID)
 		c.Respond(Reply{Result: DuplicateID})
 		return
-	case n.refusing: // others will take it at once
+	case n.refusing: // other dispatchers accept it at once
 		c.Respond(Reply{Result: Deferred})
 		return
-	case !n.mayTakeWork(): // others of the fleet will take it
+	case !n.mayTakeWork(): // other members of the fleet accept it
 		r := Reply{Result: Deferred}
 		if n.settings.MayPause {
 			r.RetryAfter = min(overloadRetryAfter, n.settings.MaxPause)
@@ -713,7 +745,8 @@
 		n.recordAction(fleet.Deferred)
 		c.Respond(r)
 		return
-	case n.open >= min(n.maxOpen, n.clientLimit): // as the settings say, or no socket is left for one more client that waits
+	// The configured limit is reached, or no descriptor is left for another waiting client.
+	case n.open >= min(n.maxOpen, n.clientLimit):
 		r := Reply{Result: Deferred}
 		if n.settings.MayPause {
 			r.RetryAfter = min(overloadRetryAfter, n.settings.MaxPause)
@@ -733,7 +766,7 @@
 	n.inbox = append(n.inbox, it)
 }
 
-// answer gives the client's one answer, the first; what comes later is for the books only.
+// answer sends the client its only answer, the first one. Later ones are ignored.
 func (n *Node) answer(it *workItem, r Reply) {
 	if it.answered {
 		return
@@ -755,8 +788,8 @@
 	n.removeIfDone(it)
 }
 
-// use remembers the id of a work item that ran or may have. This guards against another client's request under the
-// same id, which workers turn away and which could have the effect again.
+// rememberID stores the ID of a work item that ran or may have run. This guards against another client's
+// request with the same ID, which workers reject and which could repeat the effect.
 func (n *Node) rememberID(id string) {
 	if n.now >= n.usedRotateAt || len(n.usedIDs[0]) >= maxUsedIDs {
 		n.usedIDs = [2]map[string]bool{{}, n.usedIDs[0]}
@@ -772,7 +805,7 @@
 	}
 }
 
-// ended ends a hand-off, once: the first outcome counts, later ones are passed over.
+// handOffEnded ends a hand-off once: the first outcome counts, later ones are ignored.
 func (n *Node) handOffEnded(it *workItem, ho int, o dispatch.Outcome, result string) {
 	if it.handOffs[ho].ended {
 		return
@@ -788,14 +821,15 @@
 	n.removeIfDone(it)
 }
 
-// callback applies what a worker tells to the hand-off that is out there. Callbacks repeat and come late:
-// one for what has ended, is unknown or is at another worker changes nothing. It tells whether the work item is known.
+// applyCallback applies a worker's report to the matching hand-off in progress. Callbacks may be repeated or
+// late: one for a hand-off that has ended, for an unknown work item or from another worker changes nothing.
+// It reports whether the work item is known.
 func (n *Node) applyCallback(c Callback) bool {
 	it := n.byID[c.ID]
 	if it == nil || it.handedOver {
 		return false
 	}
-	earlierEnded := false // an earlier hand-off there may be what it tells of
+	earlierEnded := false // the callback may concern an earlier hand-off to the same worker
 	for ho := range it.handOffs {
 		h := &it.handOffs[ho]
 		switch {
@@ -808,12 +842,13 @@
 			}
 			n.inbox = append(n.inbox, progressNotice{it.wi, ho, c.State == Started, c.Share})
 			return true
-		case c.State == Done: // of either: it is the worker's result for this work item
+		case c.State == Done: // whichever of them it concerns, it is the worker's result for this work item
 			n.handOffEnded(it, ho, dispatch.Finished, c.Result)
 			return true
 		case earlierEnded:
-			// Nothing tells which. Taken for the newer one's, work that runs could count as never run and run
-			// twice; so it is passed over, and the dispatcher's doubts or the expiry end the newer one.
+			// It is unknown which hand-off the callback concerns. If it were applied to the newer one, work
+			// that runs could count as never run and run twice. It is ignored; the Dispatcher's timeouts or
+			// the expiry end the newer one.
 			n.log.Warn("callback", "callback", "ambiguous", "id", c.ID, "from", c.From)
 			return true
 		default:
@@ -825,8 +860,8 @@
 	return true
 }
 
-// handOver gives what would be lost at the kill to the process that takes this one's place: work items that wait, and
-// those that are out at one worker, which has taken them.
+// handOverJobs passes work that would be lost at the kill to the successor: queued work items, and those with
+// a hand-off in progress at one worker that has accepted it.
 func (n *Node) handOverJobs() {
 	for _, wi := range slices.Sorted(maps.Keys(n.items)) {
 		it := n.items[wi]
@@ -845,7 +880,7 @@
 	}
 }
 
-// adopt takes such a work item in.
+// adoptJob takes over a work item that another process handed over.
 func (n *Node) adoptJob(c *Request, j Job) {
 	if n.byID[c.ID] != nil {
 		c.Respond(Reply{Result: DuplicateID})
@@ -869,7 +904,8 @@
 	n.inbox = append(n.inbox, adoptedJob{it, j.HandOffs})
 }
 
-// known is what the process that takes this one's place is told. From then on that one alone warms workers.
+// takeoverState returns the state for the successor. From then on only the successor sends work to cold
+// workers.
 func (n *Node) takeoverState() TakeoverState {
 	k := TakeoverState{Discovery: n.discoveryAddr, Revision: n.revision}
 	for id := range n.byID {
@@ -891,8 +927,8 @@
 	return k
 }
 
-// inherit takes in what the process knew whose place this one takes. Its list counts only where it is newer: this one
-// follows discovery itself.
+// inheritState takes over the state of the predecessor. Its list of workers is used only if it is newer than
+// this process's own, which follows discovery as well.
 func (n *Node) inheritState(k TakeoverState) {
 	for _, id := range k.Used {
 		n.rememberID(id)
@@ -914,7 +950,7 @@
 		switch {
 		case m.State != dispatch.Gone:
 			n.addrs[m.Worker] = m.Addr
-		case !n.settings.OnlyDraining: // else it may still be sent to where it was
+		case !n.settings.OnlyDraining: // otherwise the worker may still get work at its last address
 			delete(n.addrs, m.Worker)
 		}
 	}
@@ -934,8 +970,8 @@
 			clear(n.addrs)
 		}
 	}
-	// Guards against lines out of order: an older one must not put a worker back into use that drains by a newer one. Its
-	// drains hold, and the whole list is asked for.
+	// Guards against updates out of order: an outdated one must not put a worker back into service that a
+	// newer one drains. The drains of an outdated update are applied, and the complete list is requested.
 	outdated := !l.Complete && l.Revision < n.revision
 	if outdated {
 		n.log.Warn("list", "older", l.Revision, "known", n.revision)
@@ -957,9 +993,9 @@
 	}
 }
 
-// ask opens a watch in place of one that has spoken, or beside those that have said nothing yet. What discovery has
-// counts as told some seconds later, whatever became of the calls: this guards against a call that hangs, or a watch
-// that is silent from the start, while the next one would be answered.
+// openWatch opens a watch in place of one that has answered, or in addition to those that have not answered
+// yet. A change at discovery must be known some seconds later, whatever became of the calls. This guards
+// against a call that hangs, or a watch that is silent from its start, while a new one would be answered.
 func (n *Node) openWatch() {
 	switch {
 	case n.watchAnswered:
@@ -979,7 +1015,7 @@
 	n.transport.Watch(n.newestWatch, n.discoveryAddr, n.revision)
 }
 
-// within shortens a time of asking to what the settings leave for it.
+// capByAskWithin limits an interval between polls to a fraction of the setting AskWithin.
 func (n *Node) capByAskWithin(interval float64) float64 {
 	if n.settings.AskWithin > 0 {
 		interval = min(interval, askWithinShare*n.settings.AskWithin)
@@ -987,7 +1023,7 @@
 	return interval
 }
 
-// unwatch ends all watches but one.
+// closeWatches closes all watches but one.
 func (n *Node) closeWatches(except int) {
 	for _, k := range n.openWatches {
 		if k != except {
@@ -998,7 +1034,8 @@
 	n.watchAnswered = n.watchAnswered && len(n.openWatches) > 0
 }
 
-// broken takes the end of a watch. Discovery is asked again after a short time, unless the dispatcher does so before.
+// watchEnded handles the end of a watch. It schedules another one after a short delay, unless the Dispatcher
+// asks earlier.
 func (n *Node) watchEnded(watch int) {
 	if !slices.Contains(n.openWatches, watch) {
 		return
@@ -1008,7 +1045,7 @@
 	switch {
 	case n.settings.MustAsk && n.watchAnswered:
 		delay = n.capByAskWithin(pollRetryMean)
-	case n.settings.MustAsk: // a call that failed: many that fail would be made again and again
+	case n.settings.MustAsk: // a failed call: if many calls fail, retries must not follow each other at once
 		delay = n.capByAskWithin(pollInterval)
 	case n.settings.DrainGrace > 0:
 		delay = min(delay, n.settings.DrainGrace/drainGraceParts)
@@ -1023,7 +1060,7 @@
 
 func (n *Node) schedule(when float64, wi uint64, ho int) { heap.Push(&n.timers, timer{when, wi, ho}) }
 
-// timers does what is due.
+// runTimers runs all expired timers.
 func (n *Node) runTimers() {
 	for len(n.timers) > 0 && n.timers[0].at <= n.now {
 		t := heap.Pop(&n.timers).(timer)
@@ -1037,7 +1074,7 @@
 				n.handOffEnded(it, t.ho, dispatch.TimedOut, "")
 				h.attempt.Cancel()
 			}
-		case !it.answered: // the dispatcher gave no answer by the deadline and the slack
+		case !it.answered: // the Dispatcher gave no answer by the deadline plus the slack
 			n.log.Error("overdue", "overdue", it.request.ID)
 			n.answer(it, Reply{Result: TimedOut})
 			n.inbox = append(n.inbox, clientLeft(it.wi))
@@ -1053,7 +1090,8 @@
 		}
 	case Draining:
 		if !n.refusing && n.now >= n.acceptUntil {
-			// Not before: a client whose connection closes would look for a dispatcher where there may be none.
+			// Not earlier: a client whose connection closes would look for another dispatcher, and there may
+			// be none.
 			n.refusing = true
 			n.transport.CloseIdle()
 		}
@@ -1067,10 +1105,11 @@
 	}
 }
 
-// settled tells that all is answered, and that the dispatcher has seen it: what is still out is called off.
+// allAnswered reports whether every request is answered and the Dispatcher has been told, so that it has
+// cancelled the hand-offs in progress.
 func (n *Node) allAnswered() bool { return n.open == 0 && n.lastRound >= n.lastAnswer }
 
-// chance draws from [0, 1) by multiply-with-carry.
+// random returns a number from [0, 1), generated by multiply-with-carry.
 func (n *Node) random() float64 {
 	n.rngState = 4294957665*(n.rngState&math.MaxUint32) + n.rngState>>32
 	return float64(uint32(n.rngState)) / (1 << 32)
--- a/internal/node/rounds.go
+++ b/internal/node/rounds.go
@@ -1,5 +1,5 @@
-// This file is the node's side of the Dispatcher: the Inbox that a round delivers and the Writer that takes
-// its decisions. It must never change what came in, nor choose anything itself.
+// This file connects the node to the Dispatcher: it is the Inbox that a round delivers and the Writer that
+// carries out its decisions. It must never change events, nor make a decision itself.
 
 package node
 
@@ -8,11 +8,11 @@
 	"weldmast/internal/fleet"
 )
 
-// What waits for the next round besides *item (an arrival), dispatch.Answer and Heard.
+// Events that wait for the next round, besides *workItem (an arrival), dispatch.Answer and PeerMessage.
 type (
 	clientLeft     uint64
 	giveUpItem     uint64
-	answerDeadline float64 // all that is open must be answered by then
+	answerDeadline float64 // time by which all open work items must be answered
 	progressNotice struct {
 		wi    uint64
 		ho    int
@@ -29,7 +29,7 @@
 	}
 )
 
-// round lets the Dispatcher decide. What its decisions bring in at once waits for the next round.
+// round lets the Dispatcher decide. Events that its decisions cause at once wait for the next round.
 func (n *Node) round() {
 	n.lastRound, n.timerFired = n.now, false
 	n.decider.Round(n.now, n, n)
@@ -39,8 +39,8 @@
 	}
 }
 
-// Deliver hands over what came in.
-func (n *Node) Deliver(d dispatch.EventHandler) {
+// Deliver passes the events since the last round to the Dispatcher.
+func (n *Node) Deliver(d dispatch.Receiver) {
 	for _, v := range n.inbox {
 		switch v := v.(type) {
 		case *workItem:
@@ -89,7 +89,8 @@
 	n.inbox = n.inbox[:0]
 }
 
-// HandOff sends the work item, within the client's time and the limit of hand-offs; else it is moot.
+// HandOff sends the work item to the worker, within the client's deadline and the limit of hand-offs;
+// otherwise the hand-off ends as moot.
 func (n *Node) HandOff(wi uint64, worker string, timeout float64) {
 	it := n.items[wi]
 	if it == nil { // answered, and all its hand-offs have ended
@@ -105,9 +106,9 @@
 	switch {
 	case it.answered || remaining <= 0 || ho >= n.settings.MaxHandOffs:
 		n.handOffEnded(it, ho, dispatch.Moot, "")
-	case !known: // it left the list
+	case !known: // the worker has left the list
 		n.handOffEnded(it, ho, dispatch.ConnectFailed, "")
-	case !n.mayTakeWork(): // what waits is given up with the next round
+	case !n.mayTakeWork(): // queued work is given up in the next round
 		n.handOffEnded(it, ho, dispatch.Moot, "")
 	default:
 		it.handOffs[ho].noCallback, it.handOffs[ho].addr = false, addr
@@ -118,37 +119,37 @@
 	}
 }
 
-// Cancel gives a hand-off up; its end comes when the worker has been told, unless another comes first.
+// Cancel cancels a hand-off. It ends when the worker has been told, unless it ends earlier.
 func (n *Node) Cancel(wi uint64, ho int) {
 	if it := n.items[wi]; it != nil && !it.handedOver && ho >= 0 && ho < len(it.handOffs) && !it.handOffs[ho].ended {
 		it.handOffs[ho].attempt.Cancel()
 	}
 }
 
-// Defer answers that trying again is harmless.
+// Defer tells the client that it may safely retry.
 func (n *Node) Defer(wi uint64, retryAfter float64) {
 	if it := n.items[wi]; it != nil {
 		n.answer(it, Reply{Result: Deferred, RetryAfter: retryAfter})
 	}
 }
 
-// WriteOff answers that the work item failed, perhaps with its effect.
+// WriteOff tells the client that the work item failed and may have taken effect.
 func (n *Node) WriteOff(wi uint64) {
 	if it := n.items[wi]; it != nil {
 		n.answer(it, Reply{Result: WrittenOff})
 	}
 }
 
-// Timer brings on a round; the handle has no use beyond that.
+// Timer schedules a round; the handle is not used.
 func (n *Node) Timer(_ uint64, delay float64) { n.schedule(n.now+delay, 0, 0) }
 
-// Watch asks discovery for changes, where it tells nothing unasked. Each call has one answer: while that is
-// owed, asking again would only put it off.
+// Watch polls discovery for changes, where discovery only answers requests. Each poll gets one answer: while
+// that is pending, another poll would only delay it.
 func (n *Node) Watch(on bool) {
 	if on && !n.pollPending {
 		n.openWatch()
 	}
 }
 
-// Tell sends a message to siblings.
+// Tell sends a message to peers.
 func (n *Node) Tell(to int, data []byte) { n.transport.SendToPeer(to, data) }
