--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -1,4 +1,4 @@
-// This file says which settings can change while the program runs.
+// This file decides which settings can change while the program runs.
 
 package settings
 
@@ -8,9 +8,10 @@
 	"weldmast/internal/dispatch"
 )
 
-// InFlight is what a running program makes of other settings: those that can change between two rounds are the new
-// ones, all else stays. Waits names, in order, what differs and waits for a restart. Where the lists of names are not the
-// same, neither are their positions.
+// MergeReloadable returns the settings that a running program uses after a reload: those that can change
+// between two rounds are taken from next, all others from current. needRestart names, in order, the settings
+// that differ and take effect only after a restart. If sameNames is false, the positions in the lists of
+// categories and tenants do not match, so these lists are not merged.
 func MergeReloadable(current, next dispatch.Settings, sameNames bool) (s dispatch.Settings, needRestart []string) {
 	s = current
 	s.ExcessCredit, s.MaxHandOffs = next.ExcessCredit, next.MaxHandOffs
@@ -53,7 +54,7 @@
 	return s, needRestart
 }
 
-// Same tells whether two sets of names are alike, position by position.
+// Equal reports whether both sets of names are the same, in the same order.
 func (n Names) Equal(o Names) bool {
 	return slices.Equal(n.Categories, o.Categories) && slices.Equal(n.Tenants, o.Tenants) && slices.Equal(n.Zones, o.Zones) && slices.Equal(n.Kinds, o.Kinds)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings owns the names that the operators give their settings, and turns them into
-// dispatch.Settings in one place for both wires: the simulator's flat pairs and the nested JSON of the
-// sockets. It must never decide anything, read a file or know where the values came from.
+// Package settings owns the names of the operators' settings and translates them into dispatch.Settings, in
+// one place for both sources: the simulator's flat key=value pairs and the nested JSON of the socket
+// protocol. It must never make decisions, read a file or depend on where the values came from.
 package settings
 
 import (
@@ -15,11 +15,11 @@
 	"weldmast/internal/dispatch"
 )
 
-// Values holds settings by path; a plain list has several values, a list of objects a count and paths
+// Values holds settings by path. A plain list has several values; a list of objects has a count and paths
 // with positions.
 type Values map[string][]string
 
-// Flat reads pairs as the simulator writes them.
+// ParseFlat reads key=value pairs as the simulator sends them.
 func ParseFlat(pairs [][]byte) (Values, error) {
 	v := make(Values, len(pairs))
 	for _, p := range pairs {
@@ -34,7 +34,7 @@
 	return v, nil
 }
 
-// Nested reads the same as JSON.
+// ParseJSON reads settings from nested JSON.
 func ParseJSON(text []byte) (Values, error) {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.UseNumber()
@@ -72,20 +72,21 @@
 	}
 }
 
-// Names are the settings' lists, in which messages name their things.
+// Names holds the lists of names in the settings. Messages refer to their entries by name.
 type Names struct {
 	Categories, Tenants, Zones, Kinds []string
-	FreeSlotsKey                      string // load value that tells free slots
+	FreeSlotsKey                      string // key of the load value that reports free slots
 }
 
-// Links is what the settings say of connections, for a front that has real ones; 0 where they say nothing.
+// ConnectionSettings holds the settings about connections, for a transport that has real ones; 0 where a
+// value is not set.
 type ConnectionSettings struct {
-	IdleTimeout    float64 // a worker closes a connection that has been idle for so long
-	ConnectTimeout float64 // one that is not up within this time counts as failed
-	MaxOpen        int     // work items open at once
+	IdleTimeout    float64 // ms after which a worker closes an idle connection
+	ConnectTimeout float64 // ms after which a connection attempt has failed
+	MaxOpen        int     // limit on work items that are open at once
 }
 
-// reader takes values out; the first thing wrong stays in err, and what was looked at in read.
+// reader extracts typed values. It keeps the first error in err and the keys that were looked up in read.
 type reader struct {
 	values Values
 	err    error
@@ -126,10 +127,10 @@
 	return x
 }
 
-// ms is a time, given in microseconds.
+// ms returns a duration in milliseconds; the setting is in microseconds.
 func (r *reader) ms(key string) float64 { return r.number(key, 0) / 1000 }
 
-// within is a whole number from least to most.
+// wholeNumber returns an integer from low to high.
 func (r *reader) wholeNumber(key string, fallback, low, high int) int {
 	x := r.number(key, float64(fallback))
 	if x != math.Trunc(x) || x < float64(low) || x > float64(high) {
@@ -139,7 +140,7 @@
 	return int(x)
 }
 
-// word is one of the given, or absent.
+// oneOf returns one of the given words, or an empty string if the setting is absent.
 func (r *reader) oneOf(key string, words ...string) string {
 	text := r.text(key)
 	if text != "" && !slices.Contains(words, text) {
@@ -156,7 +157,7 @@
 	return text == "true" || text == "1"
 }
 
-// must names a setting without which no dispatcher can keep the rules.
+// require checks settings without which a dispatcher cannot meet its guarantees.
 func (r *reader) require(keys ...string) {
 	for _, k := range keys {
 		if r.text(k) == "" {
@@ -165,13 +166,14 @@
 	}
 }
 
-// Read turns values into what a dispatcher, its wire and its links need. An error names the setting.
+// Read converts values into what a dispatcher, its message names and its connections need. An error names the
+// setting.
 func Read(v Values, seed uint64) (dispatch.Settings, Names, ConnectionSettings, error) {
 	s, n, l, r := readAll(v, seed)
 	return s, n, l, r.err
 }
 
-// Unread lists the settings, sorted, that nothing here looks at.
+// UnknownKeys returns the settings, sorted, that this package does not read.
 func UnknownKeys(v Values) (keys []string) {
 	_, _, _, r := readAll(v, 0)
 	for key := range v {
@@ -183,14 +185,14 @@
 	return keys
 }
 
-// Unserved says of settings, as they are, what the sockets' protocol has no message for.
+// Unsupported describes settings that the socket protocol has no message for.
 func Unsupported(v Values) (notes []string) {
 	r := &reader{values: v, read: map[string]bool{}}
 	switch r.text("load_info.how") {
 	case "answers":
-		notes = append(notes, "load_info.how: workers' calls bring no load report on sockets; none is read")
+		notes = append(notes, "load_info.how: workers send no load report over sockets; none is read")
 	case "probe":
-		notes = append(notes, "load_info.how: load is told to probes only, and this program sends none; the list's weights stand in")
+		notes = append(notes, "load_info.how: load is told to probes only, and this program sends none; the list's weights are used instead")
 	}
 	return notes
 }
@@ -213,7 +215,7 @@
 		AskWithin: r.ms("safety.ask_within"), DrainGrace: r.ms("safety.drain_grace"), StartShare: r.number("safety.start_capacity", 0),
 		OnlyDraining: r.boolean("safety.only_draining_binds"),
 		Cold:         r.ms("safety.cold"), FallMultiple: r.number("safety.fall_multiple", 1), Fall: r.ms("safety.fall")}
-	r.oneOf("load_info.how", "answers", "probe", "none") // Unserved says what comes of it
+	r.oneOf("load_info.how", "answers", "probe", "none") // Unsupported reports the effect
 	if s.StartShare > 1 {
 		r.fail("safety.start_capacity", "is above 1")
 	}
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -1,6 +1,6 @@
-// This file owns what is read on the listener: requests of clients, callbacks of workers, /ready. It must never
-// answer for a work item before the node has, nor let anything of a RequestCtx outlive its handler. guard.go owns the
-// connections.
+// This file handles what is read on the listener: requests of clients, callbacks of workers and /ready. It
+// must never answer for a work item before the node has, nor let any part of a RequestCtx outlive its
+// handler. The connections are handled in connections.go.
 
 package transport
 
@@ -34,32 +34,35 @@
 	maxIDLength       = 128
 	maxReasonLength   = 200
 	clientIdleTimeout = time.Minute
-	// Something of a request must come this long after its connection, and after what came before; an answer must be
-	// read within it as well. It must be there whole within the longest expiry.
-	readTimeout     = 2 * time.Second
-	lateReadTimeout = 5 * time.Millisecond // once that is over, one more look for what lies there unread
-	maxPipelined    = maxHead + maxBody    // of what a client says ahead of an answer: a request
+	// Part of a request must arrive within this time after the connection was accepted and after the previous
+	// part. An answer must be read within it as well. The complete request must arrive within the longest
+	// expiry.
+	readTimeout = 2 * time.Second
+	// After readTimeout, one more read with this timeout returns bytes that had arrived unread.
+	lateReadTimeout = 5 * time.Millisecond
+	maxPipelined    = maxHead + maxBody // bytes that a client may send ahead of an answer: one request
 	pipelineChunk   = 4 << 10
-	// Without a descriptor for one more connection, the next is tried after this time.
+	// If there is no descriptor for another connection, the next Accept follows after this time.
 	acceptRetry = 5 * time.Millisecond
 )
 
 type clientServer struct {
-	node               *node.Node
-	names              settings.Names
-	expiries           []float64
-	maxRequestTime     time.Duration // a request is there whole within this time
-	metrics            *figures.Figures
-	listener           *net.TCPListener
-	maxConns           atomic.Int64                                         // connections
-	handOver           func(conn *clientConn, j *node.Job, m *message) bool // gives a job to another process
-	forwardCallbacks   bool                                                 // callbacks may be another process's
-	giveAway           atomic.Pointer[func(syscall.Conn) bool]              // idle connections are given away
+	node             *node.Node
+	names            settings.Names
+	expiries         []float64
+	maxRequestTime   time.Duration // a request is complete within this time
+	metrics          *figures.Figures
+	listener         *net.TCPListener
+	maxConns         atomic.Int64                                         // limit on open connections
+	handOver         func(conn *clientConn, j *node.Job, m *message) bool // passes a job to another process
+	forwardCallbacks bool                                                 // a callback may concern a work item of another process
+	// Set while idle connections are given to another process.
+	giveAway           atomic.Pointer[func(syscall.Conn) bool]
 	acceptGate         pauseGate
-	onConnError        func(error) // told why a connection could not be accepted
+	onConnError        func(error) // receives the reason why a connection could not be accepted
 	server             *fasthttp.Server
-	closeAfterDeferral atomic.Bool // whom a deferral sends elsewhere is not to come again
-	closeAfterAnswer   atomic.Bool // nobody is
+	closeAfterDeferral atomic.Bool // a client that was deferred must go elsewhere
+	closeAfterAnswer   atomic.Bool // every client must go elsewhere
 	mu                 sync.Mutex
 	conns              map[*clientConn]bool
 }
@@ -73,7 +76,8 @@
 		forwardCallbacks: o.Exchange != nil, conns: map[*clientConn]bool{}, onConnError: func(error) {}}
 	c.maxRequestTime = max(readTimeout, time.Duration(slices.Max(o.Expiries)*float64(time.Millisecond)))
 	c.server = &fasthttp.Server{Handler: c.handle, ErrorHandler: refuseUnread,
-		Concurrency: 2*int(clientShare*float64(o.MaxSockets)) + 1, // closed ones may still be ending
+		// connections that were closed may not have ended yet
+		Concurrency: 2*int(clientShare*float64(o.MaxSockets)) + 1,
 		ReadTimeout: readTimeout, WriteTimeout: readTimeout, IdleTimeout: clientIdleTimeout,
 		MaxRequestBodySize: maxBody, ReadBufferSize: maxHead, DisablePreParseMultipartForm: true,
 		NoDefaultServerHeader: true, NoDefaultContentType: true, Logger: serverLog{},
@@ -93,7 +97,7 @@
 	}
 }
 
-// dismiss closes connections that wait for a request.
+// closeIdle closes the connections that wait for a request.
 func (c *clientServer) closeIdle() {
 	for _, conn := range c.snapshot() {
 		conn.closeIfIdle(false)
@@ -126,7 +130,7 @@
 	}
 }
 
-// UnreadStatus is the answer to what could not be read as a request.
+// ErrorStatus returns the HTTP status for a request that could not be read.
 func ErrorStatus(err error) int {
 	var small *fasthttp.ErrSmallBuffer
 	var timeout net.Error
@@ -143,7 +147,7 @@
 
 func refuseUnread(ctx *fasthttp.RequestCtx, err error) { refuse(ctx, ErrorStatus(err), err.Error()) }
 
-// serverLog keeps what fasthttp says, but for what was refused and logged here.
+// serverLog logs messages of fasthttp, except for refused requests, which are logged by refuse.
 type serverLog struct{}
 
 func (serverLog) Printf(format string, a ...any) {
@@ -156,10 +160,10 @@
 	reason = reason[:min(len(reason), maxReasonLength)]
 	slog.Warn("bad", "bad", reason, "status", status, "from", ctx.RemoteAddr())
 	ctx.Error(reason+"\n", status)
-	ctx.SetConnectionClose() // guards against those that ask again and again, or stay
+	ctx.SetConnectionClose() // guards against clients that repeat the request or keep the connection
 }
 
-// spareBody keeps the body of a request whose head is at fault from being read.
+// skipBody prevents the body of a request with an invalid head from being read.
 func skipBody(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	if headFault(h) != "" {
 		h.SetContentLength(0)
@@ -200,8 +204,8 @@
 var callbackStates = map[string]node.CallbackState{"started": node.Started, "running": node.Running,
 	"done": node.Done, "failed": node.Failed, "returned": node.Returned, "lost": node.Lost}
 
-// callback answers 200 once the node has it, also where nobody waits for it any more: the worker would
-// only tell it again.
+// callback answers 200 once the node has the callback, also if nobody waits for it any more: otherwise the
+// worker would only repeat it.
 func (c *clientServer) callback(ctx *fasthttp.RequestCtx) {
 	var in struct {
 		ID, From, State, Result string
@@ -227,14 +231,15 @@
 	c.node.Enqueue(cb)
 	select {
 	case a := <-applied:
-		if a == node.CallbackUndetermined { // the worker tells it again
+		if a == node.CallbackUndetermined { // the worker sends it again
 			ctx.Error("another process has not answered\n", fasthttp.StatusServiceUnavailable)
 		}
 	case <-c.node.Done():
 	}
 }
 
-// owe has the client's answer come by the channel. Until then, and while its connection stands, the work item may be sent.
+// expectReply returns a channel that receives the reply to the client. Until then, and while the client's
+// connection is open, the work item may be sent.
 func (c *clientConn) expectReply(client *node.Request) <-chan node.Reply {
 	reply, answered := make(chan node.Reply, 1), new(atomic.Bool)
 	client.Respond = func(r node.Reply) {
@@ -248,10 +253,10 @@
 	return reply
 }
 
-// logLeft tells of a work item whose client left before it was sent, and where it stood.
+// logDisconnected logs that the client of a work item disconnected before it was sent, and at which stage.
 func logDisconnected(id, stage string) { slog.Info("left", "left", stage, "id", id) }
 
-// submit hands a work item to the node and waits for its answer.
+// submit passes a work item to the node and waits for its reply.
 func (c *clientServer) submit(ctx *fasthttp.RequestCtx, path []byte) {
 	client, status, err := c.decode(&ctx.Request, path)
 	if err != nil {
@@ -263,7 +268,7 @@
 	c.metrics.Taken()
 	r := node.Reply{Result: node.Deferred}
 	switch _, left := conn.peek(); {
-	case left: // the request lay unread meanwhile
+	case left: // while the request was still unread
 		logDisconnected(client.ID, "unread")
 		r.Result = node.ClientGone
 	case c.node.Enqueue(node.RequestArrived{Request: client}):
@@ -273,13 +278,13 @@
 			if r.Result != node.DuplicateID {
 				conn.markProven()
 			}
-		case <-c.node.Done(): // it came in after the last round: nothing was sent
+		case <-c.node.Done(): // the request arrived after the last round: nothing was sent
 		}
 		conn.stopWatch()
 	}
 	if r.Result == node.HandedOver && c.handOver(conn, r.Job, client.Message.(*message)) {
 		c.metrics.Left()
-		ctx.HijackSetNoResponse(true) // the connection is not ended by closing it here
+		ctx.HijackSetNoResponse(true) // the other process keeps the connection open when it is closed here
 		ctx.Hijack(func(net.Conn) {})
 		return
 	}
@@ -290,21 +295,21 @@
 	c.countResult(client.Category, r.Result)
 }
 
-// count takes a job's one answer into the figures.
+// countResult counts the outcome of a job in the metrics.
 func (c *clientServer) countResult(category int, r node.Result) {
 	switch r {
 	case node.Served:
 		c.metrics.Ended(category, figures.OK)
 	case node.Deferred:
 		c.metrics.Ended(category, figures.Shed)
-	case node.WrittenOff, node.TimedOut, node.HandedOver: // which failed
+	case node.WrittenOff, node.TimedOut, node.HandedOver: // a failed hand-over
 		c.metrics.Ended(category, figures.Error)
-	case node.DuplicateID, node.ClientGone: // no job of its own; nobody to answer
+	case node.DuplicateID, node.ClientGone: // not a job of its own; no client to answer
 		c.metrics.Left()
 	}
 }
 
-// decode reads a request. What it keeps is its own copy.
+// decode decodes a request. It copies everything that it keeps.
 func (c *clientServer) decode(r *fasthttp.Request, path []byte) (*node.Request, int, error) {
 	badRequest := func(format string, a ...any) (*node.Request, int, error) {
 		return nil, fasthttp.StatusBadRequest, fmt.Errorf(format, a...)
@@ -318,7 +323,7 @@
 	}
 	segment, rest, _ := bytes.Cut(path[1:], []byte("/"))
 	category := slices.Index(c.names.Categories, string(segment))
-	if category < 0 { // a name may stand there as it is, also one that looks encoded, or encoded
+	if category < 0 { // the path may hold the name as it is, even if it looks percent-encoded, or percent-encoded
 		if name, err := url.PathUnescape(string(segment)); err == nil {
 			category = slices.Index(c.names.Categories, name)
 		}
@@ -338,17 +343,17 @@
 	if err != nil {
 		return nil, fasthttp.StatusBadRequest, err
 	}
-	// A deadline beyond the category's expiry counts as that: else one odd client would make all others of the
-	// category look like retries.
+	// A deadline beyond the category's expiry counts as the expiry. Otherwise one unusual client would make
+	// all other work items of the category look like retries.
 	expiry := c.node.Now() + min(deadline*1000, c.expiries[category])
 	return &node.Request{ID: id, Category: category, Tenant: tenant, Hint: hint / 1000, Key: keyOf(rest), Expiry: expiry,
 		Message: newMessage(r)}, 0, nil
 }
 
-// keyOf is what a request is about: the last part of its path, byte for byte, after that of its category.
+// keyOf returns the key of a request: the last segment of its path after the category, byte for byte.
 func keyOf(rest []byte) string { return string(rest[bytes.LastIndexByte(rest, '/')+1:]) }
 
-// number reads a header that is a plain decimal: digits, perhaps a point and more.
+// decimalHeader reads a header with a plain decimal number: digits, optionally with a decimal point.
 func decimalHeader(r *fasthttp.Request, header string, fallback float64) (float64, error) {
 	all := r.Header.PeekAll(header)
 	if len(all) == 0 {
--- a/internal/transport/connections.go
+++ b/internal/transport/connections.go
@@ -1,6 +1,6 @@
-// This file guards the listener: it owns the connections of clients and callbacks, how many may stand and which of
-// them give way, and which heads are no requests. It must never close a connection whose request is being served to
-// make room, nor look at what a request asks for.
+// This file protects the listener. It owns the connections of clients and callbacks, and decides how many may
+// be open, which of them are evicted, and which request heads are invalid. It must never evict a connection
+// whose request is being served, nor look at what a request asks for.
 
 package transport
 
@@ -22,15 +22,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// once are the headers that a request may hold but once: with two, this program and a worker could read it differently.
+// uniqueHeaders may occur only once in a request: this program and a worker could read a request with two of
+// them differently.
 var uniqueHeaders = [...]string{contentLength: "Content-Length", transferEncoding: "Transfer-Encoding", 2: "Host", "X-Request-Id", "X-Tenant",
 	"X-Deadline", "X-Cost-Hint", "X-Retry", "X-Extras"}
 
-const contentLength, transferEncoding = 0, 1 // where those stand that frame the body
+const contentLength, transferEncoding = 0, 1 // indexes of the headers that frame the body
 
-// headFault tells why a head is not one that every reader takes alike, or nothing. fasthttp is more lenient: it takes
-// lone line feeds, folded lines, blanks in names and Content-Length beside Transfer-Encoding, whose body may hide
-// another request.
+// headFault returns the reason why parsers could read a request head differently, or an empty string.
+// fasthttp is more lenient: it accepts lone line feeds, folded lines, blanks in names, and Content-Length
+// beside Transfer-Encoding, whose body may hide another request (request smuggling).
 func headFault(h *fasthttp.RequestHeader) string {
 	if v := string(h.Protocol()); v != "HTTP/1.1" && v != "HTTP/1.0" {
 		return "not HTTP/1.1 or 1.0"
@@ -73,8 +74,9 @@
 	return ""
 }
 
-// dropTrailers reads the head anew as it came, without the fields that followed the body: fasthttp gives them out as if
-// they were of the head, where one could stand for an id that is missing there. They mean nothing here and go no further.
+// dropTrailers parses the head again without the fields that followed the body. fasthttp adds those to the
+// head, where one could take the place of a missing request ID. They have no meaning here and are not passed
+// on.
 func dropTrailers(h *fasthttp.RequestHeader) bool {
 	text := append(append(append([]byte(nil), h.Method()...), ' '), h.RequestURI()...)
 	text = append(append(append(append(text, ' '), h.Protocol()...), "\r\n"...), h.RawHeaders()...)
@@ -82,13 +84,14 @@
 	if clean.Read(bufio.NewReaderSize(bytes.NewReader(append(text, "\r\n"...)), maxHead)) != nil {
 		return false
 	}
-	clean.Del("Trailer") // what it announces is gone
+	clean.Del("Trailer") // the announced fields are removed
 	clean.CopyTo(h)
 	return len(h.PeekTrailerKeys()) == 0
 }
 
-// Accept makes the clients the listener that fasthttp serves. It never waits for another client's request to end: who
-// is owed an answer or a look at /ready must get through a flood of others.
+// Accept makes clientServer the listener that fasthttp serves. It never waits for another client's request to
+// end: clients that wait for an answer, callbacks and requests for /ready must get through a flood of other
+// connections.
 func (c *clientServer) Accept() (net.Conn, error) {
 	conn, err := c.acceptNext()
 	if err != nil {
@@ -97,8 +100,9 @@
 	return c.admit(conn), nil
 }
 
-// next is the next connection that comes in; none while the gate is shut. Want of descriptors or memory passes: fasthttp
-// would take any error for the listener's end, and the program would serve nobody from then on.
+// acceptNext returns the next incoming connection; none while the gate is paused. A lack of descriptors or
+// memory is temporary: fasthttp would treat any error as the end of the listener, and the program would serve
+// nobody from then on.
 func (c *clientServer) acceptNext() (net.Conn, error) {
 	for {
 		c.acceptGate.wait()
@@ -116,42 +120,42 @@
 	}
 }
 
-// enter takes a connection in, and makes room for it.
+// admit registers a new connection, and evicts others if there are too many.
 func (c *clientServer) admit(conn net.Conn) *clientConn {
 	cc := &clientConn{Conn: conn, owner: c, since: time.Now(), offered: c.giveAway.Load() != nil}
 	c.register(cc)
 	return cc
 }
 
-// register counts a connection, and makes room for it.
+// register adds a connection, and evicts others if there are too many.
 func (c *clientServer) register(cc *clientConn) {
 	c.mu.Lock()
 	c.conns[cc] = true
 	c.mu.Unlock()
 	if c.overLimit() {
-		runtime.Gosched() // what is there to read is read first
+		runtime.Gosched() // let pending reads happen first
 		for c.overLimit() && (c.evictOne(cc) || c.evictOne(nil)) {
 		}
 	}
-	for int64(c.server.GetOpenConnectionsCount()) >= 2*c.maxConns.Load() { // those that were closed have yet to end
+	for int64(c.server.GetOpenConnectionsCount()) >= 2*c.maxConns.Load() { // closed connections have yet to end
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// adopt serves a connection that another process accepted.
+// adoptConn serves a connection that another process accepted.
 func (c *clientServer) adoptConn(conn net.Conn) {
 	c.serveConn(c.admit(conn))
 }
 
-// serveOn serves what comes next on a connection that this listener did not accept.
+// serveConn serves further requests on a connection that this listener did not accept.
 func (c *clientServer) serveConn(cc *clientConn) {
 	if err := c.server.ServeConn(cc); err != nil && !errors.Is(err, io.EOF) {
 		slog.Debug("adopted", "err", err)
 	}
 }
 
-// giveIdle gives away the connections on which no request has begun, and those that still come: their clients notice
-// nothing, where closing one could cross a request.
+// giveAwayIdle gives away the connections on which no request has begun, and those that become idle later.
+// Their clients notice nothing, whereas a close could cross a request.
 func (c *clientServer) giveAwayIdle(give func(syscall.Conn) bool) {
 	c.giveAway.Store(&give)
 	for _, conn := range c.snapshot() {
@@ -159,18 +163,24 @@
 	}
 }
 
-// full tells whether there are more connections than the limit allows.
+// overLimit reports whether there are more connections than the limit allows.
 func (c *clientServer) overLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns) > int(c.maxConns.Load())
 }
 
-// makeRoom closes one connection: of those that never brought work or a callback the one that has been so for longest,
-// be it silent, idle after asking for /ready, or half said, which counts for a quarter; else the longest idle, else the
-// one whose request has been coming in for longest, be it a first one that still moves. Those whose request is being served stay; the node takes no more of them than half of
-// all descriptors. What is usual says what it has to say at once and so is young among the first. The newcomer that room is made
-// for is not looked at: where all others have brought work, it would be the first to go, and no callback came in.
+// evictOne closes one connection, in this order:
+//
+//   - the one that has gone longest without ever carrying work or a callback: silent, idle after a request for
+//     /ready, or with an incomplete request, whose silence counts for a quarter;
+//   - the longest idle;
+//   - the one whose request has been arriving for longest, also a first request that still makes progress.
+//
+// Connections whose request is being served stay; the node accepts no more of them than half of all
+// descriptors. A usual client sends its request at once and so is young in the first group. The newcomer that
+// needs the place is skipped: where all others have carried work it would be the first to go, and no callback
+// would get in.
 func (c *clientServer) evictOne(newcomer *clientConn) bool {
 	var victim *clientConn
 	var lowest evictionPriority
@@ -185,21 +195,21 @@
 	return victim != nil
 }
 
-// Close ends the listener.
+// Close closes the listener.
 func (c *clientServer) Close() error {
 	err := c.listener.Close()
 	c.acceptGate.resume()
 	return err
 }
 
-// Addr is where it listens.
+// Addr returns the address of the listener.
 func (c *clientServer) Addr() net.Addr { return c.listener.Addr() }
 
-// How near a connection is to being served; those lower down give way first.
+// Ranks of connections by how near they are to being served; lower ranks are evicted first.
 const (
-	rankUnproven  = iota // it never brought work or a callback
-	rankIdle             // it did
-	rankReceiving        // its next request is coming in
+	rankUnproven  = iota // has never carried work or a callback
+	rankIdle             // has carried some, and has no request
+	rankReceiving        // its next request is arriving
 	rankServing
 )
 
@@ -212,34 +222,34 @@
 	return s.rank < o.rank || s.rank == o.rank && s.since.Before(o.since)
 }
 
-// clientConn is a connection that can be closed between requests without losing one, and watched while a
-// request is served: fasthttp's handler does not notice a client that leaves.
+// clientConn is a connection that can be closed between requests without losing one, and that notices while a
+// request is served that its client disconnects. fasthttp's handler does not notice that.
 type clientConn struct {
 	net.Conn
 	owner            *clientServer
 	mu               sync.Mutex
-	since            time.Time // it was accepted, answered, or its next request began
-	started          bool      // something of a request was read, or waits to be
-	reads            int       // in which it came so far
-	firstRead        time.Time // the first of them
-	lastRead         time.Time // the last
+	since            time.Time // time when it was accepted or answered, or when its next request began
+	started          bool      // part of a request was read, or waits to be read
+	reads            int       // reads that the request has taken so far
+	firstRead        time.Time // time of the first of them
+	lastRead         time.Time // time of the latest of them
 	serving          bool
-	used             bool // it had a request
+	used             bool // a request has been answered on it
 	proven           bool
-	closing          bool          // it is to be closed, unless something of a request was read before
-	forceClosed      bool          // it is closed, whatever was read
-	offered          bool          // it is given away once it is at rest
-	lastByte         byte          // of what was read of the request line
-	lineRead         bool          // the request line was read
-	badLine          bool          // and does not end in CRLF
-	pipelined        []byte        // what was read beyond the request being served
-	pipelineOverflow bool          // and was too much to keep
+	closing          bool          // to be closed, unless part of a request was read before
+	forceClosed      bool          // closed, whatever was read
+	offered          bool          // to be given away once it is idle
+	lastByte         byte          // last byte read of the request line
+	lineRead         bool          // the request line is complete
+	badLine          bool          // the request line does not end in CRLF
+	pipelined        []byte        // bytes read beyond the request being served
+	pipelineOverflow bool          // they exceeded maxPipelined
 	watchDone        chan struct{} // closed when the watch has ended
 	watchStopping    atomic.Bool   // the watch is to end
 }
 
-// Read gives out what came; a connection closed for being idle gives nothing, so that no request is taken
-// from it that the client believes unread.
+// Read returns the bytes that arrived. A connection closed for being idle returns none, so that no request is
+// accepted from it that the client believes unread.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := 0, error(nil)
 	if len(c.pipelined) > 0 {
@@ -255,13 +265,14 @@
 	if c.closing && (n == 0 || c.forceClosed) {
 		return 0, io.EOF
 	}
-	c.closing = false       // it came first: its client is owed an answer
-	if n > 0 && c.offered { // its request is served here
+	c.closing = false       // the bytes came first: the client must get an answer
+	if n > 0 && c.offered { // this process serves the request
 		c.offered = false
 		c.Conn.SetReadDeadline(time.Now().Add(readTimeout))
 	}
 	if !c.started && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		return 0, io.EOF // nothing came: closed without a word, where fasthttp would answer 408 to a new one
+		// nothing arrived: close without a response, where fasthttp would answer 408 on a new connection
+		return 0, io.EOF
 	}
 	if n > 0 {
 		c.recordRead(p[:n])
@@ -269,8 +280,9 @@
 	return n, err
 }
 
-// late looks once more at a connection whose time is over. This guards against a process that stood still: its time ran out
-// while the request lay there unread. Not begun: what was sent in pieces has had its time by the clock of its client.
+// readLate reads once more from a connection whose deadline has passed. This guards against a process that
+// was suspended: the deadline passed while the request lay unread. It applies only if no request has begun:
+// one that arrived in pieces has had its time by its client's clock.
 func (c *clientConn) readLate(p []byte, err error) (int, error) {
 	c.mu.Lock()
 	retry := !c.started && !c.offered && !c.closing
@@ -284,17 +296,17 @@
 	return c.Conn.Read(p)
 }
 
-// offer has the connection given away as soon as it waits for a request.
+// offer gives the connection away as soon as it waits for a request.
 func (c *clientConn) offer() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.serving && !c.started && len(c.pipelined) == 0 && !c.closing {
 		c.offered = true
-		c.Conn.SetReadDeadline(time.Unix(1, 0)) // wakes who reads
+		c.Conn.SetReadDeadline(time.Unix(1, 0)) // interrupts a blocked Read
 	}
 }
 
-// SetReadDeadline sets when reading ends; at once while the connection is offered.
+// SetReadDeadline sets the read deadline; it is in the past while the connection is offered or closing.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -304,7 +316,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// given gives an offered connection away from which nothing came. If nobody takes it, it is closed as idle ones are.
+// giveAway gives away an offered connection on which nothing arrived. If the other process does not take it,
+// it is closed like any idle connection.
 func (c *clientConn) giveAway(err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -313,12 +326,12 @@
 		return false
 	}
 	if c.closing = (*give)(c.Conn.(syscall.Conn)); !c.closing {
-		slog.Warn("takeover", "takeover", "a connection was not taken", "from", c.RemoteAddr())
+		slog.Warn("takeover", "takeover", "the other process did not accept an idle connection", "from", c.RemoteAddr())
 	}
 	return c.closing
 }
 
-// moved takes note that a request is coming in. The lock is held.
+// markStarted records that a request is arriving. The lock is held.
 func (c *clientConn) markStarted() {
 	if c.proven && !c.started {
 		c.since = time.Now()
@@ -326,7 +339,8 @@
 	c.started = true
 }
 
-// came takes note of what was read, and gives what is missing more time: slow is not silent. The lock is held.
+// recordRead records a read and extends the deadline for the rest of the request: a slow client is not a
+// silent one. The lock is held.
 func (c *clientConn) recordRead(p []byte) {
 	c.markStarted()
 	if c.lastRead = time.Now(); c.reads == 0 {
@@ -358,9 +372,9 @@
 	defer c.mu.Unlock()
 	s := evictionPriority{rankUnproven, c.since}
 	switch quiet := time.Since(c.lastRead); {
-	case c.started && !c.proven && c.reads > 1 && quiet < readTimeout/2: // it says its request slowly
+	case c.started && !c.proven && c.reads > 1 && quiet < readTimeout/2: // it sends its request slowly
 		s.rank = rankReceiving
-	case c.started && !c.proven && c.reads > 0: // it may yet: it counts as a quarter as old as one that is silent
+	case c.started && !c.proven && c.reads > 0: // the rest may follow: it counts as a quarter as old as a silent one
 		s.since = c.lastRead.Add(quiet * 3 / 4)
 	}
 	switch {
@@ -374,14 +388,14 @@
 	return s
 }
 
-// prove is called when it has brought work or a callback.
+// markProven records that the connection has carried work or a callback.
 func (c *clientConn) markProven() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.proven = true
 }
 
-// begin is called when its request is about to be served; false: its request line was odd.
+// markServing records that a request is about to be served. It returns false if the request line is invalid.
 func (c *clientConn) markServing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -389,7 +403,7 @@
 	return !c.badLine
 }
 
-// idle is called when its request has been answered.
+// markIdle records that the request has been answered.
 func (c *clientConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -397,8 +411,8 @@
 	c.offered = c.owner.giveAway.Load() != nil
 }
 
-// give closes the connection, unless its request is served meanwhile, or it was idle and something has come that was
-// not read yet: then it counts as coming.
+// evict closes the connection, unless a request is served on it by now, or it was idle and unread bytes have
+// arrived: then it counts as receiving.
 func (c *clientConn) evict() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -412,15 +426,15 @@
 	}
 }
 
-// pending tells whether bytes wait to be read.
+// hasUnread reports whether bytes wait to be read.
 func (c *clientConn) hasUnread() bool {
 	waits, _ := c.peek()
 	return waits
 }
 
-// closeIdle closes the connection if no request is on it; a new one that had none yet only on demand, as
-// its first request is on the way. It tells whether none is. What has come and was not read yet is a request: its client
-// has sent it and is owed an answer.
+// closeIfIdle closes the connection if it has no request. A new connection without one is closed only if
+// includeUnused is set, since its first request is probably on the way. It reports whether there is none.
+// Unread bytes count as a request: the client has sent them and must get an answer.
 func (c *clientConn) closeIfIdle(includeUnused bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -428,14 +442,14 @@
 		c.markStarted()
 	}
 	if !c.started && (c.used || includeUnused) {
-		// Who reads closes it: what it has just read and not told of yet would be lost.
+		// The reading goroutine closes it: bytes that it has just read and not reported yet would be lost.
 		c.closing = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
 	return !c.started
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *clientConn) Close() error {
 	c.owner.mu.Lock()
 	delete(c.owner.conns, c)
@@ -443,15 +457,15 @@
 	return c.Conn.Close()
 }
 
-// watch calls left when the client closes the connection. Bytes that come instead begin its next request, and are kept
-// for that: a client that said more and then left has left all the same.
+// watchClose calls onClose when the client closes the connection. Bytes that arrive instead begin its next
+// request and are kept for it. A client that sent more and then closed has still disconnected.
 func (c *clientConn) watchClose(onClose func()) {
 	c.watchDone = make(chan struct{})
 	c.watchStopping.Store(false)
 	c.Conn.SetReadDeadline(time.Time{})
 	go func() {
 		defer close(c.watchDone)
-		for b := make([]byte, 1); ; b = make([]byte, pipelineChunk) { // nearly always nothing comes
+		for b := make([]byte, 1); ; b = make([]byte, pipelineChunk) { // nearly always nothing arrives
 			n, err := c.Conn.Read(b)
 			if c.keepPipelined(b[:n]); n > 0 && err == nil {
 				continue
@@ -464,16 +478,18 @@
 	}()
 }
 
-// keep holds what came ahead of the answer before it. This guards against clients that say more than one request ahead:
-// nothing of it is kept then, and the connection ends with the answer.
+// keepPipelined keeps bytes that arrived before the current request was answered. This guards against clients
+// that send more than one request ahead: then none of it is kept, and the connection is closed after the
+// answer.
 func (c *clientConn) keepPipelined(p []byte) {
 	if c.pipelined = append(c.pipelined, p...); len(c.pipelined) > maxPipelined {
 		c.pipelined, c.pipelineOverflow = nil, true
 	}
 }
 
-// peek tells, without reading anything, whether bytes wait to be read, and whether the client has closed the connection with
-// none left before its end. This guards against work that is sent for a client that has left, where the watch has not run yet.
+// peek reports, without reading anything, whether bytes wait to be read, and whether the client has closed
+// the connection and no bytes remain before its end. This guards against work that is sent for a client that
+// has disconnected before the watch noticed.
 func (c *clientConn) peek() (unread, closed bool) {
 	closed = !c.withFD(func(fd int) {
 		var b [1]byte
@@ -484,7 +500,7 @@
 	return unread, closed
 }
 
-// socket lets use have the connection's descriptor; false: it is closed.
+// withFD calls use with the connection's descriptor. It returns false if the connection is closed.
 func (c *clientConn) withFD(use func(fd int)) bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	return err == nil && raw.Control(func(fd uintptr) { use(int(fd)) }) == nil
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -1,5 +1,5 @@
-// This file owns the watch on discovery and the form of its lists. It must never open a watch by itself: the
-// node asks for each one, and is told when it breaks or falls silent.
+// This file handles watches on discovery and the format of its lists. It must never open a watch by itself:
+// the node requests each one, and is told when it ends or falls silent.
 
 package transport
 
@@ -27,15 +27,17 @@
 )
 
 const (
-	discoveryDialTimeout    = time.Second
-	discoveryAnswerTimeout  = 3 * time.Second
-	discoveryQueueTimeout   = 15 * time.Second // where it tells only what it is asked for calls wait in turn; one given up still takes its turn
-	discoverySilenceTimeout = 3 * time.Second  // an empty line is missing; what it tells counts as told after 6 s
+	discoveryDialTimeout   = time.Second
+	discoveryAnswerTimeout = 3 * time.Second
+	// Where discovery only answers requests, calls wait in turn; a call that was given up still takes its turn.
+	discoveryQueueTimeout = 15 * time.Second
+	// Time without a line, also an empty one (the keep-alive). A change must be known within 6 s.
+	discoverySilenceTimeout = 3 * time.Second
 	maxListSize             = 8 << 20
 	listPath                = "/v1/endpoints"
 )
 
-// DecodeListing reads one list in discovery's form. A member that cannot be read is passed over.
+// DecodeDiscoveryUpdate decodes one list in discovery's format. It skips members that cannot be decoded.
 func DecodeDiscoveryUpdate(text []byte, names settings.Names) (node.DiscoveryUpdate, error) {
 	var in struct {
 		Revision *int64
@@ -63,7 +65,7 @@
 var memberStates = map[string]dispatch.WorkerState{"in_service": dispatch.Up, "terminating": dispatch.Draining,
 	"terminated": dispatch.Gone}
 
-// member is one member as it stands on the wire.
+// memberJSON is a member of a list as discovery encodes it.
 type memberJSON struct {
 	ID       string
 	HostPort string `json:"host_port"`
@@ -97,10 +99,10 @@
 	node          *node.Node
 	names         settings.Names
 	running       *sync.WaitGroup
-	answerTimeout time.Duration // a call's answer has come by then
+	answerTimeout time.Duration // a call must be answered within this time
 	mu            sync.Mutex
-	cancels       map[int]context.CancelFunc // of the open watches
-	onConnError   func(error)                // told why a call's connection did not come up
+	cancels       map[int]context.CancelFunc // of the open watches, by number
+	onConnError   func(error)                // receives the reason why a call could not connect
 }
 
 func newDiscovery(ctx context.Context, n *node.Node, o Options, running *sync.WaitGroup) *discoveryClient {
@@ -111,7 +113,7 @@
 	return d
 }
 
-// unwatch ends a watch.
+// unwatch closes a watch.
 func (d *discoveryClient) unwatch(number int) {
 	d.mu.Lock()
 	stop := d.cancels[number]
@@ -137,12 +139,13 @@
 	})
 }
 
-// errNotWhole: a watch that was asked for without a revision did not begin with the whole list.
-var errNoFullList = errors.New("no whole list came first")
+// errNoFullList: a watch without a revision did not begin with the complete list.
+var errNoFullList = errors.New("the watch did not begin with a complete list")
 
-// read brings what discovery tells until it breaks: the whole list first, where that is asked for. One call brings
-// both, as a watch that names no revision begins with the whole list: many dispatchers that start at once would ask a
-// discovery of bounded capacity for twice as much. Where that is not so, the list is asked for by itself.
+// run passes on the updates of a watch until it ends, starting with the complete list if after is FullList.
+// One call is enough for both, since a watch without a revision begins with the complete list. This guards
+// against many dispatchers that start at once: with two calls each, they would need twice the bounded
+// capacity of discovery. If the watch does not begin with the complete list, a separate call requests it.
 func (d *discoveryClient) run(ctx context.Context, number int, addr string, after int64) error {
 	if after == node.FullList {
 		err := d.follow(ctx, number, addr, after)
@@ -156,7 +159,7 @@
 			}
 			l, err := DecodeDiscoveryUpdate(text, d.names)
 			if err != nil {
-				return fmt.Errorf("bad list: %w", err)
+				return fmt.Errorf("invalid list: %w", err)
 			}
 			l.Watch, l.Complete, after = number, true, l.Revision
 			d.node.Enqueue(l)
@@ -169,10 +172,11 @@
 	return d.follow(ctx, number, addr, after)
 }
 
-// moreToCome is what the decoder says of a list that may go on with the next line; one that ends within a word may not.
+// truncatedJSON is the decoder's error for a list that may continue on the next line. A list that ends within
+// a literal gives another error and cannot continue.
 const truncatedJSON = "unexpected end of JSON input"
 
-// follow brings what a watch tells until it breaks.
+// follow passes on the updates of a watch until it ends.
 func (d *discoveryClient) follow(ctx context.Context, number int, addr string, after int64) error {
 	path := listPath + "?watch=1"
 	if after != node.FullList {
@@ -181,10 +185,10 @@
 	err := d.call(ctx, addr, path, func(conn net.Conn, body io.Reader) error {
 		lines := bufio.NewScanner(body)
 		lines.Buffer(nil, maxListSize)
-		var text []byte // of a list that goes on over several lines
+		var text []byte // of a list that spans several lines
 		for nothingYet := true; lines.Scan(); {
 			line := lines.Bytes()
-			if len(text) == 0 { // a list has the same time whole as an empty line
+			if len(text) == 0 { // a list must be complete within the same time as an empty line
 				conn.SetDeadline(time.Now().Add(discoverySilenceTimeout))
 			}
 			if blank := len(bytes.TrimSpace(line)) == 0; blank && len(text) > 0 {
@@ -193,7 +197,7 @@
 				if nothingYet && after == node.FullList {
 					return errNoFullList
 				}
-				if nothingYet { // it speaks: nothing has changed since
+				if nothingYet { // discovery has answered: nothing has changed since
 					d.node.Enqueue(node.DiscoveryUpdate{Watch: number, Revision: after})
 				}
 				nothingYet = false
@@ -201,7 +205,7 @@
 			}
 			firstLine := len(text) == 0
 			if text = append(append(text, line...), '\n'); len(text) > maxListSize {
-				return errors.New("bad line: a list without an end")
+				return errors.New("invalid watch line: a list exceeds 8 MiB without an end")
 			}
 			if !firstLine && !bytes.HasSuffix(bytes.TrimSpace(line), []byte("}")) {
 				continue
@@ -211,8 +215,8 @@
 			if errors.As(err, &syntaxErr) && syntaxErr.Error() == truncatedJSON {
 				continue
 			}
-			if err != nil { // what it told would be missing: ask again after the last that was read
-				return fmt.Errorf("bad line: %w", err)
+			if err != nil { // its changes would be lost: ask again from the last list that was read
+				return fmt.Errorf("invalid watch line: %w", err)
 			}
 			text = text[:0]
 			conn.SetDeadline(time.Now().Add(discoverySilenceTimeout))
@@ -226,7 +230,7 @@
 		if lines.Err() != nil {
 			return lines.Err()
 		}
-		return errors.New("it ended")
+		return errors.New("discovery ended the watch")
 	})
 	var refused statusError
 	if after == node.FullList && errors.As(err, &refused) && refused >= 400 && refused < 500 {
@@ -235,12 +239,12 @@
 	return err
 }
 
-// statusError is a status other than 200.
+// statusError is an HTTP status other than 200.
 type statusError int
 
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
-// call makes one request on a connection of its own and hands over the body of its answer.
+// call makes one request on a new connection and passes the body of the answer to handle.
 func (d *discoveryClient) call(ctx context.Context, addr, path string, handle func(net.Conn, io.Reader) error) error {
 	dialer := net.Dialer{Timeout: discoveryDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -1,5 +1,5 @@
-// This file owns the datagrams between siblings. It must never wait for one: what cannot be sent at once may
-// be lost, as any message may.
+// This file handles the datagrams between peers. It must never wait for one: a datagram that cannot be sent
+// at once may be lost, like any message.
 
 package transport
 
@@ -16,7 +16,7 @@
 
 const (
 	maxDatagram       = 256
-	datagramQueueSize = 256 // that wait to be sent
+	datagramQueueSize = 256 // datagrams that wait to be sent
 )
 
 type datagram struct {
@@ -26,7 +26,7 @@
 
 type peerLink struct {
 	node        *node.Node
-	conn        *net.UDPConn // nil: there are none to talk to
+	conn        *net.UDPConn // nil: there are no peers
 	addrs       []netip.AddrPort
 	broadcast   netip.AddrPort
 	self        int
@@ -89,7 +89,8 @@
 	}
 }
 
-// receive passes on what siblings send; what comes from elsewhere or is too long is passed over.
+// receive passes on datagrams from peers. It ignores datagrams from other addresses and those that are too
+// long.
 func (s *peerLink) receive() {
 	if s.conn == nil {
 		return
@@ -102,7 +103,7 @@
 			return
 		}
 		if err != nil {
-			continue // a refused datagram shows here
+			continue // a previous datagram was refused
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		if k := slices.Index(s.addrs, from); k >= 0 && k != s.self && n <= maxDatagram {
--- a/internal/transport/takeover.go
+++ b/internal/transport/takeover.go
@@ -1,5 +1,5 @@
-// This file owns the platform's side of a takeover: the sockets that two processes share, and the form in which one tells
-// the other what it knows. It must never decide when; the exchange does.
+// This file is the transport's part of a takeover: the sockets that two processes share, and the encoding of
+// the state that one passes to the other. It must never decide when to take over; the exchange does.
 
 package transport
 
@@ -21,7 +21,7 @@
 	"weldmast/internal/takeover"
 )
 
-// A gate holds a loop that reads, or lets it through. The zero value is open.
+// pauseGate blocks a reading loop while it is paused. The zero value is open.
 type pauseGate struct {
 	mu      sync.Mutex
 	resumed chan struct{} // nil: open
@@ -53,23 +53,23 @@
 	}
 }
 
-// The places of the sockets that are handed over.
+// Indexes of the sockets that are handed over.
 const (
 	clientSocket = iota
 	peerSocket
 )
 
-// shareable lets another process listen at the same address. This guards against an older one that hangs or cannot be
-// reached: the start beside it must succeed.
+// reusePort lets another process listen at the same address. This guards against a predecessor that hangs or
+// cannot be reached: a start beside it must succeed.
 var reusePort = net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		if err := unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err != nil {
-			slog.Warn("takeover", "takeover", "the address cannot be shared", "err", err)
+			slog.Warn("takeover", "takeover", "cannot set SO_REUSEPORT: another process cannot listen at this address", "err", err)
 		}
 	})
 }}
 
-// listen is at the clients' address: by the older process's socket, or by one of its own.
+// listenTCP returns a listener at the clients' address: on the predecessor's socket, or on a new one.
 func listenTCP(o Options) (*net.TCPListener, error) {
 	var l net.Listener
 	var err error
@@ -87,12 +87,12 @@
 	t, ok := l.(*net.TCPListener)
 	if !ok {
 		l.Close()
-		return nil, fmt.Errorf("%s is no TCP address", l.Addr())
+		return nil, fmt.Errorf("%s is not a TCP address", l.Addr())
 	}
 	return t, nil
 }
 
-// listenPacket is the same at the siblings' address.
+// listenUDP returns a socket at the peers' address, in the same way.
 func listenUDP(o Options) (*net.UDPConn, error) {
 	var c net.PacketConn
 	var err error
@@ -110,13 +110,13 @@
 	u, ok := c.(*net.UDPConn)
 	if !ok {
 		c.Close()
-		return nil, fmt.Errorf("%s is no UDP address", c.LocalAddr())
+		return nil, fmt.Errorf("%s is not a UDP address", c.LocalAddr())
 	}
 	return u, nil
 }
 
-// Sockets are those that a newer process is given.
-func (p *Transport) ListeningSockets() []syscall.Conn {
+// Sockets returns the sockets that are passed to a successor.
+func (p *Transport) Sockets() []syscall.Conn {
 	all := []syscall.Conn{p.clients.listener}
 	if p.peers.conn != nil {
 		all = append(all, p.peers.conn)
@@ -124,7 +124,7 @@
 	return all
 }
 
-// Pause leaves what comes in to the other process.
+// Pause leaves incoming connections and datagrams to the other process.
 func (p *Transport) Pause() {
 	p.clients.acceptGate.pause()
 	p.clients.listener.SetDeadline(time.Unix(1, 0))
@@ -134,7 +134,7 @@
 	}
 }
 
-// Resume takes in what comes.
+// Resume accepts incoming connections and datagrams.
 func (p *Transport) Resume() {
 	p.clients.giveAway.Store(nil)
 	p.clients.listener.SetDeadline(time.Time{})
@@ -148,10 +148,10 @@
 // GiveIdle gives away connections that wait for a request.
 func (p *Transport) GiveIdle(give func(syscall.Conn) bool) { p.clients.giveAwayIdle(give) }
 
-// Adopt serves a connection that was given away.
+// Adopt serves a connection that the other process gave away.
 func (p *Transport) Adopt(c net.Conn) { go p.clients.adoptConn(c) }
 
-// Share keeps to half of the bounds while another process has the other half.
+// Share keeps this process to half of its limits while another process uses the other half.
 func (p *Transport) Share(half bool) {
 	p.limitMu.Lock()
 	p.halved = half
@@ -162,34 +162,35 @@
 	}
 }
 
-// share gives clients and workers their parts. The lock is held.
+// applyLimits gives clients and workers their shares. The lock is held.
 func (p *Transport) applyLimits() {
 	budget := float64(p.options.MaxSockets)
 	if p.halved {
 		budget /= 2
 	}
-	// Where there are few descriptors, those that the process itself has come first.
+	// With few descriptors, those that the process itself needs come first.
 	maxClients := int(max(min(clientShare*budget, clientShareOfRest*(budget-reservedSockets)), minClientConns))
 	p.clients.maxConns.Store(int64(maxClients))
 	p.workers.setLimit(int(max(min(workerShare*budget, (1-clientShareOfRest)*(budget-reservedSockets)), minWorkerConns)))
-	// Clients that wait must leave room for the callbacks that end their jobs.
+	// Waiting clients must leave descriptors for the callbacks that end their jobs.
 	p.node.Enqueue(node.ClientLimit{Max: maxClients - max(maxClients/6, minCallbackConns)})
 }
 
-// Succeeded tells the node that a newer process is there.
-func (p *Transport) SuccessorConnected() { p.node.Enqueue(node.SuccessorReady{}) }
+// Succeeded tells the node that a successor is ready.
+func (p *Transport) Succeeded() { p.node.Enqueue(node.SuccessorReady{}) }
 
-const recheckDelay = 100 * time.Millisecond // a job that is handed over has arrived by then
+const recheckDelay = 100 * time.Millisecond // a job that is being handed over has arrived by then
 
-// goods is a job as one process gives it to the other, beside its client's connection.
+// transferredJob is a job as one process passes it to the other, together with its client's connection.
 type transferredJob struct {
 	Job        node.Job
 	Head, Body []byte
-	Ahead      []byte // of the client's next request
-	Spilt      bool   // which was too much to keep
+	Ahead      []byte // bytes of the client's next request
+	Spilt      bool   // those exceeded maxPipelined
 }
 
-// hand gives a job away. Where that fails its client is answered as for one that may have run.
+// handOver passes a job to the successor. If that fails, its client is answered as for a job that may have
+// run.
 func (p *Transport) handOver(conn *clientConn, j *node.Job, m *message) bool {
 	text, err := json.Marshal(transferredJob{*j, m.head, m.body, conn.pipelined, conn.pipelineOverflow})
 	if err == nil {
@@ -201,15 +202,15 @@
 	return err == nil
 }
 
-// AdoptJob answers a job that the older process gave away.
+// AdoptJob serves a job that the predecessor handed over.
 func (p *Transport) AdoptJob(conn net.Conn, text []byte) {
 	var g transferredJob
 	if err := json.Unmarshal(text, &g); err != nil || g.Job.Category >= len(p.options.Expiries) {
-		slog.Warn("takeover", "takeover", "a job cannot be read", "err", err)
+		slog.Warn("takeover", "takeover", "cannot decode a job from the predecessor", "err", err)
 		conn.Close()
 		return
 	}
-	// Queued here, so that the node has it before it hears that the older process has ended.
+	// Enqueued here, so that the node has it before it learns that the predecessor has ended.
 	cc := &clientConn{Conn: conn, owner: p.clients, since: time.Now(), started: true, serving: true, proven: true, pipelined: g.Ahead, pipelineOverflow: g.Spilt}
 	client := &node.Request{ID: g.Job.ID, Category: g.Job.Category, Tenant: g.Job.Tenant, Hint: g.Job.Hint,
 		Key: g.Job.Key, Expiry: g.Job.Expiry, Message: &message{head: g.Head, body: g.Body}}
@@ -219,7 +220,7 @@
 	go p.clients.serveAdopted(cc, client, reply)
 }
 
-// finish answers an adopted job and goes on with its connection.
+// serveAdopted answers an adopted job and continues to serve its connection.
 func (c *clientServer) serveAdopted(cc *clientConn, client *node.Request, reply <-chan node.Reply) {
 	c.register(cc)
 	r := node.Reply{Result: node.WrittenOff}
@@ -252,7 +253,7 @@
 	c.serveConn(cc)
 }
 
-// told is a callback as one process tells it the other.
+// forwardedCallback is a callback as one process passes it to the other.
 type forwardedCallback struct {
 	ID, From string
 	State    node.CallbackState
@@ -263,7 +264,7 @@
 var callbackResults = map[takeover.Answer]node.CallbackResult{takeover.Applied: node.CallbackApplied, takeover.NotKnown: node.CallbackUnknown,
 	takeover.Unsure: node.CallbackUndetermined}
 
-// Pass asks the other processes about a callback.
+// ForwardCallback asks the other processes about a callback.
 func (p *Transport) ForwardCallback(c node.Callback) {
 	text, err := json.Marshal(forwardedCallback{c.ID, c.From, c.State, c.Share, c.Result})
 	if err != nil || p.options.Exchange == nil {
@@ -279,7 +280,7 @@
 			c.Respond(callbackResults[a])
 			return
 		}
-		// The older process may have handed it over this moment: it is looked for here once more.
+		// The predecessor may be handing the job over at this moment: look for it here once more.
 		time.AfterFunc(recheckDelay, func() {
 			if c.FromSuccessor, c.FromPredecessor = true, true; !p.node.Enqueue(c) {
 				c.Respond(node.CallbackUnknown)
@@ -288,7 +289,7 @@
 	})
 }
 
-// Callback takes one that another process did not know.
+// Callback handles a callback for a work item that another process does not know.
 func (p *Transport) Callback(text []byte, newer bool, answer func(takeover.Answer)) {
 	var t forwardedCallback
 	if json.Unmarshal(text, &t) != nil {
@@ -309,18 +310,18 @@
 	}
 }
 
-// encodeKnown is what one process tells the other of all that it knows.
+// encodeTakeoverState encodes the state for the successor.
 func encodeTakeoverState(k node.TakeoverState) []byte {
 	text, err := json.Marshal(k)
 	if err != nil {
-		slog.Error("takeover", "takeover", "what is known cannot be told", "err", err)
+		slog.Error("takeover", "takeover", "cannot encode the takeover state", "err", err)
 		return nil
 	}
 	return text
 }
 
-// Inherit takes what the older process knew.
-func (p *Transport) ImportState(text []byte) error {
+// Inherit passes the predecessor's state to the node.
+func (p *Transport) Inherit(text []byte) error {
 	var k node.TakeoverState
 	if err := json.Unmarshal(text, &k); err != nil {
 		return err
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,9 +1,9 @@
-// Package platform speaks the users' protocol for a node: HTTP/1.1 with clients and with workers' callbacks
-// on one listener, with workers and with discovery, and datagrams with siblings. It decodes each message
-// once into a value for the node's queue and encodes each one once. It must never decide anything, retry
-// anything or change the node's state.
+// Package transport implements the users' protocol for a node: HTTP/1.1 with clients and for workers'
+// callbacks on one listener, HTTP/1.1 with workers and with discovery, and datagrams with peers. It decodes
+// each message once into an event for the node's queue and encodes each outgoing message once. It must never
+// make decisions, retry anything or change the node's state.
 //
-// This file puts the parts together; each of the others owns one neighbour.
+// This file assembles the parts; each of the other files handles one kind of remote party.
 package transport
 
 import (
@@ -23,29 +23,32 @@
 	"weldmast/internal/takeover"
 )
 
-// Options is what the parts need to know.
+// Options configure a Transport.
 type Options struct {
 	Listen             netip.AddrPort
 	PeerListen         netip.AddrPort
 	Peers              []netip.AddrPort
 	PeersAll           netip.AddrPort
-	PeerIndex          int // this dispatcher's among the peers
+	PeerIndex          int // index of this dispatcher in Peers
 	Names              settings.Names
 	Connections        settings.ConnectionSettings
-	Expiries           []float64 // of each category
-	SecondCopies       bool      // second copies are allowed
-	DiscoveryOnRequest bool      // discovery tells only what it is asked for
+	Expiries           []float64 // of each category, in ms
+	SecondCopies       bool      // a work item may run more than once
+	DiscoveryOnRequest bool      // discovery only answers requests, it does not push changes
 	MaxSockets         int
-	Metrics            *metrics.Metrics // nil: none are asked for
-	Guard              node.LeaseGuard  // nil: of no fleet
-	// Exchange is with other processes of this dispatcher; nil: there are none, and the addresses are its alone.
-	Exchange          *takeover.Exchange
-	InheritedSockets  []*os.File      // sockets of an older process, served once it has handed over
-	OnShare           func(half bool) // told which part of the bounds is this process's
-	SystemSocketLimit func() int      // what Sockets would be by the system's limit of this moment; nil: as it is
+	Metrics            *figures.Figures // nil: none are collected
+	Guard              node.LeaseGuard  // nil: this process belongs to no fleet
+	// Exchange connects to other processes of this dispatcher; nil: there are none, and the addresses are not
+	// shared.
+	Exchange         *takeover.Exchange
+	InheritedSockets []*os.File // sockets of the predecessor, served once it has handed over
+	// OnShare is called with true if the process must keep to half of its limits, with false if it may use all.
+	OnShare func(half bool)
+	// SystemSocketLimit returns what MaxSockets would be under the system's current limit; nil: MaxSockets is fixed.
+	SystemSocketLimit func() int
 }
 
-// Platform is the front of one node.
+// Transport implements node.Transport over sockets.
 type Transport struct {
 	clients   *clientServer
 	workers   *workerPool
@@ -55,24 +58,29 @@
 	node      *node.Node
 	stop      context.CancelFunc
 	running   sync.WaitGroup
-	limitMu   sync.Mutex // of o.Sockets and half
+	limitMu   sync.Mutex // guards options.MaxSockets and halved
 	halved    bool
 }
 
-// Parts of the limit on sockets; what is left is for discovery, siblings, files and the runtime's own. Half may
-// wait for their work items' answers; the rest of the clients' part is for callbacks and idle connections.
+// Shares of the limit on sockets. The rest is for discovery, peers, files and the runtime. At most half of
+// the descriptors may belong to clients that wait for an answer; the rest of the clients' share is for
+// callbacks and idle connections.
 const (
-	clientShare       = 0.6
-	workerShare       = 0.3
-	reservedSockets   = 16   // three files, two listeners, the poller's, calls of discovery, a connection that is being refused
-	clientShareOfRest = 0.65 // of the rest, at most
-	// Where that leaves next to nothing: a job, its worker's callback and one that comes; a hand-off and a giving up.
-	minClientConns   = 4
-	minWorkerConns   = 2
-	minCallbackConns = 2 // of the clients' part, for callbacks alone, and a sixth of it if that is more
+	clientShare = 0.6
+	workerShare = 0.3
+	// Three files, two listeners, the poller's descriptors, calls to discovery, a connection that is being refused.
+	reservedSockets   = 16
+	clientShareOfRest = 0.65 // share of what is left after reservedSockets, at most
+	// Minimum where the limit is very low: for clients a job, its worker's callback and one new connection;
+	// for workers a hand-off and a cancellation.
+	minClientConns = 4
+	minWorkerConns = 2
+	// Minimum of the clients' share that is reserved for callbacks; a sixth of the share if that is more.
+	minCallbackConns = 2
 )
 
-// Start listens and begins to serve. The node's queue takes what comes in; it need not run yet.
+// Start opens the listeners and starts to serve. Incoming events go to the node's queue; the node need not
+// run yet.
 func Start(o Options, n *node.Node) (*Transport, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Transport{options: o, node: n, stop: stop}
@@ -89,12 +97,12 @@
 	}
 	p.clients.handOver = p.handOver
 	p.clients.onConnError, p.workers.onConnError, p.discovery.onConnError = p.onConnError, p.onConnError, p.onConnError
-	for _, f := range o.InheritedSockets { // the parts have copies
+	for _, f := range o.InheritedSockets { // the parts use duplicates
 		f.Close()
 	}
 	p.SetHalfLimits(len(o.InheritedSockets) > 0)
 	if len(o.InheritedSockets) > 0 {
-		p.Pause() // until the older process has handed over
+		p.Pause() // until the predecessor has handed over
 	}
 	p.running.Go(func() { p.workers.closeExpired(ctx) })
 	p.running.Go(func() { p.peers.send(ctx) })
@@ -103,8 +111,9 @@
 	return p, nil
 }
 
-// short is told why a connection did not come up or in. Where the system had no descriptor left it may allow fewer than it did:
-// clients and workers get their parts of these. Without that, clients that only connect would take each that becomes free.
+// onConnError receives the reason why a connection could not be opened or accepted. If the system had no
+// descriptor left, it may now allow fewer than before: clients and workers get their shares of the lower
+// limit. Otherwise clients that only connect would take every descriptor that becomes free.
 func (p *Transport) onConnError(err error) {
 	if p.options.SystemSocketLimit == nil || !errors.Is(err, syscall.EMFILE) {
 		return
@@ -123,7 +132,7 @@
 // Send starts a hand-off.
 func (p *Transport) Send(s node.HandOffRequest) node.Attempt { return p.workers.startHandOff(s) }
 
-// Continue takes up a hand-off that another process made.
+// AdoptHandOff continues a hand-off that another process made.
 func (p *Transport) AdoptHandOff(s node.HandOffRequest) node.Attempt { return p.workers.adopt(s) }
 
 // Watch opens a watch on discovery.
@@ -131,14 +140,14 @@
 	p.discovery.watch(number, addr, after)
 }
 
-// Unwatch ends a watch.
+// Unwatch closes a watch.
 func (p *Transport) Unwatch(number int) { p.discovery.unwatch(number) }
 
-// Tell sends a message to siblings.
+// SendToPeer sends a message to one peer, or to all peers if to is -1.
 func (p *Transport) SendToPeer(to int, data []byte) { p.peers.enqueue(to, data) }
 
-// Drain has connections closed with their next deferral; or hands over, if there is a newer process, and has them closed
-// with their next answer.
+// Drain closes each connection after its next deferral. If there is a successor, it hands over to it, and
+// closes each connection after its next answer.
 func (p *Transport) Drain(known func() node.TakeoverState) (succeeded bool) {
 	p.clients.closeAfterDeferral.Store(true)
 	if p.options.Exchange != nil && p.options.Exchange.Stop(func() []byte { return encodeTakeoverState(known()) }) {
@@ -148,15 +157,15 @@
 	return false
 }
 
-// Dismiss closes connections that wait for a request, and the others with their next answer.
+// CloseIdle closes the connections that wait for a request, and all others after their next answer.
 func (p *Transport) CloseIdle() {
 	p.clients.closeAfterAnswer.Store(true)
 	p.clients.closeIdle()
 }
 
-// Close lets requests and answers under way come to their end, for a short time, and ends everything.
+// Close lets requests and answers in progress end, for a short time, and then closes everything.
 func (p *Transport) Close() {
-	p.clients.close(readTimeout) // what has begun to come in is whole by then, or never
+	p.clients.close(readTimeout) // a request that has begun to arrive is complete by then, or has timed out
 	p.workers.close(time.Second)
 	p.stop()
 	p.peers.close()
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -1,7 +1,7 @@
-// This file owns the connections to workers: hand-offs, and their giving up. It must never send anything a
-// second time. fasthttp's client sends a DELETE again by itself, hides whether the last byte was written, which
-// tells work that never ran from work that may have, and cannot call a request off; so connections are kept in
-// pools of its own, and only fasthttp's codecs serve.
+// This file handles the connections to workers: hand-offs and their cancellation. It must never send anything
+// twice. fasthttp's client is not used: it repeats a DELETE by itself, it hides whether the last byte was
+// written, which distinguishes work that never ran from work that may have run, and it cannot cancel a
+// request. So the connections are pooled here, and only fasthttp's codecs are used.
 
 package transport
 
@@ -28,25 +28,27 @@
 
 const (
 	maxAnswer        = 64 << 10
-	deleteTimeout    = time.Second // a worker's answer to a giving up is read for so long
-	maxIdlePerWorker = 16          // idle connections kept to one worker
-	// A connection is used again only once nothing has come on it for so long. This guards against a second answer to the request
-	// before, some milliseconds late, that would be taken for the answer to the next: work that runs could count as never run.
+	deleteTimeout    = time.Second // time to wait for a worker's answer to a cancellation
+	maxIdlePerWorker = 16          // idle connections kept per worker
+	// A connection is reused only once nothing has arrived on it for this long. This guards against a second
+	// answer to the previous request, some milliseconds late, that would be taken for the answer to the next
+	// one: work that runs could count as never run.
 	settleTime = 20 * time.Millisecond
 )
 
-// message is a client's request as it goes on to any worker, encoded once: all but the lines that differ.
+// message is a client's request as it goes to any worker, encoded once, without the lines that differ between
+// workers.
 type message struct {
 	head        []byte
 	body        []byte
-	clientWaits func() bool // its client waits for the answer
+	clientWaits func() bool // reports whether its client still waits for the answer
 }
 
-// hop are the headers of the client's connection, or those that each hand-off sets.
+// hopHeaders are the headers that concern only the client's connection, or that each hand-off sets itself.
 var hopHeaders = []string{"Host", "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Te", "Trailer",
 	"Upgrade", "Expect", "X-Deadline"}
 
-// newMessage copies a request: method, path, query, body and id byte for byte.
+// newMessage copies a request: method, path, query, body and ID byte for byte.
 func newMessage(r *fasthttp.Request) *message {
 	var h fasthttp.RequestHeader
 	r.Header.CopyTo(&h)
@@ -61,7 +63,7 @@
 	return &message{head: head[:len(head)-2], body: slices.Clone(body)}
 }
 
-// encode is the whole text for one worker.
+// encode returns the complete request for one worker.
 func (m *message) encode(addr string, timeout float64, mark string) []byte {
 	b := make([]byte, 0, len(m.head)+len(m.body)+len(addr)+len(mark)+80)
 	b = append(b, m.head...)
@@ -81,26 +83,26 @@
 	net.Conn
 	addr      string
 	in        *bufio.Reader
-	idleSince time.Time     // when it became idle
-	idleTime  time.Duration // for how long it had been idle when it was taken; 0: new
+	idleSince time.Time     // time when it became idle
+	idleTime  time.Duration // how long it had been idle when it was acquired; 0: new
 }
 
 type workerPool struct {
 	node         *node.Node
 	dialer       net.Dialer
-	maxIdle      time.Duration // connections are used again after being idle for so long, at most
-	minIdle      time.Duration // and not before being idle for so long
+	maxIdle      time.Duration // longest idle time after which a connection is reused
+	minIdle      time.Duration // shortest idle time after which a connection is reused
 	maxConns     int
-	secondCopies bool // second copies are allowed
+	secondCopies bool // a work item may run more than once
 	metrics      *figures.Figures
-	guard        node.LeaseGuard // nil: of no fleet
+	guard        node.LeaseGuard // nil: this process belongs to no fleet
 	mu           sync.Mutex
-	learnedIdle  time.Duration // the same by connections that workers ended, as of learnAt
+	learnedIdle  time.Duration // maxIdle as learned from connections that workers closed, at the time learnedAt
 	learnedAt    time.Time     // zero: never
 	open         int
-	idle         map[string][]*workerConn // longest idle first
+	idle         map[string][]*workerConn // by address; longest idle first
 	running      sync.WaitGroup
-	onConnError  func(error) // told why a connection did not come up
+	onConnError  func(error) // receives the reason why a connection could not be opened
 }
 
 func newWorkers(n *node.Node, o Options) *workerPool {
@@ -113,12 +115,12 @@
 // errTooMany: all connections to workers that the limit allows are in use. The hand-off could not connect.
 var errTooMany = errors.New("too many connections to workers")
 
-// errShut: the fleet has shut this process out, so nothing was written.
-var errNotAllowed = errors.New("shut out by the fleet")
+// errNotAllowed: the fleet does not allow this process to act, so nothing was written.
+var errNotAllowed = errors.New("the fleet does not allow this process to act")
 
-// get takes an idle connection that is fit for use, or opens one.
+// acquire returns a usable idle connection, or opens a new one.
 func (w *workerPool) acquire(ctx context.Context, addr string) (*workerConn, error) {
-	closedAfter := w.maxIdle // the least time after which one was found closed
+	closedAfter := w.maxIdle // shortest idle time after which a connection was found closed
 	for {
 		w.mu.Lock()
 		list := w.idle[addr]
@@ -156,15 +158,16 @@
 		w.onConnError(err)
 		return nil, err
 	}
-	if closedAfter < w.maxIdle { // by a worker that lives: one that died closes them all, however long they were idle
-		w.learn(closedAfter / 4) // it was closed some time before it was found so
+	// the worker is alive: one that died closes all connections, however long they were idle
+	if closedAfter < w.maxIdle {
+		w.learn(closedAfter / 4) // it was closed some time before that was noticed
 	}
 	return &workerConn{Conn: conn, addr: addr, in: bufio.NewReader(conn)}, nil
 }
 
-// learn takes note of how long a connection may idle at most. This guards against workers, or a path to them, that
-// end idle connections long before the time in the settings: a request that is written to one then ends as a reset
-// and may count as run.
+// learn records how long a connection may be idle at most. This guards against workers, or network paths to
+// them, that close idle connections long before the configured time: a request written to such a connection
+// ends as a reset and may count as run.
 func (w *workerPool) learn(limit time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -174,14 +177,14 @@
 	}
 }
 
-// usable is for how long a connection may have been idle when it is used again. What was learned doubles over the
-// settings' idle time. The lock is held.
+// usableIdle returns how long a connection may have been idle when it is reused. The learned time doubles
+// within the configured idle time. The lock is held.
 func (w *workerPool) usableIdle() time.Duration {
 	grown := math.Exp2(float64(time.Since(w.learnedAt)) / float64(2*w.maxIdle))
 	return time.Duration(min(float64(w.learnedIdle)*grown, float64(w.maxIdle)))
 }
 
-// quiet tells that nothing came on an idle connection: neither its end nor bytes nobody asked for.
+// isQuiet reports that nothing arrived on an idle connection: neither its end nor unexpected bytes.
 func (c *workerConn) isQuiet() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil || c.in.Buffered() > 0 {
@@ -216,21 +219,21 @@
 	w.countClosed()
 }
 
-// bound sets how many connections to workers there may be.
+// setLimit sets how many connections to workers there may be.
 func (w *workerPool) setLimit(most int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.maxConns = most
 }
 
-// closed counts one connection less.
+// countClosed subtracts one connection.
 func (w *workerPool) countClosed() {
 	w.mu.Lock()
 	w.open--
 	w.mu.Unlock()
 }
 
-// dropIdle makes room by the longest idle connection of all. The lock is held.
+// evictIdle closes the connection that has been idle for longest. The lock is held.
 func (w *workerPool) evictIdle() bool {
 	var oldest *workerConn
 	for _, list := range w.idle {
@@ -247,7 +250,8 @@
 	return true
 }
 
-// tidy closes connections long before the worker would: a request that crosses that is lost.
+// closeExpired closes connections long before the worker would: a request that crosses the worker's close is
+// lost.
 func (w *workerPool) closeExpired(ctx context.Context) {
 	tick := time.NewTicker(max(w.maxIdle/8, 10*time.Millisecond))
 	defer tick.Stop()
@@ -272,7 +276,7 @@
 	}
 }
 
-// close waits for what is under way and closes what is idle.
+// close waits for requests in progress and closes idle connections.
 func (w *workerPool) close(timeout time.Duration) {
 	done := make(chan struct{})
 	go func() { w.running.Wait(); close(done) }()
@@ -286,17 +290,17 @@
 	}
 }
 
-// attempt is one hand-off under way.
+// attempt is one hand-off in progress.
 type attempt struct {
 	w         *workerPool
 	req       node.HandOffRequest
 	cancel    context.CancelFunc
 	mu        sync.Mutex
-	conn      *workerConn // from the writing to the answer
+	conn      *workerConn // set from the writing of the request to its answer
 	written   bool
 	accepted  bool
-	ended     bool // its Ended was queued
-	cancelled bool // given up
+	ended     bool // its HandOffEnded was enqueued
+	cancelled bool
 }
 
 func (w *workerPool) startHandOff(s node.HandOffRequest) node.Attempt {
@@ -306,19 +310,19 @@
 	return a
 }
 
-// adopt is a hand-off that another process made.
+// adopt continues a hand-off that another process made.
 func (w *workerPool) adopt(s node.HandOffRequest) node.Attempt {
 	return &attempt{w: w, req: s, cancel: func() {}, written: true, accepted: true}
 }
 
-// Taken tells whether the worker answered that it has it.
+// Accepted reports whether the worker has accepted the work item.
 func (a *attempt) Accepted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.accepted && !a.cancelled
 }
 
-// Written tells whether nothing of it is still to be written.
+// Written reports whether nothing of the hand-off remains to be written.
 func (a *attempt) Written() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -341,16 +345,16 @@
 	}
 	a.conn = conn
 	a.mu.Unlock()
-	// The node times it; the deadline is for the case that it never asks.
+	// The node enforces the timeout; this deadline is for the case that it never cancels.
 	conn.SetDeadline(time.Now().Add(time.Duration(a.req.Timeout*1e6) + deleteTimeout))
-	// The last look before the bytes: a connection that was long in coming up must not outlast the fleet's word.
+	// Last check before writing: the lease may have expired while the connection was being opened.
 	if a.w.guard != nil && !a.w.guard.Allowed() {
 		a.release(conn, nil, true)
 		a.finish(dispatch.ConnectFailed, errNotAllowed)
 		return
 	}
-	// The same for its client: it may have left, or have its answer, while the connection came up, and the giving up may be
-	// on its way, or not allowed.
+	// The same for the client: it may have disconnected, or have its answer, while the connection was being
+	// opened, and the cancellation may be on its way, or not allowed.
 	m := a.req.Message.(*message)
 	if !m.clientWaits() {
 		logDisconnected(a.req.ID, "unsent")
@@ -386,7 +390,8 @@
 	}
 }
 
-// release ends the use of the connection; one that broke or that a giving up has closed is not kept.
+// release ends the use of the connection. A connection that broke or that a cancellation closed is not
+// reused.
 func (a *attempt) release(c *workerConn, err error, keep bool) {
 	a.mu.Lock()
 	a.conn = nil
@@ -412,8 +417,9 @@
 	}
 }
 
-// end reports how it ended: by the worker's answer, or by an error. What broke by being given up ends as
-// cancelled; if the worker may hold it, it is told as well, as the closing may have crossed its 202.
+// finish reports how the hand-off ended: by the worker's answer, or by an error. A hand-off that broke
+// because it was cancelled ends as cancelled. If the worker may have the work item, it is told as well, since
+// the close may have crossed its 202.
 func (a *attempt) finish(o dispatch.Outcome, err error) {
 	a.mu.Lock()
 	cancelled, written := a.cancelled, a.written
@@ -432,7 +438,7 @@
 	a.w.node.Enqueue(node.HandOffEnded{WI: a.req.WI, HO: a.req.HO, Outcome: o})
 }
 
-// GiveUp closes the connection before the 202, and tells the worker after it.
+// Cancel closes the connection before the 202; after it, Cancel tells the worker.
 func (a *attempt) Cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -450,8 +456,9 @@
 	}
 }
 
-// forget has the worker drop the job. It counts as given up once that is written, or cannot be; where second
-// copies are forbidden, once it is answered: else the next hand-off could overtake it.
+// sendDelete makes the worker drop the job. The hand-off counts as cancelled once the DELETE is written, or
+// cannot be written. Where second copies are forbidden, it counts once the DELETE is answered: otherwise the
+// next hand-off could overtake it.
 func (a *attempt) sendDelete() {
 	queue := func() { a.w.node.Enqueue(node.HandOffEnded{WI: a.req.WI, HO: a.req.HO, Outcome: dispatch.Cancelled}) }
 	conn, err := a.w.acquire(context.Background(), a.req.Addr)
