--- a/internal/node/discovery_delay_test.go
+++ b/internal/node/discovery_delay_test.go
@@ -16,11 +16,11 @@
 // opened once discovery can be reached is answered at once.
 func TestDiscoveryDelay(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		ask   bool
-		hangs float64 // a call without an answer breaks after this time
-		spoke bool    // a watch had answered, and has been silent since 3 s before it breaks
-		bad   int     // later calls that hang although discovery can be reached
+		name     string
+		ask      bool
+		hangTime float64 // a call without an answer breaks after this time
+		answered bool    // a watch had answered, and has been silent since 3 s before it breaks
+		hanging  int     // later calls that hang although discovery can be reached
 	}{
 		{"pushed, every call refused", false, 0, false, 0},
 		{"pushed, every call hangs", false, 3000, false, 0},
@@ -34,7 +34,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			worst := 0.0
 			for seed := range uint64(40) {
-				worst = max(worst, measureDelay(c.ask, c.hangs, c.spoke, c.bad, seed))
+				worst = max(worst, measureDelay(c.ask, c.hangTime, c.answered, c.hanging, seed))
 			}
 			if t.Logf("longest delay %.0f ms", worst); worst > maxDelay {
 				t.Errorf("the change is known after %.0f ms, limit %d ms", worst, maxDelay)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,8 +55,8 @@
 	// Mean delay before a watch is opened in place of one that ended. The delay is random, so that dispatchers do not
 	// all ask at once. It is at most a quarter of the time within which a drain must be obeyed (DrainGrace): discovery
 	// may announce a drain meanwhile.
-	watchRetryMean  = 333
-	drainGraceParts = 4
+	watchRetryMean    = 333
+	drainGraceDivisor = 4
 
 	// If discovery has not answered a watch, one more is opened after this time, plus or minus 20%. So a change is
 	// known within 6 s even if, after a watch fell silent, two more in a row stay silent.
@@ -95,7 +95,7 @@
 	// Drain makes clients go to other dispatchers: each connection is closed after its next deferral. If
 	// another process takes over from this one, Drain sends it the takeover state, and each connection is
 	// closed after its next answer. It may call the function that returns the state before it returns.
-	Drain(known func() TakeoverState) (succeeded bool)
+	Drain(state func() TakeoverState) (succeeded bool)
 	// ForwardCallback asks the other processes of this dispatcher about a callback. Its Respond is called
 	// once.
 	ForwardCallback(c Callback)
@@ -478,8 +478,8 @@
 
 // Run is the event loop. It returns once the node was told to stop and has answered all the work that it
 // accepted.
-func (n *Node) Run(front Transport) {
-	n.start(front)
+func (n *Node) Run(transport Transport) {
+	n.start(transport)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for n.Phase() != Stopped {
@@ -516,8 +516,8 @@
 
 // Begin starts a node that no goroutine runs: the caller drives it with Step, by its own clock. It returns
 // the same as Step.
-func (n *Node) Begin(front Transport) float64 {
-	n.start(front)
+func (n *Node) Begin(transport Transport) float64 {
+	n.start(transport)
 	n.advance()
 	return n.nextWake()
 }
@@ -539,8 +539,8 @@
 	return n.nextWake()
 }
 
-func (n *Node) start(front Transport) {
-	n.transport, n.now = front, n.Now()
+func (n *Node) start(transport Transport) {
+	n.transport, n.now = transport, n.Now()
 	n.startedAt = n.now
 	if !n.settings.MustAsk {
 		n.openWatch()
@@ -728,14 +728,14 @@
 	n.inbox = append(n.inbox, answerDeadline(n.answerBy))
 }
 
-func (n *Node) requestArrived(c *Request) {
+func (n *Node) requestArrived(req *Request) {
 	switch {
-	case n.byID[c.ID] != nil || n.usedIDs[0][c.ID] || n.usedIDs[1][c.ID]: // a duplicate: IDs are unique to each request
-		n.log.Warn("bad", "bad", "repeated", "id", c.ID)
-		c.Respond(Reply{Result: DuplicateID})
+	case n.byID[req.ID] != nil || n.usedIDs[0][req.ID] || n.usedIDs[1][req.ID]: // a duplicate: IDs are unique to each request
+		n.log.Warn("bad", "bad", "repeated", "id", req.ID)
+		req.Respond(Reply{Result: DuplicateID})
 		return
 	case n.refusing: // other dispatchers accept it at once
-		c.Respond(Reply{Result: Deferred})
+		req.Respond(Reply{Result: Deferred})
 		return
 	case !n.mayTakeWork(): // other members of the fleet accept it
 		r := Reply{Result: Deferred}
@@ -743,7 +743,7 @@
 			r.RetryAfter = min(overloadRetryAfter, n.settings.MaxPause)
 		}
 		n.recordAction(fleet.Deferred)
-		c.Respond(r)
+		req.Respond(r)
 		return
 	// The configured limit is reached, or no descriptor is left for another waiting client.
 	case n.open >= min(n.maxOpen, n.clientLimit):
@@ -751,16 +751,16 @@
 		if n.settings.MayPause {
 			r.RetryAfter = min(overloadRetryAfter, n.settings.MaxPause)
 		}
-		c.Respond(r)
+		req.Respond(r)
 		return
 	}
 	n.lastWI++
-	it := &workItem{wi: n.lastWI, request: c, arrivedAt: n.now}
+	it := &workItem{wi: n.lastWI, request: req, arrivedAt: n.now}
 	if n.Phase() == Draining {
 		it.processEndsIn = n.answerBy - n.now
 	}
-	c.item = it
-	n.items[it.wi], n.byID[c.ID] = it, it
+	req.item = it
+	n.items[it.wi], n.byID[req.ID] = it, it
 	n.open++
 	n.schedule(it.deadline()+n.settings.AnswerSlack, it.wi, -1)
 	n.inbox = append(n.inbox, it)
@@ -868,36 +868,36 @@
 		if it.answered || it.outstanding > 1 || slices.ContainsFunc(it.handOffs, func(h handOff) bool { return !h.ended && !h.attempt.Accepted() }) {
 			continue
 		}
-		c := it.request
-		j := &Job{ID: c.ID, Category: c.Category, Tenant: c.Tenant, Hint: c.Hint, Key: c.Key, Expiry: c.Expiry}
+		req := it.request
+		j := &Job{ID: req.ID, Category: req.Category, Tenant: req.Tenant, Hint: req.Hint, Key: req.Key, Expiry: req.Expiry}
 		for _, h := range it.handOffs {
 			j.HandOffs = append(j.HandOffs, JobHandOff{Addr: h.addr, Never: h.noCallback, Taken: dispatch.Taken{Worker: h.worker,
 				Sent: h.sentAt, Started: h.startedAt, Done: h.ended, Unrun: h.provenUnrun}})
 		}
-		n.log.Info("takeover", "takeover", "job handed over", "id", c.ID, "out", it.outstanding)
+		n.log.Info("takeover", "takeover", "job handed over", "id", req.ID, "out", it.outstanding)
 		it.handedOver = true
 		n.answer(it, Reply{Result: HandedOver, Job: j})
 	}
 }
 
 // adoptJob takes over a work item that another process handed over.
-func (n *Node) adoptJob(c *Request, j Job) {
-	if n.byID[c.ID] != nil {
-		c.Respond(Reply{Result: DuplicateID})
+func (n *Node) adoptJob(req *Request, j Job) {
+	if n.byID[req.ID] != nil {
+		req.Respond(Reply{Result: DuplicateID})
 		return
 	}
 	n.lastWI++
-	it := &workItem{wi: n.lastWI, request: c, arrivedAt: n.now}
-	c.item = it
-	n.items[it.wi], n.byID[c.ID] = it, it
+	it := &workItem{wi: n.lastWI, request: req, arrivedAt: n.now}
+	req.item = it
+	n.items[it.wi], n.byID[req.ID] = it, it
 	n.open++
 	n.schedule(it.deadline()+n.settings.AnswerSlack, it.wi, -1)
 	for k, t := range j.HandOffs {
 		h := handOff{worker: t.Worker, sentAt: t.Sent, ended: t.Done, noCallback: t.Never, provenUnrun: t.Unrun, startedAt: t.Started, addr: t.Addr}
 		if !h.ended {
 			it.outstanding++
-			h.attempt = n.transport.AdoptHandOff(HandOffRequest{WI: it.wi, HO: k, ID: c.ID, Addr: t.Addr, Message: c.Message})
-			n.schedule(c.Expiry, it.wi, k)
+			h.attempt = n.transport.AdoptHandOff(HandOffRequest{WI: it.wi, HO: k, ID: req.ID, Addr: t.Addr, Message: req.Message})
+			n.schedule(req.Expiry, it.wi, k)
 		}
 		it.handOffs = append(it.handOffs, h)
 	}
@@ -907,42 +907,42 @@
 // takeoverState returns the state for the successor. From then on only the successor sends work to cold
 // workers.
 func (n *Node) takeoverState() TakeoverState {
-	k := TakeoverState{Discovery: n.discoveryAddr, Revision: n.revision}
+	state := TakeoverState{Discovery: n.discoveryAddr, Revision: n.revision}
 	for id := range n.byID {
-		k.Used = append(k.Used, id)
+		state.Used = append(state.Used, id)
 	}
 	for _, used := range n.usedIDs {
 		for id := range used {
-			k.Used = append(k.Used, id)
+			state.Used = append(state.Used, id)
 		}
 	}
-	slices.Sort(k.Used)
+	slices.Sort(state.Used)
 	if d, ok := n.decider.(takeoverDecider); ok {
-		k.Learned = d.Learned()
+		state.Learned = d.Learned()
 		d.Succeed()
 	}
-	for _, w := range k.Learned.Workers {
-		k.Members = append(k.Members, Member{w.Entry, n.addrs[w.Worker]})
+	for _, w := range state.Learned.Workers {
+		state.Members = append(state.Members, Member{w.Entry, n.addrs[w.Worker]})
 	}
-	return k
+	return state
 }
 
 // inheritState takes over the state of the predecessor. Its list of workers is used only if it is newer than
 // this process's own, which follows discovery as well.
-func (n *Node) inheritState(k TakeoverState) {
-	for _, id := range k.Used {
+func (n *Node) inheritState(state TakeoverState) {
+	for _, id := range state.Used {
 		n.rememberID(id)
 	}
-	if len(k.Members) > 0 && (!n.discoveryAnswered || k.Discovery == n.discoveryAddr && k.Revision > n.revision) {
+	if len(state.Members) > 0 && (!n.discoveryAnswered || state.Discovery == n.discoveryAddr && state.Revision > n.revision) {
 		if !n.settings.OnlyDraining {
 			clear(n.addrs)
 		}
-		n.updateAddrs(k.Members)
-		n.inbox = append(n.inbox, listUpdate{dispatch.Restored, k.Members})
+		n.updateAddrs(state.Members)
+		n.inbox = append(n.inbox, listUpdate{dispatch.Restored, state.Members})
 	}
-	n.inbox = append(n.inbox, k.Learned)
-	n.log.Info("takeover", "takeover", "inherited", "list", k.Revision, "own", n.revision, "members", len(k.Members),
-		"ids", len(k.Used))
+	n.inbox = append(n.inbox, state.Learned)
+	n.log.Info("takeover", "takeover", "inherited", "list", state.Revision, "own", n.revision, "members", len(state.Members),
+		"ids", len(state.Used))
 }
 
 func (n *Node) updateAddrs(members []Member) {
@@ -1048,7 +1048,7 @@
 	case n.settings.MustAsk: // a failed call: if many calls fail, retries must not follow each other at once
 		delay = n.capByAskWithin(pollInterval)
 	case n.settings.DrainGrace > 0:
-		delay = min(delay, n.settings.DrainGrace/drainGraceParts)
+		delay = min(delay, n.settings.DrainGrace/drainGraceDivisor)
 	}
 	if n.watchAnswered = false; len(n.openWatches) == 0 {
 		n.nextWatchAt = min(n.nextWatchAt, n.now+delay*(0.5+n.random()))
--- a/internal/node/rounds.go
+++ b/internal/node/rounds.go
@@ -44,9 +44,9 @@
 	for _, v := range n.inbox {
 		switch v := v.(type) {
 		case *workItem:
-			c := v.request
-			d.Arrived(dispatch.WorkItem{ID: v.wi, Category: c.Category, Tenant: c.Tenant,
-				Left: max(c.Expiry-n.now, 0), Within: v.processEndsIn, Hint: c.Hint, Key: c.Key})
+			req := v.request
+			d.Arrived(dispatch.WorkItem{ID: v.wi, Category: req.Category, Tenant: req.Tenant,
+				Left: max(req.Expiry-n.now, 0), Within: v.processEndsIn, Hint: req.Hint, Key: req.Key})
 		case clientLeft:
 			d.Left(uint64(v))
 		case giveUpItem:
@@ -69,9 +69,9 @@
 				for _, h := range v.handOffs {
 					handOffs = append(handOffs, h.Taken)
 				}
-				c := v.item.request
-				to.Adopt(dispatch.WorkItem{ID: v.item.wi, Category: c.Category, Tenant: c.Tenant,
-					Left: max(c.Expiry-n.now, 0), Hint: c.Hint, Key: c.Key}, handOffs)
+				req := v.item.request
+				to.Adopt(dispatch.WorkItem{ID: v.item.wi, Category: req.Category, Tenant: req.Tenant,
+					Left: max(req.Expiry-n.now, 0), Hint: req.Hint, Key: req.Key}, handOffs)
 			}
 		case dispatch.Learned:
 			if to, ok := d.(takeoverDecider); ok {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -182,7 +182,7 @@
 		}
 		want := 750.0
 		if grace > 0 {
-			want = min(want, grace*1.5/drainGraceParts)
+			want = min(want, grace*1.5/drainGraceDivisor)
 		}
 		if most > want || most-least < want/3 {
 			t.Errorf("grace %.0f: between %.0f and %.0f ms, wanted random delays up to %.0f", grace, least, most, want)
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -267,8 +267,8 @@
 	reply := conn.expectReply(client)
 	c.metrics.Taken()
 	r := node.Reply{Result: node.Deferred}
-	switch _, left := conn.peek(); {
-	case left: // while the request was still unread
+	switch _, disconnected := conn.peek(); {
+	case disconnected: // while the request was still unread
 		logDisconnected(client.ID, "unread")
 		r.Result = node.ClientGone
 	case c.node.Enqueue(node.RequestArrived{Request: client}):
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -35,47 +35,47 @@
 }
 
 func listenPeers(o Options, n *node.Node) (*peerLink, error) {
-	s := &peerLink{node: n, addrs: o.Peers, broadcast: o.PeersAll, self: o.PeerIndex, outbox: make(chan datagram, datagramQueueSize)}
+	l := &peerLink{node: n, addrs: o.Peers, broadcast: o.PeersAll, self: o.PeerIndex, outbox: make(chan datagram, datagramQueueSize)}
 	if !o.PeerListen.IsValid() || len(o.Peers) == 0 {
-		return s, nil
+		return l, nil
 	}
 	var err error
-	s.conn, err = listenUDP(o)
-	return s, err
+	l.conn, err = listenUDP(o)
+	return l, err
 }
 
-func (s *peerLink) close() {
-	if s != nil && s.conn != nil {
-		s.conn.Close()
-		s.receiveGate.resume()
+func (l *peerLink) close() {
+	if l != nil && l.conn != nil {
+		l.conn.Close()
+		l.receiveGate.resume()
 	}
 }
 
-func (s *peerLink) enqueue(to int, data []byte) {
-	if s.conn == nil || len(data) > maxDatagram {
+func (l *peerLink) enqueue(to int, data []byte) {
+	if l.conn == nil || len(data) > maxDatagram {
 		return
 	}
 	select {
-	case s.outbox <- datagram{to, slices.Clone(data)}:
+	case l.outbox <- datagram{to, slices.Clone(data)}:
 	default:
 	}
 }
 
-func (s *peerLink) send(ctx context.Context) {
+func (l *peerLink) send(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-s.outbox:
+		case d := <-l.outbox:
 			switch {
-			case d.to >= 0 && d.to < len(s.addrs):
-				s.write(d.data, s.addrs[d.to])
-			case d.to < 0 && s.broadcast.IsValid():
-				s.write(d.data, s.broadcast)
+			case d.to >= 0 && d.to < len(l.addrs):
+				l.write(d.data, l.addrs[d.to])
+			case d.to < 0 && l.broadcast.IsValid():
+				l.write(d.data, l.broadcast)
 			case d.to < 0:
-				for k, p := range s.addrs {
-					if k != s.self {
-						s.write(d.data, p)
+				for k, p := range l.addrs {
+					if k != l.self {
+						l.write(d.data, p)
 					}
 				}
 			}
@@ -83,22 +83,22 @@
 	}
 }
 
-func (s *peerLink) write(data []byte, to netip.AddrPort) {
-	if _, err := s.conn.WriteToUDPAddrPort(data, to); err != nil && !errors.Is(err, net.ErrClosed) {
+func (l *peerLink) write(data []byte, to netip.AddrPort) {
+	if _, err := l.conn.WriteToUDPAddrPort(data, to); err != nil && !errors.Is(err, net.ErrClosed) {
 		slog.Warn("datagram", "datagram", to, "err", err)
 	}
 }
 
 // receive passes on datagrams from peers. It ignores datagrams from other addresses and those that are too
 // long.
-func (s *peerLink) receive() {
-	if s.conn == nil {
+func (l *peerLink) receive() {
+	if l.conn == nil {
 		return
 	}
 	buf := make([]byte, maxDatagram+1)
 	for {
-		s.receiveGate.wait()
-		n, from, err := s.conn.ReadFromUDPAddrPort(buf)
+		l.receiveGate.wait()
+		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -106,8 +106,8 @@
 			continue // a previous datagram was refused
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		if k := slices.Index(s.addrs, from); k >= 0 && k != s.self && n <= maxDatagram {
-			s.node.Enqueue(node.PeerMessage{From: k, Data: slices.Clone(buf[:n])})
+		if k := slices.Index(l.addrs, from); k >= 0 && k != l.self && n <= maxDatagram {
+			l.node.Enqueue(node.PeerMessage{From: k, Data: slices.Clone(buf[:n])})
 		}
 	}
 }
--- a/internal/transport/races_test.go
+++ b/internal/transport/races_test.go
@@ -325,10 +325,10 @@
 			ws.setLimit(10)
 			c := &node.Request{ID: "a", Message: &message{head: []byte("POST /plan/x HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 0\r\n")}}
 			cc.expectReply(c)
-			left := true
+			disconnected := true
 			switch how {
 			case "stays":
-				left = false
+				disconnected = false
 			case "FIN":
 				client.CloseWrite()
 			case "RST":
@@ -339,20 +339,20 @@
 			case "closed here":
 				cc.Close()
 			}
-			for end := time.Now().Add(testTimeout); c.Message.(*message).clientWaits() == left; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); c.Message.(*message).clientWaits() == disconnected; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("clientWaits is still %v", left)
+					t.Fatalf("clientWaits is still %v", disconnected)
 				}
 			}
 			ended := make(chan struct{})
 			a := ws.startHandOff(node.HandOffRequest{WI: 1, ID: "a", Addr: w.addr, Message: c.Message, Timeout: 5000})
 			go func() { ws.running.Wait(); close(ended) }()
-			if !left {
+			if !disconnected {
 				await(t, "the request", w.requests).respond(acceptedResponse)
 			}
 			await(t, "its end", ended)
-			if a.(*attempt).written == left || w.hasReceived("a") == left {
-				t.Errorf("client left %v, request written %v, received by the worker %v", left, a.(*attempt).written, w.hasReceived("a"))
+			if a.(*attempt).written == disconnected || w.hasReceived("a") == disconnected {
+				t.Errorf("client left %v, request written %v, received by the worker %v", disconnected, a.(*attempt).written, w.hasReceived("a"))
 			}
 		})
 	}
@@ -513,19 +513,19 @@
 // make room, stays open if a request has arrived unread: its client has sent it.
 func TestCloseKeepsUnreadRequest(t *testing.T) {
 	for _, used := range []bool{true, false} {
-		for _, says := range []bool{true, false} {
+		for _, sends := range []bool{true, false} {
 			cc, client := connPair(t)
 			cc.used = used
-			if says {
+			if sends {
 				io.WriteString(client, "POST /plan")
 				for !cc.hasUnread() {
 					time.Sleep(time.Millisecond)
 				}
 			}
-			if none := cc.closeIfIdle(true); none == says || cc.closing == says {
-				t.Errorf("used %v, bytes sent %v: closing %v, reported idle %v", used, says, cc.closing, none)
+			if idle := cc.closeIfIdle(true); idle == sends || cc.closing == sends {
+				t.Errorf("used %v, bytes sent %v: closing %v, reported idle %v", used, sends, cc.closing, idle)
 			}
-			if !says {
+			if !sends {
 				continue
 			}
 			b := make([]byte, 16)
@@ -809,8 +809,8 @@
 	r.waitUntil("a settled connection", func() bool {
 		r.transport.workers.mu.Lock()
 		defer r.transport.workers.mu.Unlock()
-		for _, kept := range r.transport.workers.idle[w.addr] {
-			if kept.LocalAddr().String() == next.conn.RemoteAddr().String() && time.Since(kept.idleSince) > time.Second {
+		for _, pooled := range r.transport.workers.idle[w.addr] {
+			if pooled.LocalAddr().String() == next.conn.RemoteAddr().String() && time.Since(pooled.idleSince) > time.Second {
 				return true
 			}
 		}
@@ -837,15 +837,15 @@
 	w := newTestWorker(t)
 	r := newFixture(t, nil)
 	r.serve(w.addr)
-	kept, fresh := r.dial(), r.dial()
-	io.WriteString(kept, jobRequest("first", "order"))
+	used, fresh := r.dial(), r.dial()
+	io.WriteString(used, jobRequest("first", "order"))
 	await(t, "the first", w.requests).respond(acceptedResponse)
 	r.node.Enqueue(node.Stop{})
 	r.waitUntil("draining", func() bool { return r.node.Phase() == node.Draining })
 	r.waitUntil("the end of accepting work", func() bool { return r.transport.clients.closeAfterAnswer.Load() })
-	io.WriteString(kept, jobRequest("behind", "order")) // sent ahead of the answer that ends the node
+	io.WriteString(used, jobRequest("behind", "order")) // sent ahead of the answer that ends the node
 	r.finish("first")
-	in := bufio.NewReader(kept)
+	in := bufio.NewReader(used)
 	if got := readStatus(in); got != "200" {
 		t.Errorf("the first got %s", got)
 	}
--- a/internal/transport/takeover.go
+++ b/internal/transport/takeover.go
@@ -116,68 +116,68 @@
 }
 
 // Sockets returns the sockets that are passed to a successor.
-func (p *Transport) Sockets() []syscall.Conn {
-	all := []syscall.Conn{p.clients.listener}
-	if p.peers.conn != nil {
-		all = append(all, p.peers.conn)
+func (t *Transport) Sockets() []syscall.Conn {
+	all := []syscall.Conn{t.clients.listener}
+	if t.peers.conn != nil {
+		all = append(all, t.peers.conn)
 	}
 	return all
 }
 
 // Pause leaves incoming connections and datagrams to the other process.
-func (p *Transport) Pause() {
-	p.clients.acceptGate.pause()
-	p.clients.listener.SetDeadline(time.Unix(1, 0))
-	if c := p.peers.conn; c != nil {
-		p.peers.receiveGate.pause()
+func (t *Transport) Pause() {
+	t.clients.acceptGate.pause()
+	t.clients.listener.SetDeadline(time.Unix(1, 0))
+	if c := t.peers.conn; c != nil {
+		t.peers.receiveGate.pause()
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
 // Resume accepts incoming connections and datagrams.
-func (p *Transport) Resume() {
-	p.clients.giveAway.Store(nil)
-	p.clients.listener.SetDeadline(time.Time{})
-	p.clients.acceptGate.resume()
-	if c := p.peers.conn; c != nil {
+func (t *Transport) Resume() {
+	t.clients.giveAway.Store(nil)
+	t.clients.listener.SetDeadline(time.Time{})
+	t.clients.acceptGate.resume()
+	if c := t.peers.conn; c != nil {
 		c.SetReadDeadline(time.Time{})
-		p.peers.receiveGate.resume()
+		t.peers.receiveGate.resume()
 	}
 }
 
 // GiveIdle gives away connections that wait for a request.
-func (p *Transport) GiveIdle(give func(syscall.Conn) bool) { p.clients.giveAwayIdle(give) }
+func (t *Transport) GiveIdle(give func(syscall.Conn) bool) { t.clients.giveAwayIdle(give) }
 
 // Adopt serves a connection that the other process gave away.
-func (p *Transport) Adopt(c net.Conn) { go p.clients.adoptConn(c) }
+func (t *Transport) Adopt(c net.Conn) { go t.clients.adoptConn(c) }
 
 // Share keeps this process to half of its limits while another process uses the other half.
-func (p *Transport) Share(half bool) {
-	p.limitMu.Lock()
-	p.halved = half
-	p.applyLimits()
-	p.limitMu.Unlock()
-	if p.options.OnShare != nil {
-		p.options.OnShare(half)
+func (t *Transport) Share(half bool) {
+	t.limitMu.Lock()
+	t.halved = half
+	t.applyLimits()
+	t.limitMu.Unlock()
+	if t.options.OnShare != nil {
+		t.options.OnShare(half)
 	}
 }
 
 // applyLimits gives clients and workers their shares. The lock is held.
-func (p *Transport) applyLimits() {
-	budget := float64(p.options.MaxSockets)
-	if p.halved {
+func (t *Transport) applyLimits() {
+	budget := float64(t.options.MaxSockets)
+	if t.halved {
 		budget /= 2
 	}
 	// With few descriptors, those that the process itself needs come first.
 	maxClients := int(max(min(clientShare*budget, clientShareOfRest*(budget-reservedSockets)), minClientConns))
-	p.clients.maxConns.Store(int64(maxClients))
-	p.workers.setLimit(int(max(min(workerShare*budget, (1-clientShareOfRest)*(budget-reservedSockets)), minWorkerConns)))
+	t.clients.maxConns.Store(int64(maxClients))
+	t.workers.setLimit(int(max(min(workerShare*budget, (1-clientShareOfRest)*(budget-reservedSockets)), minWorkerConns)))
 	// Waiting clients must leave descriptors for the callbacks that end their jobs.
-	p.node.Enqueue(node.ClientLimit{Max: maxClients - max(maxClients/6, minCallbackConns)})
+	t.node.Enqueue(node.ClientLimit{Max: maxClients - max(maxClients/6, minCallbackConns)})
 }
 
 // Succeeded tells the node that a successor is ready.
-func (p *Transport) Succeeded() { p.node.Enqueue(node.SuccessorReady{}) }
+func (t *Transport) Succeeded() { t.node.Enqueue(node.SuccessorReady{}) }
 
 const recheckDelay = 100 * time.Millisecond // a job that is being handed over has arrived by then
 
@@ -191,10 +191,10 @@
 
 // handOver passes a job to the successor. If that fails, its client is answered as for a job that may have
 // run.
-func (p *Transport) handOver(conn *clientConn, j *node.Job, m *message) bool {
+func (t *Transport) handOver(conn *clientConn, j *node.Job, m *message) bool {
 	text, err := json.Marshal(transferredJob{*j, m.head, m.body, conn.pipelined, conn.pipelineOverflow})
 	if err == nil {
-		err = p.options.Exchange.Hand(conn.Conn.(syscall.Conn), text)
+		err = t.options.Exchange.Hand(conn.Conn.(syscall.Conn), text)
 	}
 	if err != nil {
 		slog.Warn("takeover", "takeover", "a job could not go over", "id", j.ID, "err", err)
@@ -203,21 +203,21 @@
 }
 
 // AdoptJob serves a job that the predecessor handed over.
-func (p *Transport) AdoptJob(conn net.Conn, text []byte) {
-	var g transferredJob
-	if err := json.Unmarshal(text, &g); err != nil || g.Job.Category >= len(p.options.Expiries) {
+func (t *Transport) AdoptJob(conn net.Conn, text []byte) {
+	var transferred transferredJob
+	if err := json.Unmarshal(text, &transferred); err != nil || transferred.Job.Category >= len(t.options.Expiries) {
 		slog.Warn("takeover", "takeover", "cannot decode a job from the predecessor", "err", err)
 		conn.Close()
 		return
 	}
 	// Enqueued here, so that the node has it before it learns that the predecessor has ended.
-	cc := &clientConn{Conn: conn, owner: p.clients, since: time.Now(), started: true, serving: true, proven: true, pipelined: g.Ahead, pipelineOverflow: g.Spilt}
-	client := &node.Request{ID: g.Job.ID, Category: g.Job.Category, Tenant: g.Job.Tenant, Hint: g.Job.Hint,
-		Key: g.Job.Key, Expiry: g.Job.Expiry, Message: &message{head: g.Head, body: g.Body}}
+	cc := &clientConn{Conn: conn, owner: t.clients, since: time.Now(), started: true, serving: true, proven: true, pipelined: transferred.Ahead, pipelineOverflow: transferred.Spilt}
+	client := &node.Request{ID: transferred.Job.ID, Category: transferred.Job.Category, Tenant: transferred.Job.Tenant, Hint: transferred.Job.Hint,
+		Key: transferred.Job.Key, Expiry: transferred.Job.Expiry, Message: &message{head: transferred.Head, body: transferred.Body}}
 	reply := cc.expectReply(client)
-	p.clients.metrics.Taken()
-	p.node.Enqueue(node.JobAdopted{Request: client, Job: g.Job})
-	go p.clients.serveAdopted(cc, client, reply)
+	t.clients.metrics.Taken()
+	t.node.Enqueue(node.JobAdopted{Request: client, Job: transferred.Job})
+	go t.clients.serveAdopted(cc, client, reply)
 }
 
 // serveAdopted answers an adopted job and continues to serve its connection.
@@ -265,9 +265,9 @@
 	takeover.Unsure: node.CallbackUndetermined}
 
 // ForwardCallback asks the other processes about a callback.
-func (p *Transport) ForwardCallback(c node.Callback) {
+func (t *Transport) ForwardCallback(c node.Callback) {
 	text, err := json.Marshal(forwardedCallback{c.ID, c.From, c.State, c.Share, c.Result})
-	if err != nil || p.options.Exchange == nil {
+	if err != nil || t.options.Exchange == nil {
 		c.Respond(node.CallbackUnknown)
 		return
 	}
@@ -275,14 +275,14 @@
 		c.Respond(node.CallbackUnknown)
 		return
 	}
-	p.options.Exchange.Pass(text, c.FromSuccessor, c.FromPredecessor, func(a takeover.Answer) {
-		if a != takeover.NotKnown || c.FromPredecessor || !p.options.Exchange.Beside() {
+	t.options.Exchange.Pass(text, c.FromSuccessor, c.FromPredecessor, func(a takeover.Answer) {
+		if a != takeover.NotKnown || c.FromPredecessor || !t.options.Exchange.Beside() {
 			c.Respond(callbackResults[a])
 			return
 		}
 		// The predecessor may be handing the job over at this moment: look for it here once more.
 		time.AfterFunc(recheckDelay, func() {
-			if c.FromSuccessor, c.FromPredecessor = true, true; !p.node.Enqueue(c) {
+			if c.FromSuccessor, c.FromPredecessor = true, true; !t.node.Enqueue(c) {
 				c.Respond(node.CallbackUnknown)
 			}
 		})
@@ -290,10 +290,10 @@
 }
 
 // Callback handles a callback for a work item that another process does not know.
-func (p *Transport) Callback(text []byte, newer bool, answer func(takeover.Answer)) {
-	var t forwardedCallback
-	if json.Unmarshal(text, &t) != nil {
-		answer(takeover.JobNotFound)
+func (t *Transport) Callback(text []byte, fromSuccessor bool, answer func(takeover.Answer)) {
+	var forwarded forwardedCallback
+	if json.Unmarshal(text, &forwarded) != nil {
+		answer(takeover.NotKnown)
 		return
 	}
 	back := func(a node.CallbackResult) {
@@ -303,10 +303,10 @@
 			}
 		}
 	}
-	c := node.Callback{ID: t.ID, From: t.From, State: t.State, Share: t.Share, Result: t.Result, Respond: back,
-		FromSuccessor: newer, FromPredecessor: !newer}
-	if !p.node.Enqueue(c) {
-		answer(takeover.JobNotFound)
+	c := node.Callback{ID: forwarded.ID, From: forwarded.From, State: forwarded.State, Share: forwarded.Share, Result: forwarded.Result, Respond: back,
+		FromSuccessor: fromSuccessor, FromPredecessor: !fromSuccessor}
+	if !t.node.Enqueue(c) {
+		answer(takeover.NotKnown)
 	}
 }
 
@@ -321,12 +321,12 @@
 }
 
 // Inherit passes the predecessor's state to the node.
-func (p *Transport) Inherit(text []byte) error {
+func (t *Transport) Inherit(text []byte) error {
 	var k node.TakeoverState
 	if err := json.Unmarshal(text, &k); err != nil {
 		return err
 	}
-	p.node.Enqueue(node.StateInherited{State: k})
+	t.node.Enqueue(node.StateInherited{State: k})
 	return nil
 }
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -83,91 +83,91 @@
 // run yet.
 func Start(o Options, n *node.Node) (*Transport, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	p := &Transport{options: o, node: n, stop: stop}
-	p.workers = newWorkers(n, o)
-	p.discovery = newDiscovery(ctx, n, o, &p.running)
+	t := &Transport{options: o, node: n, stop: stop}
+	t.workers = newWorkers(n, o)
+	t.discovery = newDiscovery(ctx, n, o, &t.running)
 	var err error
-	if p.peers, err = listenPeers(o, n); err == nil {
-		p.clients, err = listenClients(o, n)
+	if t.peers, err = listenPeers(o, n); err == nil {
+		t.clients, err = listenClients(o, n)
 	}
 	if err != nil {
 		stop()
-		p.peers.close()
+		t.peers.close()
 		return nil, fmt.Errorf("start: %w", err)
 	}
-	p.clients.handOver = p.handOver
-	p.clients.onConnError, p.workers.onConnError, p.discovery.onConnError = p.onConnError, p.onConnError, p.onConnError
+	t.clients.handOver = t.handOver
+	t.clients.onConnError, t.workers.onConnError, t.discovery.onConnError = t.onConnError, t.onConnError, t.onConnError
 	for _, f := range o.InheritedSockets { // the parts use duplicates
 		f.Close()
 	}
-	p.SetHalfLimits(len(o.InheritedSockets) > 0)
+	t.Share(len(o.InheritedSockets) > 0)
 	if len(o.InheritedSockets) > 0 {
-		p.Pause() // until the predecessor has handed over
+		t.Pause() // until the predecessor has handed over
 	}
-	p.running.Go(func() { p.workers.closeExpired(ctx) })
-	p.running.Go(func() { p.peers.send(ctx) })
-	p.running.Go(p.peers.receive)
-	p.running.Go(p.clients.serve)
-	return p, nil
+	t.running.Go(func() { t.workers.closeExpired(ctx) })
+	t.running.Go(func() { t.peers.send(ctx) })
+	t.running.Go(t.peers.receive)
+	t.running.Go(t.clients.serve)
+	return t, nil
 }
 
 // onConnError receives the reason why a connection could not be opened or accepted. If the system had no
 // descriptor left, it may now allow fewer than before: clients and workers get their shares of the lower
 // limit. Otherwise clients that only connect would take every descriptor that becomes free.
-func (p *Transport) onConnError(err error) {
-	if p.options.SystemSocketLimit == nil || !errors.Is(err, syscall.EMFILE) {
+func (t *Transport) onConnError(err error) {
+	if t.options.SystemSocketLimit == nil || !errors.Is(err, syscall.EMFILE) {
 		return
 	}
-	p.limitMu.Lock()
-	if now := p.options.SystemSocketLimit(); now < p.options.MaxSockets {
-		slog.Warn("limits", "sockets", now, "was", p.options.MaxSockets)
-		p.options.MaxSockets = now
-		p.applyLimits()
+	t.limitMu.Lock()
+	if now := t.options.SystemSocketLimit(); now < t.options.MaxSockets {
+		slog.Warn("limits", "sockets", now, "was", t.options.MaxSockets)
+		t.options.MaxSockets = now
+		t.applyLimits()
 	}
-	p.limitMu.Unlock()
-	for p.clients.overLimit() && p.clients.evictOne(nil) {
+	t.limitMu.Unlock()
+	for t.clients.overLimit() && t.clients.evictOne(nil) {
 	}
 }
 
 // Send starts a hand-off.
-func (p *Transport) Send(s node.HandOffRequest) node.Attempt { return p.workers.startHandOff(s) }
+func (t *Transport) Send(s node.HandOffRequest) node.Attempt { return t.workers.startHandOff(s) }
 
 // AdoptHandOff continues a hand-off that another process made.
-func (p *Transport) AdoptHandOff(s node.HandOffRequest) node.Attempt { return p.workers.adopt(s) }
+func (t *Transport) AdoptHandOff(s node.HandOffRequest) node.Attempt { return t.workers.adopt(s) }
 
 // Watch opens a watch on discovery.
-func (p *Transport) Watch(number int, addr string, after int64) {
-	p.discovery.watch(number, addr, after)
+func (t *Transport) Watch(number int, addr string, after int64) {
+	t.discovery.watch(number, addr, after)
 }
 
 // Unwatch closes a watch.
-func (p *Transport) Unwatch(number int) { p.discovery.unwatch(number) }
+func (t *Transport) Unwatch(number int) { t.discovery.unwatch(number) }
 
 // SendToPeer sends a message to one peer, or to all peers if to is -1.
-func (p *Transport) SendToPeer(to int, data []byte) { p.peers.enqueue(to, data) }
+func (t *Transport) SendToPeer(to int, data []byte) { t.peers.enqueue(to, data) }
 
 // Drain closes each connection after its next deferral. If there is a successor, it hands over to it, and
 // closes each connection after its next answer.
-func (p *Transport) Drain(known func() node.TakeoverState) (succeeded bool) {
-	p.clients.closeAfterDeferral.Store(true)
-	if p.options.Exchange != nil && p.options.Exchange.Stop(func() []byte { return encodeTakeoverState(known()) }) {
-		p.clients.closeAfterAnswer.Store(true)
+func (t *Transport) Drain(state func() node.TakeoverState) (succeeded bool) {
+	t.clients.closeAfterDeferral.Store(true)
+	if t.options.Exchange != nil && t.options.Exchange.Stop(func() []byte { return encodeTakeoverState(state()) }) {
+		t.clients.closeAfterAnswer.Store(true)
 		return true
 	}
 	return false
 }
 
 // CloseIdle closes the connections that wait for a request, and all others after their next answer.
-func (p *Transport) CloseIdle() {
-	p.clients.closeAfterAnswer.Store(true)
-	p.clients.closeIdle()
+func (t *Transport) CloseIdle() {
+	t.clients.closeAfterAnswer.Store(true)
+	t.clients.closeIdle()
 }
 
 // Close lets requests and answers in progress end, for a short time, and then closes everything.
-func (p *Transport) Close() {
-	p.clients.close(readTimeout) // a request that has begun to arrive is complete by then, or has timed out
-	p.workers.close(time.Second)
-	p.stop()
-	p.peers.close()
-	p.running.Wait()
+func (t *Transport) Close() {
+	t.clients.close(readTimeout) // a request that has begun to arrive is complete by then, or has timed out
+	t.workers.close(time.Second)
+	t.stop()
+	t.peers.close()
+	t.running.Wait()
 }
