--- a/internal/node/lease_guard_test.go
+++ b/internal/node/lease_guard_test.go
@@ -43,7 +43,7 @@
 func (f *fakeTransport) CloseIdle()                            {}
 func (f *fakeTransport) Allowed() bool                         { return f.open }
 func (f *fakeTransport) VersionInForce(version uint64)         { f.version = version }
-func (f *fakeTransport) RecordAction(a fleet.Act)              { f.actions[a]++ }
+func (f *fakeTransport) RecordAction(a fleet.Action)           { f.actions[a]++ }
 
 func (f *fakeTransport) client(id string, category int) RequestArrived {
 	c := &Request{ID: id, Category: category, Tenant: -1, Hint: 10, Expiry: f.now + 5000}
@@ -55,9 +55,9 @@
 
 func newGuardedNode(workers ...string) (*Node, *fakeTransport, dispatch.Settings) {
 	f := &fakeTransport{open: true, now: 1e6, written: map[string]bool{}}
-	s := dispatch.Settings{Seed: 1 << 40, Grain: 5, Siblings: 1, Kinds: 1, TellsStart: true, MayCancel: true, MaxHandOffs: 3, AnswerSlack: 20,
-		AskWithin: 10000, StartShare: 0.1, Cold: 1000, FallMultiple: 3, Fall: 100, MayPause: true, MaxPause: 2000,
-		Categories: []dispatch.Category{{Due: 4000, Expiry: 5000, Credit: 1, Kind: -1}, {Due: 4000, Expiry: 5000, Credit: 1, Kind: -1, Repeat: dispatch.Exclusive}}}
+	s := dispatch.Settings{Seed: 1 << 40, RoundInterval: 5, Dispatchers: 1, Kinds: 1, StartNotices: true, MayCancel: true, MaxHandOffs: 3, AnswerSlack: 20,
+		DiscoveryAskWithin: 10000, StartCapacity: 0.1, WarmUpTime: 1000, OverloadMultiple: 3, OverloadWindow: 100, MayAdviseRetryAfter: true, MaxRetryAfter: 2000,
+		Categories: []dispatch.Category{{DueTime: 4000, Expiry: 5000, Credit: 1, Kind: -1}, {DueTime: 4000, Expiry: 5000, Credit: 1, Kind: -1, Repeat: dispatch.Exclusive}}}
 	var members []Member
 	for _, w := range workers {
 		members = append(members, member(w, dispatch.Up))
@@ -114,7 +114,7 @@
 	n, f, _ := newGuardedNode("w")
 	f.run(n, 20, f.client("x", 1))
 	f.open = false
-	f.run(n, 20, HandOffEnded{WI: 1, HO: 0, Outcome: dispatch.Reset})
+	f.run(n, 20, HandOffEnded{WI: 1, HO: 0, Outcome: dispatch.ConnReset})
 	f.expect(t, "an exclusive one that may have run", `send x mark ""`, fmt.Sprintf(`answer x %d "" pause false`, WrittenOff))
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -383,7 +383,7 @@
 	pollPending       bool    // the Dispatcher requested a poll that has no answer yet
 	nextWatchAt       float64 // time of the next watch; infinite: none is planned
 	discoveryAddr     string
-	metrics           *figures.Figures
+	metrics           *metrics.Metrics
 	nextPoolMetrics   float64 // time of the next update of the pool metrics
 	revision          int64   // revision of the last update; FullList: there has been no complete list
 	discoveryAnswered bool    // discovery has sent an update, not only the cache
@@ -417,7 +417,7 @@
 	Clock func() float64
 	Log   *slog.Logger // nil: the default logger
 	// Metrics receives the counts of workers; nil: none.
-	Metrics *figures.Figures
+	Metrics *metrics.Metrics
 	Mark    string
 	// Guard is asked before each hand-off; nil: the process belongs to no fleet.
 	Guard LeaseGuard
@@ -452,7 +452,7 @@
 		n.longestExpiry = max(n.longestExpiry, c.Expiry)
 	}
 	n.updateAddrs(o.CachedList.Members)
-	n.inbox = append(n.inbox, listUpdate{dispatch.Restored, o.CachedList.Members})
+	n.inbox = append(n.inbox, listUpdate{dispatch.ListRestored, o.CachedList.Members})
 	return n
 }
 
@@ -542,7 +542,7 @@
 func (n *Node) start(transport Transport) {
 	n.transport, n.now = transport, n.Now()
 	n.startedAt = n.now
-	if !n.settings.MustAsk {
+	if !n.settings.DiscoveryOnRequest {
 		n.openWatch()
 	}
 	n.round()
@@ -553,11 +553,11 @@
 	n.runTimers()
 	if n.guard != nil {
 		n.confirmVersions()
-		if n.now >= n.lastRound+n.settings.Grain && !n.guard.Allowed() {
+		if n.now >= n.lastRound+n.settings.RoundInterval && !n.guard.Allowed() {
 			n.giveUpQueued()
 		}
 	}
-	if (len(n.inbox) > 0 || n.timerFired) && n.now >= n.lastRound+n.settings.Grain {
+	if (len(n.inbox) > 0 || n.timerFired) && n.now >= n.lastRound+n.settings.RoundInterval {
 		n.round()
 	}
 }
@@ -583,7 +583,7 @@
 		wake = min(wake, n.handOverAt)
 	}
 	if len(n.inbox) > 0 || n.timerFired {
-		wake = min(wake, n.lastRound+n.settings.Grain)
+		wake = min(wake, n.lastRound+n.settings.RoundInterval)
 	}
 	return wake
 }
@@ -606,7 +606,7 @@
 		}
 	case HandOffEnded:
 		if it := n.items[v.WI]; it != nil {
-			it.handOffs[v.HO].noCallback = v.Outcome.ProvesUnrun()
+			it.handOffs[v.HO].noCallback = v.Outcome.ProvesNotRun()
 			n.handOffEnded(it, v.HO, v.Outcome, "")
 		}
 	case Callback:
@@ -648,7 +648,7 @@
 			n.startDrain()
 		}
 	default:
-		panic(fmt.Sprintf("unknown value %T", v))
+		panic(fmt.Sprintf("unknown event %T", v))
 	}
 }
 
@@ -702,7 +702,7 @@
 }
 
 // recordAction counts an action, if the process belongs to a fleet.
-func (n *Node) recordAction(a fleet.Act) {
+func (n *Node) recordAction(a fleet.Action) {
 	if n.guard != nil {
 		n.guard.RecordAction(a)
 	}
@@ -739,8 +739,8 @@
 		return
 	case !n.mayTakeWork(): // other members of the fleet accept it
 		r := Reply{Result: Deferred}
-		if n.settings.MayPause {
-			r.RetryAfter = min(overloadRetryAfter, n.settings.MaxPause)
+		if n.settings.MayAdviseRetryAfter {
+			r.RetryAfter = min(overloadRetryAfter, n.settings.MaxRetryAfter)
 		}
 		n.recordAction(fleet.Deferred)
 		req.Respond(r)
@@ -748,8 +748,8 @@
 	// The configured limit is reached, or no descriptor is left for another waiting client.
 	case n.open >= min(n.maxOpen, n.clientLimit):
 		r := Reply{Result: Deferred}
-		if n.settings.MayPause {
-			r.RetryAfter = min(overloadRetryAfter, n.settings.MaxPause)
+		if n.settings.MayAdviseRetryAfter {
+			r.RetryAfter = min(overloadRetryAfter, n.settings.MaxRetryAfter)
 		}
 		req.Respond(r)
 		return
@@ -811,13 +811,13 @@
 		return
 	}
 	h := &it.handOffs[ho]
-	h.ended, h.provenUnrun = true, o.ProvesUnrun()
+	h.ended, h.provenUnrun = true, o.ProvesNotRun()
 	it.outstanding--
 	if o == dispatch.Finished {
 		n.answer(it, Reply{Body: result})
 	}
-	n.inbox = append(n.inbox, dispatch.Answer{WI: it.wi, HO: ho, Outcome: o, Spent: n.now - h.sentAt,
-		Final: it.answered, Load: dispatch.NoLoad})
+	n.inbox = append(n.inbox, dispatch.HandOffResult{WI: it.wi, HO: ho, Outcome: o, Elapsed: n.now - h.sentAt,
+		Final: it.answered, Load: dispatch.UnknownLoad})
 	n.removeIfDone(it)
 }
 
@@ -853,7 +853,7 @@
 			return true
 		default:
 			n.handOffEnded(it, ho, map[CallbackState]dispatch.Outcome{Failed: dispatch.Failed,
-				Returned: dispatch.Full, Lost: dispatch.Reset}[c.State], "")
+				Returned: dispatch.Full, Lost: dispatch.ConnReset}[c.State], "")
 			return true
 		}
 	}
@@ -934,11 +934,11 @@
 		n.rememberID(id)
 	}
 	if len(state.Members) > 0 && (!n.discoveryAnswered || state.Discovery == n.discoveryAddr && state.Revision > n.revision) {
-		if !n.settings.OnlyDraining {
+		if !n.settings.OnlyDrainingBinds {
 			clear(n.addrs)
 		}
 		n.updateAddrs(state.Members)
-		n.inbox = append(n.inbox, listUpdate{dispatch.Restored, state.Members})
+		n.inbox = append(n.inbox, listUpdate{dispatch.ListRestored, state.Members})
 	}
 	n.inbox = append(n.inbox, state.Learned)
 	n.log.Info("takeover", "takeover", "inherited", "list", state.Revision, "own", n.revision, "members", len(state.Members),
@@ -950,7 +950,7 @@
 		switch {
 		case m.State != dispatch.Gone:
 			n.addrs[m.Worker] = m.Addr
-		case !n.settings.OnlyDraining: // otherwise the worker may still get work at its last address
+		case !n.settings.OnlyDrainingBinds: // otherwise the worker may still get work at its last address
 			delete(n.addrs, m.Worker)
 		}
 	}
@@ -966,7 +966,7 @@
 	}
 	form := dispatch.ListChanges
 	if l.Complete {
-		if form = dispatch.Complete; !n.settings.OnlyDraining {
+		if form = dispatch.ListComplete; !n.settings.OnlyDrainingBinds {
 			clear(n.addrs)
 		}
 	}
@@ -1006,9 +1006,9 @@
 	}
 	n.newestWatch++
 	n.openWatches = append(n.openWatches, n.newestWatch)
-	n.pollPending = n.settings.MustAsk
+	n.pollPending = n.settings.DiscoveryOnRequest
 	interval := float64(watchInterval)
-	if n.settings.MustAsk {
+	if n.settings.DiscoveryOnRequest {
 		interval = n.capByAskWithin(pollInterval)
 	}
 	n.nextWatchAt = n.now + interval*(0.8+0.4*n.random())
@@ -1017,8 +1017,8 @@
 
 // capByAskWithin limits an interval between polls to a fraction of the setting AskWithin.
 func (n *Node) capByAskWithin(interval float64) float64 {
-	if n.settings.AskWithin > 0 {
-		interval = min(interval, askWithinShare*n.settings.AskWithin)
+	if n.settings.DiscoveryAskWithin > 0 {
+		interval = min(interval, askWithinShare*n.settings.DiscoveryAskWithin)
 	}
 	return interval
 }
@@ -1043,9 +1043,9 @@
 	n.openWatches = slices.DeleteFunc(n.openWatches, func(k int) bool { return k == watch })
 	delay := float64(watchRetryMean)
 	switch {
-	case n.settings.MustAsk && n.watchAnswered:
+	case n.settings.DiscoveryOnRequest && n.watchAnswered:
 		delay = n.capByAskWithin(pollRetryMean)
-	case n.settings.MustAsk: // a failed call: if many calls fail, retries must not follow each other at once
+	case n.settings.DiscoveryOnRequest: // a failed call: if many calls fail, retries must not follow each other at once
 		delay = n.capByAskWithin(pollInterval)
 	case n.settings.DrainGrace > 0:
 		delay = min(delay, n.settings.DrainGrace/drainGraceDivisor)
@@ -1053,8 +1053,8 @@
 	if n.watchAnswered = false; len(n.openWatches) == 0 {
 		n.nextWatchAt = min(n.nextWatchAt, n.now+delay*(0.5+n.random()))
 	}
-	if n.pollPending = n.pollPending && len(n.openWatches) > 0; n.settings.MustAsk && !n.pollPending {
-		n.inbox = append(n.inbox, listUpdate{dispatch.Unavailable, nil})
+	if n.pollPending = n.pollPending && len(n.openWatches) > 0; n.settings.DiscoveryOnRequest && !n.pollPending {
+		n.inbox = append(n.inbox, listUpdate{dispatch.ListUnavailable, nil})
 	}
 }
 
--- a/internal/node/rounds.go
+++ b/internal/node/rounds.go
@@ -24,7 +24,7 @@
 		handOffs []JobHandOff
 	}
 	listUpdate struct {
-		form    dispatch.Form
+		form    dispatch.ListType
 		members []Member
 	}
 )
@@ -35,20 +35,20 @@
 	n.decider.Round(n.now, n, n)
 	if d, ok := n.decider.(interface{ Pool() (listed, avoided int) }); ok && n.metrics != nil && n.now >= n.nextPoolMetrics {
 		n.nextPoolMetrics = n.now + poolMetricsInterval
-		n.metrics.Pool(d.Pool())
+		n.metrics.SetPool(d.Pool())
 	}
 }
 
 // Deliver passes the events since the last round to the Dispatcher.
-func (n *Node) Deliver(d dispatch.Receiver) {
+func (n *Node) Deliver(d dispatch.EventHandler) {
 	for _, v := range n.inbox {
 		switch v := v.(type) {
 		case *workItem:
 			req := v.request
 			d.Arrived(dispatch.WorkItem{ID: v.wi, Category: req.Category, Tenant: req.Tenant,
-				Left: max(req.Expiry-n.now, 0), Within: v.processEndsIn, Hint: req.Hint, Key: req.Key})
+				TimeLeft: max(req.Expiry-n.now, 0), ShutdownIn: v.processEndsIn, Hint: req.Hint, Key: req.Key})
 		case clientLeft:
-			d.Left(uint64(v))
+			d.ClientLeft(uint64(v))
 		case giveUpItem:
 			if to, ok := d.(interface{ GiveUp(uint64) }); ok {
 				to.GiveUp(uint64(v))
@@ -57,12 +57,12 @@
 			if to, ok := d.(interface{ End(within float64) }); ok {
 				to.End(max(float64(v)-n.now, 0))
 			}
-		case dispatch.Answer:
-			d.Answered(v)
+		case dispatch.HandOffResult:
+			d.HandOffEnded(v)
 		case progressNotice:
-			d.Noticed(v.wi, v.ho, v.start, v.share)
+			d.HandOffProgressed(v.wi, v.ho, v.start, v.share)
 		case PeerMessage:
-			d.Heard(v.From, v.Data)
+			d.PeerMessageReceived(v.From, v.Data)
 		case adoptedJob:
 			if to, ok := d.(takeoverDecider); ok {
 				var handOffs []dispatch.Taken
@@ -71,7 +71,7 @@
 				}
 				req := v.item.request
 				to.Adopt(dispatch.WorkItem{ID: v.item.wi, Category: req.Category, Tenant: req.Tenant,
-					Left: max(req.Expiry-n.now, 0), Hint: req.Hint, Key: req.Key}, handOffs)
+					TimeLeft: max(req.Expiry-n.now, 0), Hint: req.Hint, Key: req.Key}, handOffs)
 			}
 		case dispatch.Learned:
 			if to, ok := d.(takeoverDecider); ok {
@@ -105,11 +105,11 @@
 	addr, known := n.addrs[worker]
 	switch {
 	case it.answered || remaining <= 0 || ho >= n.settings.MaxHandOffs:
-		n.handOffEnded(it, ho, dispatch.Moot, "")
+		n.handOffEnded(it, ho, dispatch.NotSent, "")
 	case !known: // the worker has left the list
 		n.handOffEnded(it, ho, dispatch.ConnectFailed, "")
 	case !n.mayTakeWork(): // queued work is given up in the next round
-		n.handOffEnded(it, ho, dispatch.Moot, "")
+		n.handOffEnded(it, ho, dispatch.NotSent, "")
 	default:
 		it.handOffs[ho].noCallback, it.handOffs[ho].addr = false, addr
 		it.handOffs[ho].attempt = n.transport.Send(HandOffRequest{WI: wi, HO: ho, ID: it.request.ID, Addr: addr,
@@ -141,15 +141,15 @@
 }
 
 // Timer schedules a round; the handle is not used.
-func (n *Node) Timer(_ uint64, delay float64) { n.schedule(n.now+delay, 0, 0) }
+func (n *Node) SetTimer(_ uint64, delay float64) { n.schedule(n.now+delay, 0, 0) }
 
 // Watch polls discovery for changes, where discovery only answers requests. Each poll gets one answer: while
 // that is pending, another poll would only delay it.
-func (n *Node) Watch(on bool) {
+func (n *Node) WatchDiscovery(on bool) {
 	if on && !n.pollPending {
 		n.openWatch()
 	}
 }
 
 // Tell sends a message to peers.
-func (n *Node) Tell(to int, data []byte) { n.transport.SendToPeer(to, data) }
+func (n *Node) SendToPeer(to int, data []byte) { n.transport.SendToPeer(to, data) }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -122,7 +122,7 @@
 	})
 	run("done and told to stop", func(*Request) values { return values{done, Stop{}} })
 	run("told to stop and the client leaves", func(a *Request) values { return values{Stop{}, ClientDisconnected{a}} })
-	run("done and the connection breaks", func(*Request) values { return values{done, HandOffEnded{1, 0, dispatch.Reset}} })
+	run("done and the connection breaks", func(*Request) values { return values{done, HandOffEnded{1, 0, dispatch.ConnReset}} })
 	run("returned and its worker drains", func(*Request) values {
 		return values{Callback{ID: "a", From: "w1", State: Returned},
 			DiscoveryUpdate{Watch: 1, Revision: 6, Members: []Member{member("w1", dispatch.Draining), member("w2", dispatch.Up)}}}
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -15,31 +15,31 @@
 func MergeReloadable(current, next dispatch.Settings, sameNames bool) (s dispatch.Settings, needRestart []string) {
 	s = current
 	s.ExcessCredit, s.MaxHandOffs = next.ExcessCredit, next.MaxHandOffs
-	s.MayCancel, s.MayPause, s.MaxPause = next.MayCancel, next.MayPause, next.MaxPause
+	s.MayCancel, s.MayAdviseRetryAfter, s.MaxRetryAfter = next.MayCancel, next.MayAdviseRetryAfter, next.MaxRetryAfter
 	check := func(name string, different bool) {
 		if different {
 			needRestart = append(needRestart, name)
 		}
 	}
-	check("granularity", current.Grain != next.Grain)
-	check("siblings", current.Siblings != next.Siblings)
-	check("position", current.Number != next.Number)
+	check("granularity", current.RoundInterval != next.RoundInterval)
+	check("siblings", current.Dispatchers != next.Dispatchers)
+	check("position", current.Position != next.Position)
 	check("locality", current.Zone != next.Zone)
 	check("machine_types", current.Kinds != next.Kinds)
-	check("prices", current.NearFirst != next.NearFirst || current.Keyed != next.Keyed)
+	check("prices", current.PreferOwnZone != next.PreferOwnZone || current.KeyAffinity != next.KeyAffinity)
 	check("weights", current.LiveWeights != next.LiveWeights)
-	check("family_info", current.TellsStart != next.TellsStart || current.Progress != next.Progress)
-	check("discovery", current.MustAsk != next.MustAsk)
-	check("allowed.peers", current.MayTell != next.MayTell)
+	check("family_info", current.StartNotices != next.StartNotices || current.ProgressInterval != next.ProgressInterval)
+	check("discovery", current.DiscoveryOnRequest != next.DiscoveryOnRequest)
+	check("allowed.peers", current.MayNotifyPeers != next.MayNotifyPeers)
 	check("allowed.second_copies", current.SecondCopies != next.SecondCopies)
-	check("safety", current.AnswerSlack != next.AnswerSlack || current.AskWithin != next.AskWithin || current.OnlyDraining != next.OnlyDraining ||
-		current.StartShare != next.StartShare || current.Cold != next.Cold || current.FallMultiple != next.FallMultiple || current.Fall != next.Fall ||
+	check("safety", current.AnswerSlack != next.AnswerSlack || current.DiscoveryAskWithin != next.DiscoveryAskWithin || current.OnlyDrainingBinds != next.OnlyDrainingBinds ||
+		current.StartCapacity != next.StartCapacity || current.WarmUpTime != next.WarmUpTime || current.OverloadMultiple != next.OverloadMultiple || current.OverloadWindow != next.OverloadWindow ||
 		current.DrainGrace != next.DrainGrace)
 	if sameNames && len(current.Categories) == len(next.Categories) {
 		s.Categories = slices.Clone(current.Categories)
 		differs := false
 		for k, c := range next.Categories {
-			s.Categories[k].Due, s.Categories[k].Stretch, s.Categories[k].Credit = c.Due, c.Stretch, c.Credit
+			s.Categories[k].DueTime, s.Categories[k].DueStretch, s.Categories[k].Credit = c.DueTime, c.DueStretch, c.Credit
 			differs = differs || s.Categories[k] != c
 		}
 		check("categories", differs)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -203,20 +203,20 @@
 		"safety.start_capacity", "safety.cold", "safety.fall", "safety.fall_multiple")
 	n := Names{Zones: r.list("localities"), Kinds: r.list("machine_types")}
 	siblings := r.wholeNumber("siblings", 1, 1, 1e6)
-	s := dispatch.Settings{Seed: seed, Grain: r.ms("granularity"),
-		Siblings: siblings, Number: r.wholeNumber("position", 0, 0, siblings-1),
+	s := dispatch.Settings{Seed: seed, RoundInterval: r.ms("granularity"),
+		Dispatchers: siblings, Position: r.wholeNumber("position", 0, 0, siblings-1),
 		Zone: slices.Index(n.Zones, r.text("locality")), Kinds: len(n.Kinds),
-		NearFirst: r.number("prices.cross_zone", 0) > 0, Keyed: r.number("prices.origin", 0) > 0, LiveWeights: r.oneOf("weights", "nominal", "rough", "none", "live") == "live", ExcessCredit: r.number("excess_credit", 1),
-		TellsStart: r.boolean("family_info.tells_start"), Progress: r.ms("family_info.progress"),
-		MustAsk: r.oneOf("discovery", "push", "ask") == "ask", MayCancel: r.boolean("allowed.may_cancel"),
-		MayTell: r.boolean("allowed.peers"), MayPause: r.boolean("allowed.retry_after"),
-		SecondCopies: r.boolean("allowed.second_copies"), MaxPause: r.ms("allowed.max_retry_after"),
+		PreferOwnZone: r.number("prices.cross_zone", 0) > 0, KeyAffinity: r.number("prices.origin", 0) > 0, LiveWeights: r.oneOf("weights", "nominal", "rough", "none", "live") == "live", ExcessCredit: r.number("excess_credit", 1),
+		StartNotices: r.boolean("family_info.tells_start"), ProgressInterval: r.ms("family_info.progress"),
+		DiscoveryOnRequest: r.oneOf("discovery", "push", "ask") == "ask", MayCancel: r.boolean("allowed.may_cancel"),
+		MayNotifyPeers: r.boolean("allowed.peers"), MayAdviseRetryAfter: r.boolean("allowed.retry_after"),
+		SecondCopies: r.boolean("allowed.second_copies"), MaxRetryAfter: r.ms("allowed.max_retry_after"),
 		MaxHandOffs: r.wholeNumber("allowed.max_hand_offs", 1, 1, 1000), AnswerSlack: r.ms("safety.answer_slack"),
-		AskWithin: r.ms("safety.ask_within"), DrainGrace: r.ms("safety.drain_grace"), StartShare: r.number("safety.start_capacity", 0),
-		OnlyDraining: r.boolean("safety.only_draining_binds"),
-		Cold:         r.ms("safety.cold"), FallMultiple: r.number("safety.fall_multiple", 1), Fall: r.ms("safety.fall")}
+		DiscoveryAskWithin: r.ms("safety.ask_within"), DrainGrace: r.ms("safety.drain_grace"), StartCapacity: r.number("safety.start_capacity", 0),
+		OnlyDrainingBinds: r.boolean("safety.only_draining_binds"),
+		WarmUpTime:        r.ms("safety.cold"), OverloadMultiple: r.number("safety.fall_multiple", 1), OverloadWindow: r.ms("safety.fall")}
 	r.oneOf("load_info.how", "answers", "probe", "none") // Unsupported reports the effect
-	if s.StartShare > 1 {
+	if s.StartCapacity > 1 {
 		r.fail("safety.start_capacity", "is above 1")
 	}
 	l := ConnectionSettings{IdleTimeout: r.ms("allowed.conn_idle"), ConnectTimeout: r.ms("allowed.connect_timeout"),
@@ -233,7 +233,7 @@
 	for k := range r.wholeNumber("realms.count", 0, 0, 1e5) {
 		prefix := "realms." + strconv.Itoa(k) + "."
 		n.Tenants = append(n.Tenants, r.text(prefix+"name"))
-		s.Tenants = append(s.Tenants, dispatch.Tenant{PerSec: r.number(prefix+"allowance_per_s", 0)})
+		s.Tenants = append(s.Tenants, dispatch.Tenant{AllowancePerSec: r.number(prefix+"allowance_per_s", 0)})
 	}
 	return s, n, l, r
 }
@@ -241,8 +241,8 @@
 func (r *reader) category(k int, kinds []string) dispatch.Category {
 	prefix := "categories." + strconv.Itoa(k) + "."
 	r.require(prefix+"name", prefix+"semantics", prefix+"expiry", prefix+"due_time")
-	c := dispatch.Category{Window: r.ms(prefix + "window"), Due: r.ms(prefix + "due_time"),
-		Stretch: r.number(prefix+"aim_stretch", 0), Expiry: r.ms(prefix + "expiry"), Credit: r.number(prefix+"credit", 1), Kind: -1}
+	c := dispatch.Category{DedupWindow: r.ms(prefix + "window"), DueTime: r.ms(prefix + "due_time"),
+		DueStretch: r.number(prefix+"aim_stretch", 0), Expiry: r.ms(prefix + "expiry"), Credit: r.number(prefix+"credit", 1), Kind: -1}
 	switch r.text(prefix + "semantics") {
 	case "repeatable":
 	case "by_key":
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -46,12 +46,13 @@
 	acceptRetry = 5 * time.Millisecond
 )
 
+// clientServer serves clients and workers' callbacks on one listener.
 type clientServer struct {
 	node             *node.Node
 	names            settings.Names
 	expiries         []float64
 	maxRequestTime   time.Duration // a request is complete within this time
-	metrics          *figures.Figures
+	metrics          *metrics.Metrics
 	listener         *net.TCPListener
 	maxConns         atomic.Int64                                         // limit on open connections
 	handOver         func(conn *clientConn, j *node.Job, m *message) bool // passes a job to another process
@@ -76,7 +77,7 @@
 		forwardCallbacks: o.Exchange != nil, conns: map[*clientConn]bool{}, onConnError: func(error) {}}
 	c.maxRequestTime = max(readTimeout, time.Duration(slices.Max(o.Expiries)*float64(time.Millisecond)))
 	c.server = &fasthttp.Server{Handler: c.handle, ErrorHandler: refuseUnread,
-		// connections that were closed may not have ended yet
+		// Twice the limit: connections that were closed may not have ended yet.
 		Concurrency: 2*int(clientShare*float64(o.MaxSockets)) + 1,
 		ReadTimeout: readTimeout, WriteTimeout: readTimeout, IdleTimeout: clientIdleTimeout,
 		MaxRequestBodySize: maxBody, ReadBufferSize: maxHead, DisablePreParseMultipartForm: true,
@@ -265,7 +266,7 @@
 	}
 	conn := ctx.Conn().(*clientConn)
 	reply := conn.expectReply(client)
-	c.metrics.Taken()
+	c.metrics.JobAccepted()
 	r := node.Reply{Result: node.Deferred}
 	switch _, disconnected := conn.peek(); {
 	case disconnected: // while the request was still unread
@@ -283,7 +284,7 @@
 		conn.stopWatch()
 	}
 	if r.Result == node.HandedOver && c.handOver(conn, r.Job, client.Message.(*message)) {
-		c.metrics.Left()
+		c.metrics.ClientLeft()
 		ctx.HijackSetNoResponse(true) // the other process keeps the connection open when it is closed here
 		ctx.Hijack(func(net.Conn) {})
 		return
@@ -299,13 +300,13 @@
 func (c *clientServer) countResult(category int, r node.Result) {
 	switch r {
 	case node.Served:
-		c.metrics.Ended(category, figures.OK)
+		c.metrics.JobAnswered(category, metrics.OK)
 	case node.Deferred:
-		c.metrics.Ended(category, figures.Shed)
+		c.metrics.JobAnswered(category, metrics.Shed)
 	case node.WrittenOff, node.TimedOut, node.HandedOver: // a failed hand-over
-		c.metrics.Ended(category, figures.Error)
+		c.metrics.JobAnswered(category, metrics.Error)
 	case node.DuplicateID, node.ClientGone: // not a job of its own; no client to answer
-		c.metrics.Left()
+		c.metrics.ClientLeft()
 	}
 }
 
--- a/internal/transport/connections.go
+++ b/internal/transport/connections.go
@@ -213,6 +213,7 @@
 	rankServing
 )
 
+// evictionPriority orders connections: a lower rank is evicted first, and the oldest within a rank.
 type evictionPriority struct {
 	rank  int
 	since time.Time
@@ -271,7 +272,7 @@
 		c.Conn.SetReadDeadline(time.Now().Add(readTimeout))
 	}
 	if !c.started && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		// nothing arrived: close without a response, where fasthttp would answer 408 on a new connection
+		// Nothing arrived: close without a response, where fasthttp would answer 408 on a new connection.
 		return 0, io.EOF
 	}
 	if n > 0 {
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -94,6 +94,7 @@
 		Since: in.UpSince, Weight: max(in.Size, 0)}}, nil
 }
 
+// discoveryClient holds the open watches on discovery.
 type discoveryClient struct {
 	ctx           context.Context
 	node          *node.Node
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -24,6 +24,7 @@
 	data []byte
 }
 
+// peerLink sends and receives datagrams of peers.
 type peerLink struct {
 	node        *node.Node
 	conn        *net.UDPConn // nil: there are no peers
--- a/internal/transport/races_test.go
+++ b/internal/transport/races_test.go
@@ -48,7 +48,7 @@
 	in      dispatch.Inbox
 	mu      sync.Mutex
 	arrived int
-	states  map[string]dispatch.State // last known states of workers
+	states  map[string]dispatch.WorkerState // last known states of workers
 	updates int
 }
 
@@ -58,12 +58,12 @@
 	return s.arrived
 }
 
-func (s *recordingDecider) Round(now float64, in dispatch.Inbox, out dispatch.Writer) {
+func (s *recordingDecider) Round(now float64, in dispatch.Inbox, out dispatch.Executor) {
 	s.in = in
 	s.Dispatcher.Round(now, s, out)
 }
 
-func (s *recordingDecider) Deliver(dispatch.Receiver) { s.in.Deliver(&recorder{s.Dispatcher, s}) }
+func (s *recordingDecider) Deliver(dispatch.EventHandler) { s.in.Deliver(&recorder{s.Dispatcher, s}) }
 
 type recorder struct {
 	*dispatch.Dispatcher
@@ -77,11 +77,11 @@
 	h.Dispatcher.Arrived(wi)
 }
 
-func (h *recorder) Listed(form dispatch.Form, entries []dispatch.Entry) {
+func (h *recorder) Listed(form dispatch.ListType, entries []dispatch.Entry) {
 	h.decider.mu.Lock()
 	h.decider.updates++
-	if h.decider.states == nil || form == dispatch.Complete {
-		h.decider.states = map[string]dispatch.State{}
+	if h.decider.states == nil || form == dispatch.ListComplete {
+		h.decider.states = map[string]dispatch.WorkerState{}
 	}
 	for _, e := range entries {
 		h.decider.states[e.Worker] = e.State
@@ -537,7 +537,7 @@
 }
 
 // state returns the state of a worker that the Dispatcher received last; -1: none.
-func (s *recordingDecider) state(worker string) dispatch.State {
+func (s *recordingDecider) state(worker string) dispatch.WorkerState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state, ok := s.states[worker]; ok {
@@ -666,7 +666,7 @@
 		})
 	}
 	t.Run("a call that waits its turn", func(t *testing.T) {
-		r := newFixture(t, func(o *Options, no *node.Options) { o.DiscoveryOnRequest, no.Settings.MustAsk = true, true })
+		r := newFixture(t, func(o *Options, no *node.Options) { o.DiscoveryOnRequest, no.Settings.DiscoveryOnRequest = true, true })
 		first := await(t, "the first call", r.watchConns)
 		defer first.Close()
 		second := await(t, "the second call beside it", r.watchConns)
@@ -681,7 +681,7 @@
 func TestSocketShares(t *testing.T) {
 	for sockets := 1; sockets <= 2048; sockets += 7 {
 		p := &Transport{options: Options{MaxSockets: sockets}, clients: &clientServer{}, workers: &workerPool{}, node: node.New(node.Options{})}
-		p.Share(false)
+		p.SetHalfLimits(false)
 		if left := sockets - int(p.clients.maxConns.Load()) - p.workers.maxConns; left < reservedSockets && sockets >= 64 {
 			t.Fatalf("with %d descriptors, %d are left", sockets, left)
 		}
@@ -871,7 +871,7 @@
 		t.Run(head[9:16], func(t *testing.T) {
 			w := newTestWorker(t)
 			r := newFixture(t, func(o *Options, no *node.Options) {
-				o.Expiries[1], no.Settings.Categories[1].Due, no.Settings.Categories[1].Expiry = 700, 600, 700
+				o.Expiries[1], no.Settings.Categories[1].DueTime, no.Settings.Categories[1].Expiry = 700, 600, 700
 			})
 			r.serve(w.addr)
 			c := r.dial()
--- a/internal/transport/takeover.go
+++ b/internal/transport/takeover.go
@@ -116,7 +116,7 @@
 }
 
 // Sockets returns the sockets that are passed to a successor.
-func (t *Transport) Sockets() []syscall.Conn {
+func (t *Transport) ListeningSockets() []syscall.Conn {
 	all := []syscall.Conn{t.clients.listener}
 	if t.peers.conn != nil {
 		all = append(all, t.peers.conn)
@@ -146,13 +146,13 @@
 }
 
 // GiveIdle gives away connections that wait for a request.
-func (t *Transport) GiveIdle(give func(syscall.Conn) bool) { t.clients.giveAwayIdle(give) }
+func (t *Transport) TransferIdle(give func(syscall.Conn) bool) { t.clients.giveAwayIdle(give) }
 
 // Adopt serves a connection that the other process gave away.
-func (t *Transport) Adopt(c net.Conn) { go t.clients.adoptConn(c) }
+func (t *Transport) AdoptConn(c net.Conn) { go t.clients.adoptConn(c) }
 
 // Share keeps this process to half of its limits while another process uses the other half.
-func (t *Transport) Share(half bool) {
+func (t *Transport) SetHalfLimits(half bool) {
 	t.limitMu.Lock()
 	t.halved = half
 	t.applyLimits()
@@ -177,7 +177,7 @@
 }
 
 // Succeeded tells the node that a successor is ready.
-func (t *Transport) Succeeded() { t.node.Enqueue(node.SuccessorReady{}) }
+func (t *Transport) SuccessorConnected() { t.node.Enqueue(node.SuccessorReady{}) }
 
 const recheckDelay = 100 * time.Millisecond // a job that is being handed over has arrived by then
 
@@ -194,7 +194,7 @@
 func (t *Transport) handOver(conn *clientConn, j *node.Job, m *message) bool {
 	text, err := json.Marshal(transferredJob{*j, m.head, m.body, conn.pipelined, conn.pipelineOverflow})
 	if err == nil {
-		err = t.options.Exchange.Hand(conn.Conn.(syscall.Conn), text)
+		err = t.options.Exchange.TransferJob(conn.Conn.(syscall.Conn), text)
 	}
 	if err != nil {
 		slog.Warn("takeover", "takeover", "a job could not go over", "id", j.ID, "err", err)
@@ -215,7 +215,7 @@
 	client := &node.Request{ID: transferred.Job.ID, Category: transferred.Job.Category, Tenant: transferred.Job.Tenant, Hint: transferred.Job.Hint,
 		Key: transferred.Job.Key, Expiry: transferred.Job.Expiry, Message: &message{head: transferred.Head, body: transferred.Body}}
 	reply := cc.expectReply(client)
-	t.clients.metrics.Taken()
+	t.clients.metrics.JobAccepted()
 	t.node.Enqueue(node.JobAdopted{Request: client, Job: transferred.Job})
 	go t.clients.serveAdopted(cc, client, reply)
 }
@@ -231,7 +231,7 @@
 	}
 	cc.stopWatch()
 	if r.Result == node.HandedOver && c.handOver(cc, r.Job, client.Message.(*message)) {
-		c.metrics.Left()
+		c.metrics.ClientLeft()
 		cc.Close()
 		return
 	}
@@ -261,8 +261,8 @@
 	Result   string
 }
 
-var callbackResults = map[takeover.Answer]node.CallbackResult{takeover.Applied: node.CallbackApplied, takeover.NotKnown: node.CallbackUnknown,
-	takeover.Unsure: node.CallbackUndetermined}
+var callbackResults = map[takeover.CallbackResult]node.CallbackResult{takeover.Applied: node.CallbackApplied, takeover.JobNotFound: node.CallbackUnknown,
+	takeover.ResultUnknown: node.CallbackUndetermined}
 
 // ForwardCallback asks the other processes about a callback.
 func (t *Transport) ForwardCallback(c node.Callback) {
@@ -275,8 +275,8 @@
 		c.Respond(node.CallbackUnknown)
 		return
 	}
-	t.options.Exchange.Pass(text, c.FromSuccessor, c.FromPredecessor, func(a takeover.Answer) {
-		if a != takeover.NotKnown || c.FromPredecessor || !t.options.Exchange.Beside() {
+	t.options.Exchange.ForwardCallback(text, c.FromSuccessor, c.FromPredecessor, func(a takeover.CallbackResult) {
+		if a != takeover.JobNotFound || c.FromPredecessor || !t.options.Exchange.HasPredecessor() {
 			c.Respond(callbackResults[a])
 			return
 		}
@@ -290,10 +290,10 @@
 }
 
 // Callback handles a callback for a work item that another process does not know.
-func (t *Transport) Callback(text []byte, fromSuccessor bool, answer func(takeover.Answer)) {
+func (t *Transport) ForwardedCallback(text []byte, fromSuccessor bool, answer func(takeover.CallbackResult)) {
 	var forwarded forwardedCallback
 	if json.Unmarshal(text, &forwarded) != nil {
-		answer(takeover.NotKnown)
+		answer(takeover.JobNotFound)
 		return
 	}
 	back := func(a node.CallbackResult) {
@@ -306,7 +306,7 @@
 	c := node.Callback{ID: forwarded.ID, From: forwarded.From, State: forwarded.State, Share: forwarded.Share, Result: forwarded.Result, Respond: back,
 		FromSuccessor: fromSuccessor, FromPredecessor: !fromSuccessor}
 	if !t.node.Enqueue(c) {
-		answer(takeover.NotKnown)
+		answer(takeover.JobNotFound)
 	}
 }
 
@@ -321,7 +321,7 @@
 }
 
 // Inherit passes the predecessor's state to the node.
-func (t *Transport) Inherit(text []byte) error {
+func (t *Transport) ImportState(text []byte) error {
 	var k node.TakeoverState
 	if err := json.Unmarshal(text, &k); err != nil {
 		return err
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -36,7 +36,7 @@
 	SecondCopies       bool      // a work item may run more than once
 	DiscoveryOnRequest bool      // discovery only answers requests, it does not push changes
 	MaxSockets         int
-	Metrics            *figures.Figures // nil: none are collected
+	Metrics            *metrics.Metrics // nil: none are collected
 	Guard              node.LeaseGuard  // nil: this process belongs to no fleet
 	// Exchange connects to other processes of this dispatcher; nil: there are none, and the addresses are not
 	// shared.
@@ -100,7 +100,7 @@
 	for _, f := range o.InheritedSockets { // the parts use duplicates
 		f.Close()
 	}
-	t.Share(len(o.InheritedSockets) > 0)
+	t.SetHalfLimits(len(o.InheritedSockets) > 0)
 	if len(o.InheritedSockets) > 0 {
 		t.Pause() // until the predecessor has handed over
 	}
@@ -150,7 +150,7 @@
 // closes each connection after its next answer.
 func (t *Transport) Drain(state func() node.TakeoverState) (succeeded bool) {
 	t.clients.closeAfterDeferral.Store(true)
-	if t.options.Exchange != nil && t.options.Exchange.Stop(func() []byte { return encodeTakeoverState(state()) }) {
+	if t.options.Exchange != nil && t.options.Exchange.HandOver(func() []byte { return encodeTakeoverState(state()) }) {
 		t.clients.closeAfterAnswer.Store(true)
 		return true
 	}
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -87,6 +87,7 @@
 	idleTime  time.Duration // how long it had been idle when it was acquired; 0: new
 }
 
+// workerPool keeps the connections to workers and makes hand-offs on them.
 type workerPool struct {
 	node         *node.Node
 	dialer       net.Dialer
@@ -94,7 +95,7 @@
 	minIdle      time.Duration // shortest idle time after which a connection is reused
 	maxConns     int
 	secondCopies bool // a work item may run more than once
-	metrics      *figures.Figures
+	metrics      *metrics.Metrics
 	guard        node.LeaseGuard // nil: this process belongs to no fleet
 	mu           sync.Mutex
 	learnedIdle  time.Duration // maxIdle as learned from connections that workers closed, at the time learnedAt
@@ -158,7 +159,7 @@
 		w.onConnError(err)
 		return nil, err
 	}
-	// the worker is alive: one that died closes all connections, however long they were idle
+	// The worker is alive. One that died closes all its connections, however long they were idle.
 	if closedAfter < w.maxIdle {
 		w.learn(closedAfter / 4) // it was closed some time before that was noticed
 	}
@@ -371,14 +372,14 @@
 	a.mu.Lock()
 	a.written = true
 	a.mu.Unlock()
-	a.w.metrics.Tried()
+	a.w.metrics.HandOffSent()
 	var r fasthttp.Response
 	err = r.ReadLimitBody(conn.in, maxAnswer)
 	a.release(conn, err, !r.ConnectionClose())
 	status := r.StatusCode()
 	switch {
 	case err != nil:
-		a.finish(dispatch.Reset, err)
+		a.finish(dispatch.ConnReset, err)
 	case status == fasthttp.StatusAccepted:
 		a.markAccepted()
 	case (status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusGatewayTimeout) &&
