--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -20,10 +20,10 @@
 const (
 	// Descriptors are those that the front may use, to be set aside out of the limit: the listener, the calls, as
 	// many that were closed and have yet to end.
-	MaxDescriptors = 1 + 2*callsMost
-	callsMost      = 8
-	callWithin     = 2 * time.Second // a call is there whole, and its answer read, within this time
-	headMost       = 4 << 10
+	MaxDescriptors = 1 + 2*maxCalls
+	maxCalls       = 8
+	callTimeout    = 2 * time.Second // a call is there whole, and its answer read, within this time
+	maxHeader      = 4 << 10
 )
 
 // Options say what calls are answered from.
@@ -35,17 +35,17 @@
 
 // Front serves operators' calls.
 type Server struct {
-	o        Options
+	options  Options
 	listener net.Listener
 	server   *fasthttp.Server
 	mu       sync.Mutex
-	calls    []*call // in the order in which they came
+	open     []*callConn // in the order in which they came
 }
 
 // call is the connection of one.
-type call struct {
+type callConn struct {
 	net.Conn
-	f *Server
+	server *Server
 }
 
 // Start listens and serves until Close.
@@ -54,101 +54,101 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Server{o: o, listener: l}
-	f.server = &fasthttp.Server{Handler: f.handle, DisableKeepalive: true, Concurrency: 2 * callsMost,
-		ReadTimeout: callWithin, WriteTimeout: callWithin, ReadBufferSize: headMost, MaxRequestBodySize: headMost,
-		NoDefaultServerHeader: true, SecureErrorLogMessage: true, Logger: quiet{},
-		ErrorHandler: refuse}
+	s := &Server{options: o, listener: l}
+	s.server = &fasthttp.Server{Handler: s.handle, DisableKeepalive: true, Concurrency: 2 * maxCalls,
+		ReadTimeout: callTimeout, WriteTimeout: callTimeout, ReadBufferSize: maxHeader, MaxRequestBodySize: maxHeader,
+		NoDefaultServerHeader: true, SecureErrorLogMessage: true, Logger: discardLogger{},
+		ErrorHandler: writeError}
 	slog.Info("operators", "listen", l.Addr())
-	go f.server.Serve(f) // ends with the listener
-	return f, nil
+	go s.server.Serve(s) // ends with the listener
+	return s, nil
 }
 
 // refuse answers what is no call. What is left of a long head is read first: closed over it, the connection would be
 // reset and the answer lost.
-func refuse(ctx *fasthttp.RequestCtx, err error) {
-	status := transport.ErrorStatus(err)
+func writeError(ctx *fasthttp.RequestCtx, err error) {
+	status := platform.UnreadStatus(err)
 	if status == fasthttp.StatusRequestHeaderFieldsTooLarge {
-		ctx.Conn().SetReadDeadline(time.Now().Add(callWithin / 20))
-		io.CopyN(io.Discard, ctx.Conn(), 16*headMost)
+		ctx.Conn().SetReadDeadline(time.Now().Add(callTimeout / 20))
+		io.CopyN(io.Discard, ctx.Conn(), 16*maxHeader)
 	}
 	ctx.Error("no call\n", status)
 }
 
 // quiet: what is wrong with a call is said to the caller, and concerns nobody else.
-type quiet struct{}
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // Accept makes the front the listener that fasthttp serves. This guards against callers that connect and say nothing: a
 // call that is finished takes no time, so the oldest of too many is one of those, and gives way.
-func (f *Server) Accept() (net.Conn, error) {
-	conn, err := f.listener.Accept()
+func (s *Server) Accept() (net.Conn, error) {
+	conn, err := s.listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &call{conn, f}
-	f.mu.Lock()
-	f.calls = append(f.calls, c)
-	var oldest *call
-	if len(f.calls) > callsMost {
-		oldest = f.calls[0]
+	c := &callConn{conn, s}
+	s.mu.Lock()
+	s.open = append(s.open, c)
+	var oldest *callConn
+	if len(s.open) > maxCalls {
+		oldest = s.open[0]
 	}
-	f.mu.Unlock()
+	s.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
 	}
-	for f.server.GetOpenConnectionsCount() >= 2*callsMost { // those that were closed have yet to end
+	for s.server.GetOpenConnectionsCount() >= 2*maxCalls { // those that were closed have yet to end
 		time.Sleep(time.Millisecond)
 	}
 	return c, nil
 }
 
 // Close ends the connection.
-func (c *call) Close() error {
-	c.f.mu.Lock()
-	for k, other := range c.f.calls {
+func (c *callConn) Close() error {
+	c.server.mu.Lock()
+	for k, other := range c.server.open {
 		if other == c {
-			c.f.calls = append(c.f.calls[:k], c.f.calls[k+1:]...)
+			c.server.open = append(c.server.open[:k], c.server.open[k+1:]...)
 			break
 		}
 	}
-	c.f.mu.Unlock()
+	c.server.mu.Unlock()
 	return c.Conn.Close()
 }
 
 // Addr is where it listens.
-func (f *Server) Addr() net.Addr { return f.listener.Addr() }
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Close ends the listener and all calls.
-func (f *Server) Close() error {
-	if f == nil {
+func (s *Server) Close() error {
+	if s == nil {
 		return nil
 	}
-	err := f.listener.Close()
-	f.mu.Lock()
-	calls := append([]*call(nil), f.calls...)
-	f.mu.Unlock()
-	for _, c := range calls {
+	err := s.listener.Close()
+	s.mu.Lock()
+	open := append([]*callConn(nil), s.open...)
+	s.mu.Unlock()
+	for _, c := range open {
 		c.Close()
 	}
 	return err
 }
 
-func (f *Server) handle(ctx *fasthttp.RequestCtx) {
+func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path, _, _ := bytes.Cut(ctx.Request.Header.RequestURI(), []byte("?"))
 	var answer func()
 	switch string(path) {
 	case "/control/ready":
 		answer = func() {
-			cause, ready := f.o.Ready()
+			cause, ready := s.options.Ready()
 			if !ready {
 				ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			}
 			ctx.SetBodyString(cause + "\n")
 		}
 	case "/control/counters":
-		answer = func() { ctx.SetBody(f.o.Metrics.Append(nil)) }
+		answer = func() { ctx.SetBody(s.options.Metrics.Append(nil)) }
 	default:
 		ctx.Error("there are /control/ready and /control/counters\n", fasthttp.StatusNotFound)
 		return
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -44,14 +44,14 @@
 
 // The least with which the program can serve.
 const (
-	leastMemory  = 32
-	leastSockets = 64
+	minMemoryMB = 32
+	minSockets  = 64
 )
 
 // What holds where the settings say nothing of connections, in milliseconds.
 const (
-	idleUnsaid    = 5000 // short: a worker that closes first costs a hand-off
-	connectUnsaid = 1000
+	defaultIdle    = 5000 // short: a worker that closes first costs a hand-off
+	defaultConnect = 1000
 )
 
 // file is the JSON as it stands.
@@ -94,11 +94,11 @@
 		return old, nil, err
 	}
 	c.Settings.Seed, c.Temp = old.Settings.Seed, old.Temp // of the start
-	changed = c.waits(old)
-	is, was := reflect.ValueOf(c), reflect.ValueOf(old)
-	for k := range is.NumField() {
-		name := is.Type().Field(k).Name
-		if !slices.Contains(heeded, name) && !reflect.DeepEqual(is.Field(k).Interface(), was.Field(k).Interface()) {
+	changed = c.needsRestart(old)
+	newValue, oldValue := reflect.ValueOf(c), reflect.ValueOf(old)
+	for k := range newValue.NumField() {
+		name := newValue.Type().Field(k).Name
+		if !slices.Contains(reloadable, name) && !reflect.DeepEqual(newValue.Field(k).Interface(), oldValue.Field(k).Interface()) {
 			changed = append(changed, name)
 		}
 	}
@@ -106,7 +106,7 @@
 }
 
 // heeded at a reload, of no meaning to a program that runs, or looked at key by key.
-var heeded = []string{"Discovery", "Known", "Unserved", "Text", "Mark", "Settings", "Links", "Names"} // the last three: waits tells
+var reloadable = []string{"Discovery", "Known", "Unserved", "Text", "Mark", "Settings", "Links", "Names"} // the last three: waits tells
 
 func load(getenv func(string) string, discovery string) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
@@ -118,7 +118,7 @@
 		return Config{}, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	c, err := parse(text, func(f *file) {
-		override(f, getenv)
+		overrideFromEnv(f, getenv)
 		if discovery != "" {
 			f.Discovery = discovery
 		}
@@ -128,7 +128,7 @@
 }
 
 // parse checks a configuration's text, with what goes before it.
-func parse(text []byte, before func(f *file)) (Config, error) {
+func parse(text []byte, adjust func(f *file)) (Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
 		var wrong *json.UnmarshalTypeError
@@ -137,13 +137,13 @@
 		}
 		return Config{}, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	if before != nil {
-		before(&f)
+	if adjust != nil {
+		adjust(&f)
 	}
 	return f.check()
 }
 
-func override(f *file, getenv func(string) string) {
+func overrideFromEnv(f *file, getenv func(string) string) {
 	for _, v := range []struct {
 		to   *string
 		name string
@@ -155,7 +155,7 @@
 }
 
 // pool checks what only a configuration of the new shape must say or must not.
-func (f *file) pool(values settings.Values) error {
+func (f *file) checkPool(values settings.Values) error {
 	switch {
 	case f.Shape == nil || *f.Shape == 1:
 		return nil
@@ -174,8 +174,8 @@
 
 func (f *file) check() (c Config, err error) {
 	c = Config{Name: f.Name, Known: f.Known, Mark: f.Mark, Cores: 1, MemoryMB: 192, Sockets: 1024}
-	addr := func(key, text string, must bool) (a netip.AddrPort) {
-		if text == "" && !must || err != nil {
+	addr := func(key, text string, required bool) (a netip.AddrPort) {
+		if text == "" && !required || err != nil {
 			return a
 		}
 		if a, err = netip.ParseAddrPort(text); err != nil {
@@ -183,12 +183,12 @@
 		}
 		return a
 	}
-	least := func(key string, given *int, to *int, least int) {
+	atLeast := func(key string, given *int, to *int, atLeast int) {
 		if given != nil {
 			*to = *given
 		}
-		if *to < least && err == nil {
-			err = fmt.Errorf("%s: %d is below %d", key, *to, least)
+		if *to < atLeast && err == nil {
+			err = fmt.Errorf("%s: %d is below %d", key, *to, atLeast)
 		}
 	}
 	if strings.ContainsFunc(f.Mark, func(r rune) bool { return r <= ' ' || r > '~' }) || len(f.Mark) > 64 {
@@ -208,8 +208,8 @@
 		}
 		c.Cores = int(math.Ceil(*cores))
 	}
-	least("limits.memory_mb", f.Limits.MemoryMB, &c.MemoryMB, leastMemory)
-	least("limits.sockets", f.Limits.Sockets, &c.Sockets, leastSockets)
+	atLeast("limits.memory_mb", f.Limits.MemoryMB, &c.MemoryMB, minMemoryMB)
+	atLeast("limits.sockets", f.Limits.Sockets, &c.Sockets, minSockets)
 	if err != nil {
 		return c, err
 	}
@@ -231,19 +231,19 @@
 	if c.Settings, c.Names, c.Links, err = settings.Read(values, seed); err != nil {
 		return c, fmt.Errorf("settings.%w", err)
 	}
-	if err := f.pool(values); err != nil {
+	if err := f.checkPool(values); err != nil {
 		return c, err
 	}
 	c.Unserved = settings.Unsupported(values)
 	l := &c.Links
-	if l.IdleTimeout <= 0 {
-		l.IdleTimeout = idleUnsaid
+	if l.Idle <= 0 {
+		l.Idle = defaultIdle
 	}
-	if l.ConnectTimeout <= 0 {
-		l.ConnectTimeout = connectUnsaid
+	if l.Connect <= 0 {
+		l.Connect = defaultConnect
 	}
-	if most := c.Sockets / 2; l.MaxOpen <= 0 || l.MaxOpen > most { // a client that waits holds a socket
-		l.MaxOpen = most
+	if maxOpen := c.Sockets / 2; l.MaxOpen <= 0 || l.MaxOpen > maxOpen { // a client that waits holds a socket
+		l.MaxOpen = maxOpen
 	}
 	if s := &c.Settings; len(c.Peers) == 0 || !c.PeerListen.IsValid() {
 		s.MayNotifyPeers = false // no way to tell anybody
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -49,9 +49,9 @@
 }
 
 // check finds what single values do not show.
-func (f *Fleet) check(fault func(key, format string, a ...any)) {
+func (f *Fleet) check(addFault func(key, format string, a ...any)) {
 	if n := len(f.Voters); n != 0 && n != 1 && n != 3 && n != 5 {
-		fault("fleet.voters", "%d voters; there have to be 1, 3 or 5", n)
+		addFault("fleet.voters", "%d voters; there have to be 1, 3 or 5", n)
 	}
 	names := map[string]bool{}
 	for k, v := range f.Voters {
@@ -59,19 +59,19 @@
 		at, err := netip.ParseAddrPort(strings.TrimSpace(addr))
 		switch key := fmt.Sprintf("fleet.voters.%d", k); {
 		case err != nil || at.Port() == 0:
-			fault(key, "%q is no name and address:port", v)
+			addFault(key, "%q is no name and address:port", v)
 		case names[name]:
-			fault(key, "the name %s is there twice", name)
+			addFault(key, "the name %s is there twice", name)
 		default:
-			f.near(key, at, fault)
+			f.checkLoopback(key, at, addFault)
 		}
 		names[name] = true
 	}
 	if f.Listen != "" {
 		if at, err := netip.ParseAddrPort(f.Listen); err != nil {
-			fault("fleet.listen", "%q is not an address and port", f.Listen)
+			addFault("fleet.listen", "%q is not an address and port", f.Listen)
 		} else {
-			f.near("fleet.listen", at, fault)
+			f.checkLoopback("fleet.listen", at, addFault)
 		}
 	}
 	for k, v := range f.AddressMap {
@@ -79,20 +79,20 @@
 		_, err := netip.ParseAddrPort(from)
 		at, err2 := netip.ParseAddrPort(strings.TrimSpace(to))
 		if key := fmt.Sprintf("fleet.via.%d", k); err != nil || err2 != nil {
-			fault(key, "%q is not two of address:port", v)
+			addFault(key, "%q is not two of address:port", v)
 		} else {
-			f.near(key, at, fault)
+			f.checkLoopback(key, at, addFault)
 		}
 	}
 	if f.Lease < 3*f.Heartbeat {
-		fault("fleet.lease", "%g ms are less than three beats of %g", f.Lease, f.Heartbeat)
+		addFault("fleet.lease", "%g ms are less than three beats of %g", f.Lease, f.Heartbeat)
 	}
 }
 
 // near refuses what is not on loopback unless the file says so: whoever reaches the link can publish and shut out.
-func (f *Fleet) near(key string, at netip.AddrPort, fault func(key, format string, a ...any)) {
+func (f *Fleet) checkLoopback(key string, at netip.AddrPort, addFault func(key, format string, a ...any)) {
 	if !at.Addr().IsLoopback() && !f.BeyondLoopback {
-		fault(key, "%s is not on loopback; the link has no sign-in: on a private network say beyond_loopback = true", at)
+		addFault(key, "%s is not on loopback; the link has no sign-in: on a private network say beyond_loopback = true", at)
 	}
 }
 
@@ -114,15 +114,15 @@
 		m.AddressMap[from] = strings.TrimSpace(to)
 	}
 	for _, v := range f.Voters {
-		who, addr, _ := strings.Cut(v, " ")
+		voterName, addr, _ := strings.Cut(v, " ")
 		addr = strings.TrimSpace(addr)
-		m.Voters = append(m.Voters, fleet.Voter{Name: who, Address: addr})
-		if who == m.Name {
+		m.Voters = append(m.Voters, fleet.Voter{Name: voterName, Address: addr})
+		if voterName == m.Name {
 			if m.IsVoter = true; m.Listen == "" {
 				m.Listen = addr
 			}
 			if m.Listen != addr {
-				return m, fmt.Errorf("fleet.listen: %s, but the voters have %s at %s", m.Listen, who, addr)
+				return m, fmt.Errorf("fleet.listen: %s, but the voters have %s at %s", m.Listen, voterName, addr)
 			}
 		}
 	}
@@ -144,7 +144,7 @@
 
 // Overlay is the configuration with a version of the fleet's laid over what the file said (a JSON merge patch, RFC 7386),
 // and the names of what differs from the running one and waits for a restart. An error names the key at fault.
-func Overlay(own Config, getenv func(string) string, version []byte) (c Config, waits []string, err error) {
+func Overlay(own Config, getenv func(string) string, version []byte) (c Config, needsRestart []string, err error) {
 	var patch map[string]json.RawMessage
 	if err := json.Unmarshal(version, &patch); err != nil {
 		return c, nil, fmt.Errorf("not a JSON object: %w", err)
@@ -154,19 +154,19 @@
 			return c, nil, fmt.Errorf("%s: a version may say discovery, mark and settings; this is each member's own, or not known to this program", key)
 		}
 	}
-	var tree, over map[string]any
-	if err := decode(own.Text, &tree); err != nil {
+	var base, overlay map[string]any
+	if err := decode(own.Text, &base); err != nil {
 		return c, nil, fmt.Errorf("own configuration: %w", err)
 	}
-	if err := decode(version, &over); err != nil {
+	if err := decode(version, &overlay); err != nil {
 		return c, nil, err
 	}
-	text, err := json.Marshal(merge(tree, over))
+	text, err := json.Marshal(merge(base, overlay))
 	if err != nil {
 		return c, nil, fmt.Errorf("laid over: %w", err)
 	}
 	if c, err = parse(text, func(f *file) {
-		override(f, getenv)
+		overrideFromEnv(f, getenv)
 		if at := getenv("ROUTER_DISCOVERY"); at != "" && patch["discovery"] == nil {
 			f.Discovery = at
 		}
@@ -174,28 +174,28 @@
 		return c, nil, err
 	}
 	if len(patch["settings"]) > 0 {
-		said, err := settings.ParseJSON(patch["settings"])
+		values, err := settings.Nested(patch["settings"])
 		if err != nil {
 			return c, nil, fmt.Errorf("settings: %w", err)
 		}
-		for _, key := range settings.UnknownKeys(said) {
+		for _, key := range settings.Unread(values) {
 			return c, nil, fmt.Errorf("settings.%s is not known to this program", key)
 		}
 	}
 	c.Settings.Seed, c.Temp, c.Text = own.Settings.Seed, own.Temp, own.Text
-	return c, c.waits(own), nil
+	return c, c.needsRestart(own), nil
 }
 
 // waits names what of the settings differs from those of a running program and waits for a restart.
-func (c Config) waits(running Config) []string {
-	_, waits := settings.MergeReloadable(running.Settings, c.Settings, running.Names.Equal(c.Names))
-	if c.Links.IdleTimeout != running.Links.IdleTimeout || c.Links.ConnectTimeout != running.Links.ConnectTimeout {
-		waits = append(waits, "allowed.conn_idle", "allowed.connect_timeout")
+func (c Config) needsRestart(running Config) []string {
+	_, keys := settings.InFlight(running.Settings, c.Settings, running.Names.Same(c.Names))
+	if c.Links.Idle != running.Links.Idle || c.Links.Connect != running.Links.Connect {
+		keys = append(keys, "allowed.conn_idle", "allowed.connect_timeout")
 	}
-	for k := range waits {
-		waits[k] = "settings." + waits[k]
+	for k := range keys {
+		keys[k] = "settings." + keys[k]
 	}
-	return waits
+	return keys
 }
 
 func decode(text []byte, into any) error {
@@ -205,23 +205,23 @@
 }
 
 // merge lays one object over another: null takes a key out, objects are merged, all else takes the place of what was.
-func merge(to, over map[string]any) map[string]any {
-	if to == nil {
-		to = map[string]any{}
+func merge(target, patch map[string]any) map[string]any {
+	if target == nil {
+		target = map[string]any{}
 	}
-	for key, x := range over {
-		below, object := x.(map[string]any)
+	for key, value := range patch {
+		nested, isObject := value.(map[string]any)
 		switch {
-		case x == nil:
-			delete(to, key)
-		case object:
-			was, _ := to[key].(map[string]any)
-			to[key] = merge(was, below)
+		case value == nil:
+			delete(target, key)
+		case isObject:
+			existing, _ := target[key].(map[string]any)
+			target[key] = merge(existing, nested)
 		default:
-			to[key] = x
+			target[key] = value
 		}
 	}
-	return to
+	return target
 }
 
 func sortedKeys[V any](m map[string]V) (keys []string) {
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -13,12 +13,12 @@
 )
 
 // Migrated is the plan for the file at the path, and what the program's own check says of its result.
-func PlanMigration(path string, fill migrate.OperatorValues) (r migrate.Result, fault error, err error) {
+func PlanMigration(path string, values migrate.OperatorValues) (r migrate.Result, fault error, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return r, nil, fmt.Errorf("old configuration: %w", err)
 	}
-	if r, err = migrate.Plan(text, fill); err != nil {
+	if r, err = migrate.Plan(text, values); err != nil {
 		return r, nil, fmt.Errorf("%s: %w", path, err)
 	}
 	_, fault = parse(r.Text, nil)
@@ -27,11 +27,11 @@
 
 // WriteNew writes a file whole or not at all, and never over one that exists.
 func WriteNewFile(path, old string, text []byte) error {
-	was, err := os.Stat(old)
+	oldInfo, err := os.Stat(old)
 	if err != nil {
 		return fmt.Errorf("old configuration: %w", err)
 	}
-	if now, err := os.Stat(path); err == nil && os.SameFile(was, now) {
+	if newInfo, err := os.Stat(path); err == nil && os.SameFile(oldInfo, newInfo) {
 		return fmt.Errorf("%s: is the old configuration itself", path)
 	}
 	if _, err := os.Lstat(path); err == nil {
@@ -43,7 +43,7 @@
 	}
 	defer os.Remove(f.Name())
 	_, err = f.Write(text)
-	if err = errors.Join(err, f.Chmod(was.Mode().Perm()), f.Sync(), f.Close()); err != nil {
+	if err = errors.Join(err, f.Chmod(oldInfo.Mode().Perm()), f.Sync(), f.Close()); err != nil {
 		return fmt.Errorf("new configuration: %w", err)
 	}
 	if err := os.Link(f.Name(), path); err != nil { // fails where another came first
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -21,39 +21,39 @@
 // Default holds where the operator's file says nothing.
 var DefaultLimits = Limits{Lines: 20, LineBytes: 400}
 
-const kinds = 64 // that are told apart; there are fewer in the program
+const maxKinds = 64 // that are told apart; there are fewer in the program
 
 // kind is how many lines of one kind came in the present second.
-type kind struct {
+type kindCount struct {
 	second int64
 	lines  int
 }
 
 // Writer is for a slog.TextHandler, see Handler: it puts the time before each line itself.
 type Writer struct {
-	mu    sync.Mutex
-	out   io.Writer
-	most  Limits
-	now   func() time.Time
-	kinds map[string]kind
+	mu     sync.Mutex
+	out    io.Writer
+	limits Limits
+	now    func() time.Time
+	counts map[string]kindCount
 }
 
 // New writes to out.
 func New(out io.Writer, now func() time.Time) *Writer {
-	return &Writer{out: out, now: now, most: DefaultLimits, kinds: map[string]kind{}}
+	return &Writer{out: out, now: now, limits: DefaultLimits, counts: map[string]kindCount{}}
 }
 
 // Bound sets how much is written from now on.
-func (w *Writer) SetLimits(most Limits) {
+func (w *Writer) SetLimits(limits Limits) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.most = most
+	w.limits = limits
 }
 
 // Handler writes records as key=value lines; the message comes first and names the kind of line.
 func Handler(w *Writer, level slog.Leveler) slog.Handler {
-	return slog.NewTextHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: func(in []string, a slog.Attr) slog.Attr {
-		if len(in) == 0 && a.Key == slog.TimeKey { // the Writer's
+	return slog.NewTextHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
+		if len(groups) == 0 && a.Key == slog.TimeKey { // the Writer's
 			return slog.Attr{}
 		}
 		return a
@@ -64,31 +64,31 @@
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	now, all := w.now(), len(line)
-	_, key, _ := bytes.Cut(line[:min(all, 60)], []byte("msg="))
-	key, _, _ = bytes.Cut(key, []byte(" "))
-	k, known := w.kinds[string(key)]
-	if !known && len(w.kinds) >= kinds {
-		key = []byte("other")
-		k = w.kinds["other"]
+	now, size := w.now(), len(line)
+	_, kind, _ := bytes.Cut(line[:min(size, 60)], []byte("msg="))
+	kind, _, _ = bytes.Cut(kind, []byte(" "))
+	count, known := w.counts[string(kind)]
+	if !known && len(w.counts) >= maxKinds {
+		kind = []byte("other")
+		count = w.counts["other"]
 	}
 	stamp := now.Format("time=2006-01-02T15:04:05.000000Z07:00 ")
-	if k.second != now.Unix() {
-		if k.lines > w.most.Lines {
-			fmt.Fprintf(w.out, "%slevel=WARN msg=dropped dropped=%d of=%s\n", stamp, k.lines-w.most.Lines, key)
+	if count.second != now.Unix() {
+		if count.lines > w.limits.Lines {
+			fmt.Fprintf(w.out, "%slevel=WARN msg=dropped dropped=%d of=%s\n", stamp, count.lines-w.limits.Lines, kind)
 		}
-		k = kind{second: now.Unix()}
+		count = kindCount{second: now.Unix()}
 	}
-	k.lines++
-	w.kinds[string(key)] = k
-	if k.lines > w.most.Lines {
-		return all, nil
+	count.lines++
+	w.counts[string(kind)] = count
+	if count.lines > w.limits.Lines {
+		return size, nil
 	}
-	if all > w.most.LineBytes {
-		line = append(bytes.Clone(line[:w.most.LineBytes]), '\n')
+	if size > w.limits.LineBytes {
+		line = append(bytes.Clone(line[:w.limits.LineBytes]), '\n')
 	}
 	if _, err := w.out.Write(append([]byte(stamp), line...)); err != nil {
 		return 0, err
 	}
-	return all, nil
+	return size, nil
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -10,12 +10,12 @@
 
 // Figures are one dispatcher's, from the start of its process.
 type Metrics struct {
-	classes []string
-	ended   [][endings]atomic.Int64 // of each class
-	active  atomic.Int64
-	tries   atomic.Int64
-	listed  atomic.Int64
-	avoided atomic.Int64
+	categories []string
+	answered   [][outcomes]atomic.Int64 // of each class
+	active     atomic.Int64
+	handOffs   atomic.Int64
+	listed     atomic.Int64
+	ejected    atomic.Int64
 }
 
 // Ending is how a job ended for its client.
@@ -26,70 +26,70 @@
 	OK Outcome = iota
 	Shed
 	Error
-	endings = iota
+	outcomes = iota
 )
 
-var names = [endings]string{"ok", "shed", "errors"}
+var outcomeNames = [outcomes]string{"ok", "shed", "errors"}
 
 const prefix = "edge_router." // as the operators' page has it
 
 // New makes figures that are all 0, for classes as they are named on the wire.
-func New(classes []string) *Metrics {
-	return &Metrics{classes: classes, ended: make([][endings]atomic.Int64, len(classes))}
+func New(categories []string) *Metrics {
+	return &Metrics{categories: categories, answered: make([][outcomes]atomic.Int64, len(categories))}
 }
 
 // Taken counts a job that now has to be answered.
-func (f *Metrics) JobAccepted() {
-	if f != nil {
-		f.active.Add(1)
+func (m *Metrics) JobAccepted() {
+	if m != nil {
+		m.active.Add(1)
 	}
 }
 
 // Ended counts the answer to a job that was taken.
-func (f *Metrics) JobAnswered(class int, e Outcome) {
-	if f != nil {
-		f.ended[class][e].Add(1)
-		f.active.Add(-1)
+func (m *Metrics) JobAnswered(category int, outcome Outcome) {
+	if m != nil {
+		m.answered[category][outcome].Add(1)
+		m.active.Add(-1)
 	}
 }
 
 // Left counts a job off whose client went away.
-func (f *Metrics) ClientLeft() {
-	if f != nil {
-		f.active.Add(-1)
+func (m *Metrics) ClientLeft() {
+	if m != nil {
+		m.active.Add(-1)
 	}
 }
 
 // Tried counts a hand-off that was written whole to a worker.
-func (f *Metrics) HandOffSent() {
-	if f != nil {
-		f.tries.Add(1)
+func (m *Metrics) HandOffSent() {
+	if m != nil {
+		m.handOffs.Add(1)
 	}
 }
 
 // Pool takes how many workers are listed, and how many of these are avoided now.
-func (f *Metrics) SetPool(listed, avoided int) {
-	if f != nil {
-		f.listed.Store(int64(listed))
-		f.avoided.Store(int64(avoided))
+func (m *Metrics) SetPool(listed, ejected int) {
+	if m != nil {
+		m.listed.Store(int64(listed))
+		m.ejected.Store(int64(ejected))
 	}
 }
 
 // Append writes all figures, a line each.
-func (f *Metrics) Append(b []byte) []byte {
-	line := func(name string, n int64, form string) {
+func (m *Metrics) Append(b []byte) []byte {
+	line := func(name string, n int64, suffix string) {
 		b = append(append(b, prefix...), name...)
 		b = strconv.AppendInt(append(b, ':'), n, 10)
-		b = append(append(b, form...), '\n')
+		b = append(append(b, suffix...), '\n')
 	}
-	for e, name := range names {
-		for k, class := range f.classes {
-			line(name+"."+class, f.ended[k][e].Load(), "|c")
+	for outcome, name := range outcomeNames {
+		for k, category := range m.categories {
+			line(name+"."+category, m.answered[k][outcome].Load(), "|c")
 		}
 	}
-	line("tries", f.tries.Load(), "|c")
-	line("active", f.active.Load(), "|g")
-	line("pool_size", f.listed.Load(), "|g")
-	line("pool_ejected", f.avoided.Load(), "|g")
+	line("tries", m.handOffs.Load(), "|c")
+	line("active", m.active.Load(), "|g")
+	line("pool_size", m.listed.Load(), "|g")
+	line("pool_ejected", m.ejected.Load(), "|g")
 	return b
 }
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -38,20 +38,20 @@
 
 // Top-level keys by what becomes of them.
 var (
-	carried = []string{"name", "listen", "discovery", "ops", "seed", "limits", "settings", "shape"}
-	left    = map[string]string{
+	carriedKeys = []string{"name", "listen", "discovery", "ops", "seed", "limits", "settings", "shape"}
+	droppedKeys = map[string]string{
 		"peer_listen": "dispatchers of a pool do not speak to each other",
 		"peers":       "dispatchers of a pool do not speak to each other",
 		"peers_all":   "dispatchers of a pool do not speak to each other",
 		"known":       "names workers of the old deployment; discovery tells the new ones",
 	}
-	limits = []string{"cores", "memory_mb", "sockets"}
-	look   = []string{"siblings", "position", "localities", "locality", "machine_types", "categories", "realms", "allowed", "safety"}
+	limitKeys  = []string{"cores", "memory_mb", "sockets"}
+	reviewKeys = []string{"siblings", "position", "localities", "locality", "machine_types", "categories", "realms", "allowed", "safety"}
 )
 
 // Plan makes the counterpart of a configuration. The same input gives the same bytes.
-func Plan(old []byte, fill OperatorValues) (r Result, err error) {
-	tree, err := read(old)
+func Plan(old []byte, given OperatorValues) (r Result, err error) {
+	tree, err := decodeObject(old)
 	if err != nil {
 		return r, err
 	}
@@ -62,7 +62,7 @@
 	default:
 		return r, fmt.Errorf("shape: %v is none that this program knows", shape)
 	}
-	values, err := object(tree, "settings")
+	values, err := child(tree, "settings")
 	if err != nil {
 		return r, err
 	}
@@ -70,72 +70,72 @@
 		return r, errors.New("settings: is missing")
 	}
 	for _, key := range slices.Sorted(maps.Keys(tree)) {
-		why, known := left[key]
-		if slices.Contains(carried, key) {
+		reason, known := droppedKeys[key]
+		if slices.Contains(carriedKeys, key) {
 			continue
 		} else if !known {
-			why = "not known to this program"
+			reason = "not known to this program"
 		}
 		if tree[key] != nil || !known {
-			r.Dropped = append(r.Dropped, key+": "+why)
+			r.Dropped = append(r.Dropped, key+": "+reason)
 		}
 		delete(tree, key)
 	}
 	if tree["limits"] != nil {
-		l, err := object(tree, "limits")
+		l, err := child(tree, "limits")
 		if err != nil {
 			return r, err
 		}
 		for _, key := range slices.Sorted(maps.Keys(l)) {
-			if !slices.Contains(limits, key) {
+			if !slices.Contains(limitKeys, key) {
 				r.Dropped = append(r.Dropped, "limits."+key+": not known to this program")
 				delete(l, key)
 			}
 		}
 	}
 	tree["shape"] = Shape
-	part := map[string]map[string]any{"": values}
+	objects := map[string]map[string]any{"": values}
 	for _, key := range []string{"allowed", "prices", "load_info"} {
-		if part[key], err = object(values, key); err != nil {
+		if objects[key], err = child(values, key); err != nil {
 			return r, fmt.Errorf("settings.%w", err)
 		}
 	}
-	if part["allowed"]["peers"] == true {
+	if objects["allowed"]["peers"] == true {
 		r.Dropped = append(r.Dropped, "settings.allowed.peers: was true, is false: dispatchers of a pool do not speak to each other")
-		part["allowed"]["peers"] = false
+		objects["allowed"]["peers"] = false
 	}
 	for _, x := range []struct{ path, key, given, want string }{
-		{"", "weights", fill.Weights, "what the list's weights are: nominal, rough, none, live (--weights)"},
-		{"load_info", "how", fill.Load, "how workers report load: answers, probe, none (--load)"},
-		{"prices", "origin", fill.Origin, "price of a fetch for each work item, 0 where keys cost nothing (--origin)"},
+		{"", "weights", given.Weights, "what the list's weights are: nominal, rough, none, live (--weights)"},
+		{"load_info", "how", given.Load, "how workers report load: answers, probe, none (--load)"},
+		{"prices", "origin", given.Origin, "price of a fetch for each work item, 0 where keys cost nothing (--origin)"},
 	} {
 		at := "settings." + x.key
 		if x.path != "" {
 			at = "settings." + x.path + "." + x.key
 		}
-		was, is := part[x.path][x.key], any(x.given)
+		existing, value := objects[x.path][x.key], any(x.given)
 		if x.key == "origin" {
-			is = json.Number(x.given)
+			value = json.Number(x.given)
 		}
 		switch {
-		case x.given != "" && was != nil && fmt.Sprint(was) != x.given:
-			r.Dropped = append(r.Dropped, fmt.Sprintf("%s: was %v, is %v as told", at, was, x.given))
-			part[x.path][x.key] = is
+		case x.given != "" && existing != nil && fmt.Sprint(existing) != x.given:
+			r.Dropped = append(r.Dropped, fmt.Sprintf("%s: was %v, is %v as told", at, existing, x.given))
+			objects[x.path][x.key] = value
 		case x.given != "":
-			part[x.path][x.key] = is
-		case was != nil:
+			objects[x.path][x.key] = value
+		case existing != nil:
 			r.ToReview = append(r.ToReview, at)
 		default: // the program refuses to start until it is filled in: a guess could pass for knowledge
-			part[x.path][x.key] = nil
+			objects[x.path][x.key] = nil
 			r.ToFillIn = append(r.ToFillIn, at+": "+x.want)
 		}
 	}
-	for _, key := range look {
+	for _, key := range reviewKeys {
 		if values[key] != nil {
 			r.ToReview = append(r.ToReview, "settings."+key)
 		}
 	}
-	r.Text, err = write(tree)
+	r.Text, err = encode(tree)
 	if err != nil {
 		return r, err
 	}
@@ -154,10 +154,10 @@
 }
 
 // read takes one object, its numbers as they are written. A key that stands twice is a fault: one of the two would vanish.
-func read(text []byte) (map[string]any, error) {
+func decodeObject(text []byte) (map[string]any, error) {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.UseNumber()
-	tree, err := value(dec, "")
+	tree, err := decodeValue(dec, "")
 	if err != nil {
 		return nil, err
 	}
@@ -171,7 +171,7 @@
 	return m, nil
 }
 
-func value(dec *json.Decoder, path string) (any, error) {
+func decodeValue(dec *json.Decoder, path string) (any, error) {
 	t, err := dec.Token()
 	if err != nil {
 		return nil, fmt.Errorf("no JSON at byte %d: %w", dec.InputOffset(), err)
@@ -188,7 +188,7 @@
 			if _, twice := m[fmt.Sprint(k)]; twice {
 				return nil, fmt.Errorf("%s: stands twice", at)
 			}
-			if m[fmt.Sprint(k)], err = value(dec, at+"."); err != nil {
+			if m[fmt.Sprint(k)], err = decodeValue(dec, at+"."); err != nil {
 				return nil, err
 			}
 		}
@@ -196,7 +196,7 @@
 	case json.Delim('['):
 		l := []any{}
 		for k := 0; dec.More(); k++ {
-			x, err := value(dec, fmt.Sprintf("%s%d.", path, k))
+			x, err := decodeValue(dec, fmt.Sprintf("%s%d.", path, k))
 			if err != nil {
 				return nil, err
 			}
@@ -213,7 +213,7 @@
 }
 
 // object is the one at the key, made where there is none.
-func object(in map[string]any, key string) (map[string]any, error) {
+func child(in map[string]any, key string) (map[string]any, error) {
 	switch x := in[key].(type) {
 	case nil:
 		m := map[string]any{}
@@ -225,7 +225,7 @@
 	return nil, fmt.Errorf("%s: is not an object", key)
 }
 
-func write(tree map[string]any) ([]byte, error) {
+func encode(tree map[string]any) ([]byte, error) {
 	var b bytes.Buffer
 	enc := json.NewEncoder(&b)
 	enc.SetEscapeHTML(false)
--- a/internal/program/fleet_commands.go
+++ b/internal/program/fleet_commands.go
@@ -25,13 +25,13 @@
 )
 
 type fleetCommand struct {
-	Status  *fleetStatus  `arg:"subcommand:status" help:"how each member stands to the newest version"`
-	Audit   *fleetAudit   `arg:"subcommand:audit" help:"who acted on which version, and what is not known"`
-	Publish *fleetPublish `arg:"subcommand:publish" help:"a version for all members: what of the configuration is to differ (JSON)"`
-	ShutOut *fleetName    `arg:"subcommand:shut-out" help:"a member takes no new work until it is admitted"`
-	Admit   *fleetName    `arg:"subcommand:admit" help:"a member that was shut out or removed is in again"`
-	Remove  *fleetName    `arg:"subcommand:remove" help:"a member is none any longer: nothing waits for it"`
-	Voters  *fleetVoters  `arg:"subcommand:voters" help:"who votes; --replace NAME seats one anew that lost its folder"`
+	Status  *fleetStatus        `arg:"subcommand:status" help:"how each member stands to the newest version"`
+	Audit   *fleetAudit         `arg:"subcommand:audit" help:"who acted on which version, and what is not known"`
+	Publish *fleetPublish       `arg:"subcommand:publish" help:"a version for all members: what of the configuration is to differ (JSON)"`
+	ShutOut *fleetMemberCommand `arg:"subcommand:shut-out" help:"a member takes no new work until it is admitted"`
+	Admit   *fleetMemberCommand `arg:"subcommand:admit" help:"a member that was shut out or removed is in again"`
+	Remove  *fleetMemberCommand `arg:"subcommand:remove" help:"a member is none any longer: nothing waits for it"`
+	Voters  *fleetVoters        `arg:"subcommand:voters" help:"who votes; --replace NAME seats one anew that lost its folder"`
 }
 
 // asking is what all of them have.
@@ -58,7 +58,7 @@
 		After *uint64 `arg:"--after" placeholder:"N" help:"refused unless N is the newest version"`
 		Wait  bool    `arg:"--wait" help:"wait until all that can be reached have it in force, with --fence until that is complete"`
 	}
-	fleetName struct {
+	fleetMemberCommand struct {
 		asking
 		Member string `arg:"positional,required" placeholder:"NAME"`
 	}
@@ -69,20 +69,20 @@
 )
 
 const (
-	askWithin  = 10 * time.Second
-	waitWithin = 2 * time.Minute
-	waitEvery  = 200 * time.Millisecond
+	queryTimeout = 10 * time.Second
+	waitTimeout  = 2 * time.Minute
+	waitInterval = 200 * time.Millisecond
 )
 
 // asker finds a member and asks it.
-type asker struct {
+type fleetClient struct {
 	asking
 	client *fleetrpc.Client
 	addrs  []string
 }
 
-func (a asking) asker() (*asker, error) {
-	x := &asker{asking: a, addrs: []string{a.At}}
+func (a asking) newClient() (*fleetClient, error) {
+	x := &fleetClient{asking: a, addrs: []string{a.At}}
 	name := a.Fleet
 	if a.At == "" || name == "" {
 		o, err := config.LoadOperatorFile(a.File, os.Getenv)
@@ -113,10 +113,10 @@
 }
 
 // ask asks members in turn until one has an answer.
-func (x *asker) ask(q fleetrpc.AdminRequest) (a fleetrpc.AdminReply, err error) {
-	err = errNobody
+func (x *fleetClient) query(q fleetlink.Ask) (a fleetlink.Answer, err error) {
+	err = errNoAnswer
 	for _, addr := range x.addrs {
-		got, e := x.client.Admin(addr, q, askWithin)
+		got, e := x.client.Ask(addr, q, queryTimeout)
 		if e != nil {
 			err = e
 			continue
@@ -129,13 +129,13 @@
 }
 
 // command has something stand in the history.
-func (x *asker) command(c fleet.Command) (fleetrpc.AdminReply, error) {
-	c.RequestID, c.IssuedAt = x.Request, float64(time.Now().UnixMicro())/1000
-	c.RequestedBy = "unknown"
+func (x *fleetClient) submit(c fleet.Command) (fleetlink.Answer, error) {
+	c.Request, c.At = x.Request, float64(time.Now().UnixMicro())/1000
+	c.By = "unknown"
 	if u, err := user.Current(); err == nil {
 		c.RequestedBy = u.Username
 	}
-	a, err := x.ask(fleetrpc.AdminRequest{Command: c})
+	a, err := x.query(fleetlink.Ask{Command: c})
 	switch {
 	case err != nil:
 		return a, fmt.Errorf("%w; whether it was taken is not known: the same again with --request %s carries it out once", err, x.Request)
@@ -148,7 +148,7 @@
 }
 
 func (c *fleetCommand) run(p *arg.Parser, out, errs io.Writer) int {
-	err := c.do(out)
+	err := c.execute(out)
 	switch {
 	case err == errUsage:
 		_ = p.WriteHelpForSubcommand(errs, p.SubcommandNames()...) // of our own arguments
@@ -157,46 +157,46 @@
 		for _, line := range config.ErrorLines(err) {
 			fmt.Fprintln(errs, "weldmast: "+line)
 		}
-		return exitFault
+		return exitFailure
 	}
 	return 0
 }
 
 var errUsage = fmt.Errorf("no such command")
 
-func (c *fleetCommand) do(out io.Writer) error {
-	of := func(kind fleet.CommandKind, n *fleetName) error {
-		x, err := n.asker()
+func (c *fleetCommand) execute(out io.Writer) error {
+	memberCommand := func(kind fleet.Kind, n *fleetMemberCommand) error {
+		x, err := n.newClient()
 		if err != nil {
 			return err
 		}
-		a, err := x.command(fleet.Command{Kind: kind, Member: n.Member})
+		a, err := x.submit(fleet.Command{Kind: kind, Member: n.Member})
 		if err != nil {
 			return err
 		}
-		return x.show(out, a.Result, fmt.Sprintf("%s: %s, entry %d\n", n.Member, kind, a.Result.EntrySeq))
+		return x.print(out, a.Result, fmt.Sprintf("%s: %s, entry %d\n", n.Member, kind, a.Result.Entry))
 	}
 	switch {
 	case c.Status != nil:
-		return c.Status.do(out)
+		return c.Status.execute(out)
 	case c.Audit != nil:
-		return c.Audit.do(out)
+		return c.Audit.execute(out)
 	case c.Publish != nil:
-		return c.Publish.do(out)
+		return c.Publish.execute(out)
 	case c.ShutOut != nil:
-		return of(fleet.ExcludeMember, c.ShutOut)
+		return memberCommand(fleet.ShutOut, c.ShutOut)
 	case c.Admit != nil:
-		return of(fleet.AdmitMember, c.Admit)
+		return memberCommand(fleet.Admitted, c.Admit)
 	case c.Remove != nil:
-		return of(fleet.RemoveMember, c.Remove)
+		return memberCommand(fleet.Removed, c.Remove)
 	case c.Voters != nil:
-		return c.Voters.do(out)
+		return c.Voters.execute(out)
 	}
 	return errUsage
 }
 
 // show prints a value as JSON where that was asked for, else the text.
-func (a asking) show(out io.Writer, v any, text string) error {
+func (a asking) print(out io.Writer, v any, text string) error {
 	if !a.JSON {
 		_, err := io.WriteString(out, text)
 		return err
@@ -206,12 +206,12 @@
 	return e.Encode(v)
 }
 
-func (s *fleetStatus) do(out io.Writer) error {
-	x, err := s.asker()
+func (s *fleetStatus) execute(out io.Writer) error {
+	x, err := s.newClient()
 	if err != nil {
 		return err
 	}
-	a, err := x.ask(fleetrpc.AdminRequest{})
+	a, err := x.query(fleetlink.Ask{})
 	if err != nil {
 		return err
 	}
@@ -219,9 +219,9 @@
 	if a.Status == nil {
 		fmt.Fprintln(&b, "no leader can be reached; this is what the member itself knows")
 		if l := a.Local; l != nil {
-			fmt.Fprintf(&b, "%s: version %d in force, %d is the newest it knows; lease %s; takes work: %v; voter: %s\n", l.Member, l.ActiveVersion, l.NewestVersion, span(l.LeaseRemaining), l.AcceptsWork, cmp.Or(l.VoterState, "none"))
+			fmt.Fprintf(&b, "%s: version %d in force, %d is the newest it knows; lease %s; takes work: %v; voter: %s\n", l.Member, l.InForce, l.Newest, formatInterval(l.Lease), l.Open, cmp.Or(l.Voter, "none"))
 		}
-		if err := x.show(out, a.Local, b.String()); err != nil {
+		if err := x.print(out, a.Local, b.String()); err != nil {
 			return err
 		}
 		return fmt.Errorf("the council has no leader that can be reached")
@@ -229,65 +229,65 @@
 	st := a.Status
 	fmt.Fprintf(&b, "fleet %s: %d entries, digest %s, newest version %d, led by %s\n", st.Fleet, st.LastSeq, st.Digest, st.NewestVersion, st.Leader)
 	switch {
-	case st.FencedVersion > 0 && st.FenceCompleteAt > 0:
-		fmt.Fprintf(&b, "fence %d: complete since %s; nobody acts on an older version\n", st.FencedVersion, clock(st.FenceCompleteAt))
-	case st.FencedVersion > 0:
-		fmt.Fprintf(&b, "fence %d: not complete\n", st.FencedVersion)
-		for _, w := range st.FenceWaits {
-			fmt.Fprintf(&b, "  waits for %s: %s%s\n", w.Member, w.Reason, within(w.Remaining))
+	case st.Fenced > 0 && st.Fence > 0:
+		fmt.Fprintf(&b, "fence %d: complete since %s; nobody acts on an older version\n", st.Fenced, formatTime(st.Fence))
+	case st.Fenced > 0:
+		fmt.Fprintf(&b, "fence %d: not complete\n", st.Fenced)
+		for _, w := range st.Waits {
+			fmt.Fprintf(&b, "  waits for %s: %s%s\n", w.Member, w.Why, formatRemaining(w.Until))
 		}
 	}
 	for _, v := range st.Voters {
-		fmt.Fprintf(&b, "voter %s: heard %s\n", v.Name, ago(v.SinceContact))
+		fmt.Fprintf(&b, "voter %s: heard %s\n", v.Name, formatAgo(v.Heard))
 	}
 	for _, m := range st.Members {
-		fmt.Fprintf(&b, "%-12s %-10s version %-4d lease %-8s heard %-16s %s\n", m.Member, m.State, m.ActiveVersion, span(m.LeaseRemaining), ago(m.SinceContact), m.Cause)
-		for _, more := range []string{prefixed("waits for a restart: ", m.PendingRestart), prefixed("voter: ", m.VoterState)} {
+		fmt.Fprintf(&b, "%-12s %-10s version %-4d lease %-8s heard %-16s %s\n", m.Member, m.Standing, m.InForce, formatInterval(m.Lease), formatAgo(m.Heard), m.Cause)
+		for _, more := range []string{withPrefix("waits for a restart: ", m.Waits), withPrefix("voter: ", m.Voter)} {
 			if more != "" {
 				fmt.Fprintf(&b, "%-12s %s\n", "", more)
 			}
 		}
 	}
-	return x.show(out, st, b.String())
+	return x.print(out, st, b.String())
 }
 
-func prefixed(prefix, text string) string {
+func withPrefix(prefix, text string) string {
 	if text == "" {
 		return ""
 	}
 	return prefix + text
 }
 
-func span(ms float64) string {
+func formatInterval(ms float64) string {
 	if ms < 0 {
 		return "none"
 	}
 	return (time.Duration(ms) * time.Millisecond).String()
 }
 
-func ago(ms float64) string {
+func formatAgo(ms float64) string {
 	if ms < 0 {
 		return "never"
 	}
-	return span(ms) + " ago"
+	return formatInterval(ms) + " ago"
 }
 
-func within(ms float64) string {
+func formatRemaining(ms float64) string {
 	if ms < 0 {
 		return ""
 	}
-	return ", over in " + span(ms)
+	return ", over in " + formatInterval(ms)
 }
 
-func clock(unix float64) string {
+func formatTime(unix float64) string {
 	if unix <= 0 {
 		return "-"
 	}
 	return time.UnixMilli(int64(unix)).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-func (s *fleetAudit) do(out io.Writer) error {
-	x, err := s.asker()
+func (s *fleetAudit) execute(out io.Writer) error {
+	x, err := s.newClient()
 	if err != nil {
 		return err
 	}
@@ -301,7 +301,7 @@
 			return fmt.Errorf("--since: %q is neither a time such as 2026-12-01T10:00:00Z nor one ago such as 15m", s.Since)
 		}
 	}
-	a, err := x.ask(q)
+	a, err := x.query(q)
 	if err != nil {
 		return err
 	}
@@ -314,22 +314,22 @@
 		switch {
 		case v.Version == 0:
 			fmt.Fprintln(&b, "version 0: each member's own files")
-		case v.FenceCompleteAt > 0:
-			fmt.Fprintf(&b, "version %d %s: published %s by %s; fence complete %s\n", v.Version, v.TextDigest, clock(v.PublishedAt), v.PublishedBy, clock(v.FenceCompleteAt))
+		case v.Complete > 0:
+			fmt.Fprintf(&b, "version %d %s: published %s by %s; fence complete %s\n", v.Version, v.Sum, formatTime(v.Published), v.By, formatTime(v.Complete))
 		default:
-			fmt.Fprintf(&b, "version %d %s: published %s by %s%s\n", v.Version, v.TextDigest, clock(v.PublishedAt), v.PublishedBy, map[bool]string{true: "; fence not complete"}[v.Fence])
+			fmt.Fprintf(&b, "version %d %s: published %s by %s%s\n", v.Version, v.Sum, formatTime(v.Published), v.By, map[bool]string{true: "; fence not complete"}[v.Fence])
 		}
-		for _, w := range v.FenceWaits {
-			fmt.Fprintf(&b, "  waits for %s: %s%s\n", w.Member, w.Reason, within(w.Remaining))
+		for _, w := range v.Waits {
+			fmt.Fprintf(&b, "  waits for %s: %s%s\n", w.Member, w.Why, formatRemaining(w.Until))
 		}
-		if v.LastOlderAction > 0 {
-			fmt.Fprintf(&b, "  last act on an older one: %s by %s, as far as is known\n", clock(v.LastOlderAction), v.LastOlderMember)
+		if v.LastOlder > 0 {
+			fmt.Fprintf(&b, "  last act on an older one: %s by %s, as far as is known\n", formatTime(v.LastOlder), v.OlderBy)
 		}
 		for _, l := range v.Lines {
-			fmt.Fprintf(&b, "  %-12s run %.8s in force %s", l.Member, l.RunID, clock(l.Actions.ActiveSince))
-			for k, t := range l.Actions.Counts {
+			fmt.Fprintf(&b, "  %-12s run %.8s in force %s", l.Member, l.Run, formatTime(l.Acts.Since))
+			for k, t := range l.Acts.Kinds {
 				if t.Count > 0 {
-					fmt.Fprintf(&b, "; %s %d, %s to %s", fleet.Action(k), t.Count, clock(t.First), clock(t.Last))
+					fmt.Fprintf(&b, "; %s %d, %s to %s", fleet.Act(k), t.Count, formatTime(t.First), formatTime(t.Last))
 				}
 			}
 			fmt.Fprintf(&b, " (%s)\n", l.Evidence)
@@ -337,21 +337,21 @@
 	}
 	for _, g := range a.Audit.Gaps {
 		to := "now"
-		if g.Interval.To > 0 {
-			to = clock(g.Interval.To)
+		if g.Span.To > 0 {
+			to = formatTime(g.Span.To)
 		}
-		fmt.Fprintf(&b, "unknown: %s from %s to %s\n", g.Member, clock(g.Interval.From), to)
+		fmt.Fprintf(&b, "unknown: %s from %s to %s\n", g.Member, formatTime(g.Span.From), to)
 	}
 	for _, m := range a.Audit.Members {
 		if m.State != fleet.MemberCurrent {
 			fmt.Fprintf(&b, "%s: %s, version %d: %s\n", m.Member, m.State, m.ActiveVersion, m.Cause)
 		}
 	}
-	return x.show(out, a.Audit, b.String())
+	return x.print(out, a.Audit, b.String())
 }
 
-func (s *fleetPublish) do(out io.Writer) error {
-	x, err := s.asker()
+func (s *fleetPublish) execute(out io.Writer) error {
+	x, err := s.newClient()
 	if err != nil {
 		return err
 	}
@@ -363,58 +363,58 @@
 	if s.After != nil {
 		c.ExpectedNewestPlus1 = *s.After + 1
 	}
-	a, err := x.command(c)
+	a, err := x.submit(c)
 	if err != nil {
 		return err
 	}
-	said := fmt.Sprintf("version %d, entry %d%s\n", a.Result.Version, a.Result.EntrySeq, map[bool]string{true: ", as before"}[a.Result.Duplicate])
+	message := fmt.Sprintf("version %d, entry %d%s\n", a.Result.Version, a.Result.Entry, map[bool]string{true: ", as before"}[a.Result.Again])
 	if !s.Wait {
-		return x.show(out, a.Result, said)
+		return x.print(out, a.Result, message)
 	}
-	waits := ""
-	for end := time.Now().Add(waitWithin); time.Now().Before(end); time.Sleep(waitEvery) {
-		st, err := x.ask(fleetrpc.AdminRequest{})
+	waitsFor := ""
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(waitInterval) {
+		st, err := x.query(fleetlink.Ask{})
 		if err != nil || st.Status == nil {
-			waits = "the council has no leader that can be reached"
+			waitsFor = "the council has no leader that can be reached"
 			continue
 		}
-		var open []string
+		var pending []string
 		if s.Fence {
-			for _, w := range st.Status.FenceWaits {
-				open = append(open, w.Member+" ("+w.Reason+")")
+			for _, w := range st.Status.Waits {
+				pending = append(pending, w.Member+" ("+w.Why+")")
 			}
 		} else {
 			for _, m := range st.Status.Members {
-				if m.ActiveVersion < a.Result.Version && slices.Contains([]fleet.MemberState{fleet.MemberCurrent, fleet.MemberBehind, fleet.MemberStraggler}, m.State) {
-					open = append(open, m.Member+" ("+string(m.State)+": "+m.Cause+")")
+				if m.InForce < a.Result.Version && slices.Contains([]fleet.Standing{fleet.Current, fleet.Behind, fleet.Straggler}, m.Standing) {
+					pending = append(pending, m.Member+" ("+string(m.Standing)+": "+m.Cause+")")
 				}
 			}
 		}
-		if waits = strings.Join(open, ", "); waits == "" && (!s.Fence || st.Status.FenceCompleteAt > 0) {
+		if waitsFor = strings.Join(pending, ", "); waitsFor == "" && (!s.Fence || st.Status.Fence > 0) {
 			if s.Fence {
-				said += fmt.Sprintf("fence complete since %s\n", clock(st.Status.FenceCompleteAt))
+				message += fmt.Sprintf("fence complete since %s\n", formatTime(st.Status.Fence))
 			} else {
-				said += "in force at all that were heard of\n"
+				message += "in force at all that were heard of\n"
 			}
-			return x.show(out, a.Result, said)
+			return x.print(out, a.Result, message)
 		}
 	}
-	return fmt.Errorf("%safter %s it still waits for %s", said, waitWithin, waits)
+	return fmt.Errorf("%safter %s it still waits for %s", message, waitTimeout, waitsFor)
 }
 
-func (s *fleetVoters) do(out io.Writer) error {
-	x, err := s.asker()
+func (s *fleetVoters) execute(out io.Writer) error {
+	x, err := s.newClient()
 	if err != nil {
 		return err
 	}
 	if s.Replace != "" {
-		a, err := x.command(fleet.Command{Kind: fleet.AddVoter, Member: s.Replace})
+		a, err := x.submit(fleet.Command{Kind: fleet.Seated, Member: s.Replace})
 		if err != nil {
 			return err
 		}
-		return x.show(out, a.Result, fmt.Sprintf("%s: seated anew, entry %d\n", s.Replace, a.Result.EntrySeq))
+		return x.print(out, a.Result, fmt.Sprintf("%s: seated anew, entry %d\n", s.Replace, a.Result.Entry))
 	}
-	a, err := x.ask(fleetrpc.AdminRequest{})
+	a, err := x.query(fleetlink.Ask{})
 	if err != nil {
 		return err
 	}
@@ -423,7 +423,7 @@
 	}
 	var b bytes.Buffer
 	for _, v := range a.Status.Voters {
-		fmt.Fprintf(&b, "%s: heard %s\n", v.Name, ago(v.SinceContact))
+		fmt.Fprintf(&b, "%s: heard %s\n", v.Name, formatAgo(v.Heard))
 	}
-	return x.show(out, a.Status.Voters, b.String())
+	return x.print(out, a.Status.Voters, b.String())
 }
--- a/internal/program/fleet_member.go
+++ b/internal/program/fleet_member.go
@@ -30,35 +30,35 @@
 
 // inForce is the configuration that the reducer has. There are two ways to change it, SIGHUP and a fleet's version, and
 // one way of applying.
-type inForce struct {
-	node *node.Node
-	most int // clients that may wait at once, whatever the configuration says: the fleet's link has its part of the descriptors
-
-	mu      sync.Mutex
-	running config.Config // as started and last reloaded: what versions are laid over
-	version fleet.Version // 0: none
-	moved   string        // where discovery was last said to be
+type activeConfig struct {
+	node       *node.Node
+	maxClients int // clients that may wait at once, whatever the configuration says: the fleet's link has its part of the descriptors
+
+	mu        sync.Mutex
+	own       config.Config // as started and last reloaded: what versions are laid over
+	version   fleet.Version // 0: none
+	discovery string        // where discovery was last said to be
 }
 
-func (f *inForce) bound(open int) int {
-	if f.most > 0 {
-		return min(open, f.most)
+func (f *activeConfig) limitClients(open int) int {
+	if f.maxClients > 0 {
+		return min(open, f.maxClients)
 	}
 	return open
 }
 
 // reload takes the process's own files anew; a version that is in force is laid over them again.
-func (f *inForce) reload(next config.Config) {
+func (f *activeConfig) reload(next config.Config) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := f.running
-	now.Text, now.Mark, now.Discovery, now.Known = next.Text, next.Mark, next.Discovery, next.Known
-	s, _ := settings.MergeReloadable(now.Settings, next.Settings, now.Names.Equal(next.Names))
-	other := !reflect.DeepEqual(s, now.Settings) || now.Links.MaxOpen != next.Links.MaxOpen || now.Mark != f.running.Mark
-	now.Settings, now.Links.MaxOpen = s, next.Links.MaxOpen
-	f.running = now
+	updated := f.own
+	updated.Text, updated.Mark, updated.Discovery, updated.Known = next.Text, next.Mark, next.Discovery, next.Known
+	s, _ := settings.InFlight(updated.Settings, next.Settings, updated.Names.Same(next.Names))
+	changed := !reflect.DeepEqual(s, updated.Settings) || updated.Links.MaxOpen != next.Links.MaxOpen || updated.Mark != f.own.Mark
+	updated.Settings, updated.Links.MaxOpen = s, next.Links.MaxOpen
+	f.own = updated
 	if f.version.Number > 0 {
-		_, err := f.lay(f.version, nil)
+		_, err := f.overlay(f.version, nil)
 		if err == nil {
 			return
 		}
@@ -66,73 +66,73 @@
 		slog.Error("reload", "reload", "the fleet's version cannot be laid over it and stays as it is", "version", f.version.Number, "err", err)
 		return
 	}
-	if other {
-		f.node.Enqueue(node.ConfigChanged{Settings: now.Settings, MaxOpen: f.bound(now.Links.MaxOpen), Mark: now.Mark})
+	if changed {
+		f.node.Queue(node.Changed{Settings: updated.Settings, MaxOpen: f.limitClients(updated.Links.MaxOpen), Mark: updated.Mark})
 	}
-	f.node.Enqueue(node.DiscoveryMoved{Discovery: now.Discovery.String()}) // the same address is asked anew as well
+	f.node.Queue(node.Moved{Discovery: updated.Discovery.String()}) // the same address is asked anew as well
 }
 
 // bring has a version of the fleet's brought into force.
-func (f *inForce) bring(v fleet.Version, applied func(waits string)) error {
+func (f *activeConfig) applyVersion(version fleet.Version, applied func(waits string)) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, err := f.lay(v, applied)
+	_, err := f.overlay(version, applied)
 	if err == nil {
-		f.version = v
+		f.version = version
 	}
 	return err
 }
 
 // check tells whether a version could be laid over this process's configuration.
-func (f *inForce) check(text []byte) error {
+func (f *activeConfig) checkVersion(text []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, _, err := config.Overlay(f.running, os.Getenv, text)
+	_, _, err := config.Overlay(f.own, os.Getenv, text)
 	return err
 }
 
 // lay has the reducer take a version laid over the process's own configuration. The lock is held.
-func (f *inForce) lay(v fleet.Version, applied func(waits string)) (waits []string, err error) {
-	c, waits, err := config.Overlay(f.running, os.Getenv, v.Text)
+func (f *activeConfig) overlay(version fleet.Version, applied func(needsRestart string)) (needsRestart []string, err error) {
+	c, needsRestart, err := config.Overlay(f.own, os.Getenv, version.Text)
 	if err != nil {
 		return nil, err
 	}
-	s, _ := settings.MergeReloadable(f.running.Settings, c.Settings, f.running.Names.Equal(c.Names))
-	change := node.ConfigChanged{Version: v.Number, Settings: s, MaxOpen: f.bound(c.Links.MaxOpen), Mark: c.Mark, Discovery: c.Discovery.String()}
+	s, _ := settings.InFlight(f.own.Settings, c.Settings, f.own.Names.Same(c.Names))
+	change := node.Changed{Version: version.Number, Settings: s, MaxOpen: f.limitClients(c.Links.MaxOpen), Mark: c.Mark, Discovery: c.Discovery.String()}
 	if applied != nil {
-		change.OnApplied = func() { go applied(strings.Join(waits, ", ")) } // the reducer waits for nobody
+		change.Applied = func() { go applied(strings.Join(needsRestart, ", ")) } // the reducer waits for nobody
 	}
-	f.node.Enqueue(change)
-	return waits, nil
+	f.node.Queue(change)
+	return needsRestart, nil
 }
 
 // part is a process's part in its fleet; nil: it is of none.
-type part struct {
-	m       config.Membership
-	own     config.Config
-	force   *inForce
-	clock   fleetagent.Clock
-	gate    *fleetagent.LeaseGuard
-	run     string
-	seed    uint64
-	voting  StartVoter
-	stop    chan struct{}
-	running sync.WaitGroup
-
-	bound   atomic.Bool // the member's address is this process's
-	mu      sync.Mutex
-	council fleetrpc.VoterService
-	member  *fleetagent.Agent
-	server  *fleetrpc.Server
+type fleetMember struct {
+	membership config.Membership
+	ownConfig  config.Config
+	active     *activeConfig
+	clock      member.Clock
+	gate       *member.Gate
+	runID      string
+	seed       uint64
+	startVoter StartVoter
+	stop       chan struct{}
+	goroutines sync.WaitGroup
+
+	addressBound atomic.Bool // the member's address is this process's
+	mu           sync.Mutex
+	voter        fleetlink.Council
+	member       *member.Member
+	server       *fleetlink.Server
 }
 
 // join prepares the part.
-func join(f *config.Fleet, own config.Config, force *inForce, voting StartVoter) (*part, error) {
+func joinFleet(f *config.Fleet, own config.Config, active *activeConfig, startVoter StartVoter) (*fleetMember, error) {
 	m, err := f.MembershipFor(own.Name)
 	if err != nil {
 		return nil, err
 	}
-	if m.IsVoter && voting == nil {
+	if m.IsVoter && startVoter == nil {
 		return nil, fmt.Errorf("fleet.voters: %s is to vote, and this build cannot: start weldmast-voter in its place", m.Name)
 	}
 	if err := m.CreateFolder(); err != nil {
@@ -143,45 +143,45 @@
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	p := &part{m: m, own: own, force: force, clock: fleetagent.NewClock(), run: hex.EncodeToString(random[:8]), voting: voting, stop: make(chan struct{}),
+	p := &fleetMember{membership: m, ownConfig: own, active: active, clock: member.NewClock(), runID: hex.EncodeToString(random[:8]), startVoter: startVoter, stop: make(chan struct{}),
 		seed: binary.BigEndian.Uint64(random[8:])}
-	p.gate = fleetagent.NewLeaseGuard(p.clock, p.run)
+	p.gate = member.NewGate(p.clock, p.runID)
 	return p, nil
 }
 
 // descriptors are those that the part may use, out of the limit.
-func (p *part) descriptors() int {
-	if p.m.IsVoter {
-		return max(fleetrpc.ReservedDescriptors, p.own.Sockets/2)
+func (p *fleetMember) maxDescriptors() int {
+	if p.membership.IsVoter {
+		return max(fleetlink.Descriptors, p.ownConfig.Sockets/2)
 	}
 	return fleetrpc.ReservedDescriptors
 }
 
 // follow begins, once the reducer is about to run.
-func (p *part) follow() {
+func (p *fleetMember) start() {
 	if p == nil {
 		return
 	}
-	p.running.Go(func() {
+	p.goroutines.Go(func() {
 		l := p.listen()
 		if l == nil {
 			return
 		}
-		p.begin(l)
+		p.serve(l)
 	})
 }
 
 // listen waits until the member's address is free: an older process of this member may still have it. Until then it
 // follows without one.
-func (p *part) listen() net.Listener {
+func (p *fleetMember) listen() net.Listener {
 	for first := true; ; first = false {
-		l, err := net.Listen("tcp4", p.m.Listen)
+		l, err := net.Listen("tcp4", p.membership.Listen)
 		if err == nil {
 			return l
 		}
 		if first {
-			slog.Warn("fleet", "fleet", "waits for its address", "listen", p.m.Listen, "err", err)
-			p.start(p.m.Listen, nil)
+			slog.Warn("fleet", "fleet", "waits for its address", "listen", p.membership.Listen, "err", err)
+			p.startMember(p.membership.Listen, nil)
 		}
 		select {
 		case <-p.stop:
@@ -191,56 +191,56 @@
 	}
 }
 
-func (p *part) begin(l net.Listener) {
-	p.bound.Store(true)
+func (p *fleetMember) serve(l net.Listener) {
+	p.addressBound.Store(true)
 	addr := l.Addr().String()
-	var council fleetrpc.VoterService
-	if p.m.IsVoter {
+	var voter fleetlink.Council
+	if p.membership.IsVoter {
 		var err error
-		if council, err = p.voting(VoterOptions{Membership: p.m, Address: addr, Run: p.run, Seed: p.seed, Clock: p.clock}); err != nil {
+		if voter, err = p.startVoter(VoterOptions{Membership: p.membership, Address: addr, Run: p.runID, Seed: p.seed, Clock: p.clock}); err != nil {
 			slog.Error("fleet", "fleet", "no council", "err", err)
 		}
 	}
-	slog.Info("fleet", "fleet", p.m.Fleet, "member", p.m.Name, "listen", addr, "run", p.run)
-	p.start(addr, council)
+	slog.Info("fleet", "fleet", p.membership.Fleet, "member", p.membership.Name, "listen", addr, "run", p.runID)
+	p.startMember(addr, voter)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.council = council
+	p.voter = voter
 	select {
 	case <-p.stop:
 		l.Close()
 	default:
-		p.server = fleetrpc.Serve(l, p.m.Fleet, p.descriptors(), council, p.member)
+		p.server = fleetlink.Serve(l, p.membership.Fleet, p.maxDescriptors(), voter, p.member)
 	}
 }
 
 // start begins to follow, unless it does already.
-func (p *part) start(addr string, council fleetrpc.VoterService) {
+func (p *fleetMember) startMember(addr string, voter fleetlink.Council) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.member != nil {
-		p.member.SetVoter(council)
+		p.member.Vote(voter)
 		return
 	}
-	p.member = fleetagent.Start(fleetagent.Options{Fleet: p.m.Fleet, Name: p.m.Name, Address: addr, IsolationPolicy: p.m.WhenIsolated, Voters: p.m.Voters, AddressMap: p.m.AddressMap, Dir: p.m.Folder,
-		Timing: p.m.Timing, ProgramVersion: release, RunID: p.run, Seed: p.seed, Clock: p.clock, Voter: council, OwnsAddress: p.bound.Load, ApplyVersion: p.force.bring, CheckVersion: p.force.check}, p.gate)
+	p.member = member.Start(member.Options{Fleet: p.membership.Fleet, Name: p.membership.Name, Address: addr, Alone: p.membership.WhenIsolated, Voters: p.membership.Voters, Via: p.membership.AddressMap, Folder: p.membership.Folder,
+		Figures: p.membership.Timing, Program: release, Run: p.runID, Seed: p.seed, Clock: p.clock, Council: voter, Bound: p.addressBound.Load, Bring: p.active.applyVersion, Check: p.active.checkVersion}, p.gate)
 }
 
 // close ends the part, after the dispatcher has ended.
-func (p *part) close() {
+func (p *fleetMember) close() {
 	if p == nil {
 		return
 	}
 	close(p.stop)
-	p.running.Wait()
+	p.goroutines.Wait()
 	p.mu.Lock()
-	m, council, server := p.member, p.council, p.server
+	m, voter, server := p.member, p.voter, p.server
 	p.mu.Unlock()
 	if m != nil {
 		m.Close()
 	}
-	if council != nil {
-		council.Close()
+	if voter != nil {
+		voter.Close()
 	}
 	if server != nil {
 		server.Close()
@@ -248,4 +248,4 @@
 }
 
 // errNobody: no member said anything.
-var errNobody = errors.New("nobody answered")
+var errNoAnswer = errors.New("nobody answered")
--- a/internal/program/migrate.go
+++ b/internal/program/migrate.go
@@ -32,12 +32,12 @@
 			return exitUsage
 		}
 	}
-	x, err := strconv.ParseFloat(c.Origin, 64)
-	if c.Origin != "" && (err != nil || !(x >= 0) || x > 1e9 || strings.Trim(c.Origin, "0123456789.") != "") {
+	price, err := strconv.ParseFloat(c.Origin, 64)
+	if c.Origin != "" && (err != nil || !(price >= 0) || price > 1e9 || strings.Trim(c.Origin, "0123456789.") != "") {
 		fmt.Fprintf(errs, "weldmast: --origin: %q is not a plain number of 0 or more\n", c.Origin)
 		return exitUsage
 	} else if c.Origin != "" {
-		c.Origin = strconv.FormatFloat(x, 'f', -1, 64)
+		c.Origin = strconv.FormatFloat(price, 'f', -1, 64)
 	}
 	r, fault, err := config.PlanMigration(c.Old, migrate.OperatorValues{Weights: c.Weights, Load: c.Load, Origin: c.Origin})
 	if err == nil && !c.DryRun {
@@ -45,7 +45,7 @@
 	}
 	if err != nil {
 		fmt.Fprintf(errs, "weldmast: %v\n", err)
-		return exitFault
+		return exitFailure
 	}
 	for _, l := range []struct {
 		title string
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -21,8 +21,8 @@
 
 // What the program ends with.
 const (
-	exitFault = 1 // a fault of the configuration, or a start that failed
-	exitUsage = 2 // arguments that are none of ours
+	exitFailure = 1 // a fault of the configuration, or a start that failed
+	exitUsage   = 2 // arguments that are none of ours
 )
 
 // arguments are the command line. Without any, it serves: the platform starts it so. Kong, which reads weldlab's, is not
@@ -36,7 +36,7 @@
 }
 
 // Description stands at the head of the help.
-func (arguments) Description() string { return about }
+func (arguments) Description() string { return description }
 
 // files is what serve and check read.
 type files struct {
@@ -49,7 +49,7 @@
 	versionCommand struct{}
 )
 
-const about = `A dispatcher beside each submitter: it takes jobs from clients and pushes them to workers.
+const description = `A dispatcher beside each submitter: it takes jobs from clients and pushes them to workers.
 
 ROUTER_CONFIG names its configuration (JSON); ROUTER_NAME, ROUTER_LISTEN, ROUTER_OPS and ROUTER_DISCOVERY go before what
 that says.
@@ -68,19 +68,19 @@
 }
 
 // Run carries out a command line and tells what to end with.
-func Run(args []string, out, errs io.Writer, voting StartVoter) int {
+func Run(args []string, out, errs io.Writer, startVoter StartVoter) int {
 	if len(args) == 0 { // the platform's way: as little as can be stands between it and its sockets
-		return ended((&serveCommand{}).run(errs, voting), errs)
+		return reportExit((&serveCommand{}).run(errs, startVoter), errs)
 	}
 	var a arguments
 	p, err := arg.NewParser(arg.Config{Program: "weldmast", Out: errs}, &a)
 	if err != nil {
-		return ended(fmt.Errorf("command line: %w", err), errs)
+		return reportExit(fmt.Errorf("command line: %w", err), errs)
 	}
 	switch err := p.Parse(args); {
 	case errors.Is(err, arg.ErrHelp):
 		if err := p.WriteHelpForSubcommand(out, p.SubcommandNames()...); err != nil {
-			return ended(fmt.Errorf("help: %w", err), errs)
+			return reportExit(fmt.Errorf("help: %w", err), errs)
 		}
 		return 0
 	case err != nil:
@@ -95,14 +95,14 @@
 	case a.Fleet != nil:
 		return a.Fleet.run(p, out, errs)
 	case a.Version != nil:
-		version(out)
+		printVersion(out)
 		return 0
 	}
-	return ended(a.Serve.run(errs, voting), errs)
+	return reportExit(a.Serve.run(errs, startVoter), errs)
 }
 
 // ended logs why serving ended, if for a fault.
-func ended(err error, errs io.Writer) int {
+func reportExit(err error, errs io.Writer) int {
 	if err == nil {
 		return 0
 	}
@@ -110,24 +110,24 @@
 	for _, line := range config.ErrorLines(err) {
 		l.Error("fatal", "fatal", line)
 	}
-	return exitFault
+	return exitFailure
 }
 
 // run of check prints each fault on a line of its own.
 func (c *checkCommand) run(out, errs io.Writer) int {
-	_, first := config.LoadOperatorFile(c.File, os.Getenv)
-	var second error
+	_, operatorErr := config.LoadOperatorFile(c.File, os.Getenv)
+	var configErr error
 	var unserved []string
-	looked := os.Getenv("ROUTER_CONFIG") != ""
-	if looked {
+	configSet := os.Getenv("ROUTER_CONFIG") != ""
+	if configSet {
 		var l loaded
-		if l, second = load(); second != nil {
-			second = fmt.Errorf("ROUTER_CONFIG: %w", second)
+		if l, configErr = load(); configErr != nil {
+			configErr = fmt.Errorf("ROUTER_CONFIG: %w", configErr)
 		}
 		unserved = l.Unserved
 	}
 	faults := 0
-	for _, err := range []error{first, second} {
+	for _, err := range []error{operatorErr, configErr} {
 		if err != nil {
 			for _, line := range config.ErrorLines(err) {
 				fmt.Fprintln(errs, line)
@@ -137,9 +137,9 @@
 	}
 	if faults > 0 {
 		fmt.Fprintf(errs, "faults: %d\n", faults)
-		return exitFault
+		return exitFailure
 	}
-	if !looked {
+	if !configSet {
 		fmt.Fprintln(out, "ROUTER_CONFIG is not set: only the operator's file was looked at")
 	}
 	for _, note := range unserved {
@@ -150,7 +150,7 @@
 }
 
 // version prints what is known of the build.
-func version(out io.Writer) {
+func printVersion(out io.Writer) {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		info = &debug.BuildInfo{GoVersion: "unknown"}
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -29,7 +29,7 @@
 // loaded is a checked configuration with its list of workers.
 type loaded struct {
 	config.Config
-	known node.DiscoveryUpdate
+	workers node.Listing
 }
 
 func load() (l loaded, err error) {
@@ -37,7 +37,7 @@
 		return l, err
 	}
 	if len(l.Known) > 0 && string(l.Known) != "null" {
-		if l.known, err = transport.DecodeDiscoveryUpdate(l.Known, l.Names); err != nil {
+		if l.workers, err = platform.DecodeListing(l.Known, l.Names); err != nil {
 			return l, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -61,26 +61,26 @@
 }
 
 // aim sets the collector's aim; the operators' limit kills. Half of it while another process has the other half.
-func aim(mb int, half bool) {
-	aim := int64(mb) << 20 * 6 / 10
+func setMemoryLimit(mb int, half bool) {
+	limit := int64(mb) << 20 * 6 / 10
 	if half {
-		aim /= 2
+		limit /= 2
 	}
-	debug.SetMemoryLimit(aim)
+	debug.SetMemoryLimit(limit)
 }
 
 // descriptors is how many the process may use: what its configuration says, or what the system lets it have if that is less.
 // Relied on in vain, clients that only connect would leave none for discovery.
-func descriptors(said int) int {
+func descriptorLimit(configured int) int {
 	var l unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &l); err != nil || l.Cur >= uint64(said) {
-		return said
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &l); err != nil || l.Cur >= uint64(configured) {
+		return configured
 	}
 	return int(l.Cur)
 }
 
 // run serves until SIGTERM, then until all that was taken is answered.
-func (s *serveCommand) run(errs io.Writer, voting StartVoter) error {
+func (s *serveCommand) run(errs io.Writer, startVoter StartVoter) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	reload := make(chan os.Signal, 1) // its own: many of these must not crowd out the order to stop
@@ -92,69 +92,69 @@
 	if err != nil {
 		return err
 	}
-	heed := func(o config.OperatorFile) {
-		out.SetLimits(o.Log.Limits())
-		level.Set(o.Log.SlogLevel())
+	applyLogging := func(options config.OperatorFile) {
+		out.SetLimits(options.Log.Limits())
+		level.Set(options.Log.SlogLevel())
 	}
-	heed(operator)
+	applyLogging(operator)
 	c, err := load()
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	runtime.GOMAXPROCS(c.Cores)
-	aim(c.MemoryMB, false)
-	if system := descriptors(c.Sockets); system < c.Sockets {
+	setMemoryLimit(c.MemoryMB, false)
+	if system := descriptorLimit(c.Sockets); system < c.Sockets {
 		slog.Warn("limits", "sockets", c.Sockets, "system", system)
 		c.Sockets = system
 	}
 	c.Links.MaxOpen = min(c.Links.MaxOpen, c.Sockets/2)
-	o := transport.Options{Listen: c.Listen, PeerListen: c.PeerListen, Peers: c.Peers,
-		PeersAll: c.PeersAll, PeerIndex: c.Settings.Position, Names: c.Names, Connections: c.Links,
-		SecondCopies: c.Settings.SecondCopies, DiscoveryOnRequest: c.Settings.DiscoveryOnRequest, MaxSockets: c.Sockets}
+	options := platform.Options{Listen: c.Listen, PeerListen: c.PeerListen, Peers: c.Peers,
+		PeersAll: c.PeersAll, Number: c.Settings.Number, Names: c.Names, Links: c.Links,
+		Copies: c.Settings.SecondCopies, Asked: c.Settings.MustAsk, Sockets: c.Sockets}
 	for _, category := range c.Settings.Categories {
-		o.Expiries = append(o.Expiries, category.Expiry)
+		options.Expiries = append(options.Expiries, category.Expiry)
 	}
 	if c.Ops.IsValid() {
-		o.Metrics = metrics.New(c.Names.Categories)
-		o.MaxSockets -= admin.MaxDescriptors
+		options.Figures = metrics.New(c.Names.Categories)
+		options.Sockets -= admin.MaxDescriptors
 	}
 	var exchange *takeover.Exchange
 	if c.Temp != "" {
 		exchange = takeover.New(takeover.Options{Dir: c.Temp, Name: c.Name, Listen: c.Listen.String()})
-		if o.InheritedSockets, err = exchange.Find(); err != nil {
+		if options.Found, err = exchange.Find(); err != nil {
 			return err
 		}
-		o.Exchange, o.OnShare = exchange, func(half bool) { aim(c.MemoryMB, half) }
+		options.Exchange, options.Shared = exchange, func(half bool) { setMemoryLimit(c.MemoryMB, half) }
 	}
-	no := node.Options{Settings: c.Settings, MaxOpen: c.Links.MaxOpen, Discovery: c.Discovery.String(), CachedList: c.known, Metrics: o.Metrics,
+	nodeOptions := node.Options{Settings: c.Settings, MaxOpen: c.Links.MaxOpen, Discovery: c.Discovery.String(), Known: c.workers, Figures: options.Figures,
 		Mark: c.Mark}
-	force := &inForce{running: c.Config}
-	var of *part
+	active := &activeConfig{own: c.Config}
+	var fleetMember *fleetMember
 	if operator.Fleet != nil {
-		if of, err = join(operator.Fleet, c.Config, force, voting); err != nil {
+		if fleetMember, err = joinFleet(operator.Fleet, c.Config, active, startVoter); err != nil {
 			return err
 		}
-		defer of.close()
-		no.Guard, o.Guard = of.gate, of.gate
-		o.MaxSockets -= of.descriptors()
-		force.most = o.MaxSockets / 2
-		no.MaxOpen = force.bound(no.MaxOpen)
-	}
-	aside := c.Sockets - o.MaxSockets // for other parts, of whatever there is; half at most
-	o.SystemSocketLimit = func() int { now := descriptors(c.Sockets); return max(now-aside, now/2) }
-	n := node.New(no)
-	force.node = n
-	p, err := transport.Start(o, n)
+		defer fleetMember.close()
+		nodeOptions.Gate, options.Gate = fleetMember.gate, fleetMember.gate
+		options.Sockets -= fleetMember.maxDescriptors()
+		active.maxClients = options.Sockets / 2
+		nodeOptions.MaxOpen = active.limitClients(nodeOptions.MaxOpen)
+	}
+	reserved := c.Sockets - options.Sockets // for other parts, of whatever there is; half at most
+	options.Limit = func() int { now := descriptorLimit(c.Sockets); return max(now-reserved, now/2) }
+	n := node.New(nodeOptions)
+	active.node = n
+	p, err := platform.Start(options, n)
 	if err != nil {
 		return err
 	}
 	if c.Ops.IsValid() {
-		front, err := admin.Start(admin.Options{Listen: c.Ops, Metrics: o.Metrics,
+		adminServer, err := admin.Start(admin.Options{Listen: c.Ops, Metrics: options.Figures,
 			Ready: func() (string, bool) { return n.Phase().String(), n.Phase() == node.Serving }})
 		if err != nil {
 			return fmt.Errorf("ops: %w", err)
 		}
-		defer front.Close()
+		defer adminServer.Close()
 	}
 	slog.Info("name", "name", c.Name, "pid", os.Getpid())
 	go func() {
@@ -171,14 +171,14 @@
 					slog.Error("reload", "reload", "refused", "err", err)
 					continue
 				}
-				next, kept, err := config.Reload(os.Getenv, c.Config)
+				next, untilRestart, err := config.Reload(os.Getenv, c.Config)
 				if err != nil {
 					slog.Error("reload", "reload", "refused", "err", err)
 					continue
 				}
-				heed(operator)
-				slog.Info("reload", "reload", "taken", "until_restart", fmt.Sprint(kept))
-				force.reload(next)
+				applyLogging(operator)
+				slog.Info("reload", "reload", "taken", "until_restart", fmt.Sprint(untilRestart))
+				active.reload(next)
 			}
 		}
 	}()
@@ -192,7 +192,7 @@
 	if exchange != nil {
 		exchange.Run(p)
 	}
-	of.follow()
+	fleetMember.start()
 	n.Run(p)
 	p.Close()
 	exchange.Close()
--- a/internal/takeover/exchange.go
+++ b/internal/takeover/exchange.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	findWithin = time.Second // an older process has answered within this time, or there is none
-	pathMost   = 107         // bytes of a Unix socket's path
+	handshakeTimeout = time.Second // an older process has answered within this time, or there is none
+	maxSocketPath    = 107         // bytes of a Unix socket's path
 )
 
 // Host is the program of which one process takes the place of another. Its methods may be called from any goroutine.
@@ -56,18 +56,18 @@
 
 // Exchange is one process's side.
 type Exchange struct {
-	o        Options
-	path     string
-	host     Host
-	mu       sync.Mutex
-	m        Machine
-	older    *link
-	newer    *link
-	listener *net.UnixListener
-	file     fs.FileInfo // of the path while it is this process's
-	closed   bool
-	alone    time.Time // when the older process ended
-	running  sync.WaitGroup
+	opts              Options
+	path              string
+	host              Host
+	mu                sync.Mutex
+	machine           Machine
+	predecessor       *link
+	successor         *link
+	listener          *net.UnixListener
+	ownSocket         fs.FileInfo // of the path while it is this process's
+	closed            bool
+	predecessorGoneAt time.Time // when the older process ended
+	goroutines        sync.WaitGroup
 }
 
 // New makes an Exchange; nothing is said yet.
@@ -78,10 +78,10 @@
 		}
 		return '-'
 	}, o.Listen)
-	return &Exchange{o: o, path: filepath.Join(o.Dir, "weldmast-"+name)}
+	return &Exchange{opts: o, path: filepath.Join(o.Dir, "weldmast-"+name)}
 }
 
-func (x *Exchange) greeting() greeting { return greeting{ProtocolVersion, x.o.Name, x.o.Listen} }
+func (x *Exchange) greeting() greeting { return greeting{ProtocolVersion, x.opts.Name, x.opts.Listen} }
 
 // Find asks an older process for its sockets. None are given where there is no such process, or none that answers and
 // understands: then the start is an ordinary one. An error means that this process must not start.
@@ -89,9 +89,9 @@
 	if _, err := os.Lstat(x.path); errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
-	files, err := x.find()
+	files, err := x.connectToPredecessor()
 	switch {
-	case errors.Is(err, errTaken):
+	case errors.Is(err, errBusy):
 		return nil, err
 	case err != nil:
 		slog.Info("takeover", "takeover", "none to take over from", "path", x.path, "err", err)
@@ -99,31 +99,31 @@
 	return files, nil
 }
 
-var errTaken = errors.New("takeover: " + string(RefusedBusy))
+var errBusy = errors.New("takeover: " + string(RefusedBusy))
 
-func (x *Exchange) find() ([]*os.File, error) {
-	conn, err := (&net.Dialer{Timeout: findWithin}).Dial("unixpacket", x.path)
+func (x *Exchange) connectToPredecessor() ([]*os.File, error) {
+	conn, err := (&net.Dialer{Timeout: handshakeTimeout}).Dial("unixpacket", x.path)
 	if err != nil {
 		return nil, err
 	}
 	l := newLink(conn.(*net.UnixConn))
-	conn.SetReadDeadline(time.Now().Add(findWithin))
-	if err = sameUser(l.conn); err == nil {
-		err = l.greet(x.greeting())
+	conn.SetReadDeadline(time.Now().Add(handshakeTimeout))
+	if err = checkSameUser(l.conn); err == nil {
+		err = l.sendGreeting(x.greeting())
 	}
-	var what byte
-	var rest []byte
+	var kind byte
+	var payload []byte
 	var files []*os.File
 	if err == nil {
-		what, rest, files, err = l.hear(make([]byte, packetMost))
+		kind, payload, files, err = l.receive(make([]byte, maxPacket))
 	}
-	if err == nil && what == sayWelcome && len(files) == 0 {
+	if err == nil && kind == msgWelcome && len(files) == 0 {
 		err = errors.New("no sockets came with its welcome")
 	}
-	if err == nil && what != sayWelcome {
-		closeAll(files)
-		if err = fmt.Errorf("refused: %s", rest[:min(len(rest), 100)]); what == sayRefused && Refusal(rest) == RefusedBusy {
-			err = errTaken
+	if err == nil && kind != msgWelcome {
+		closeFiles(files)
+		if err = fmt.Errorf("refused: %s", payload[:min(len(payload), 100)]); kind == msgRefused && Refusal(payload) == RefusedBusy {
+			err = errBusy
 		}
 	}
 	if err != nil {
@@ -131,7 +131,7 @@
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Time{})
-	x.older = l
+	x.predecessor = l
 	slog.Info("takeover", "takeover", "beside an older process", "sockets", len(files))
 	return files, nil
 }
@@ -140,11 +140,11 @@
 func (x *Exchange) Run(host Host) {
 	x.host = host
 	x.mu.Lock()
-	x.do(x.m.Start(x.older != nil), nil)
-	older := x.older
+	x.perform(x.machine.Start(x.predecessor != nil), nil)
+	predecessor := x.predecessor
 	x.mu.Unlock()
-	if older != nil {
-		x.running.Go(func() { x.follow(older, false) })
+	if predecessor != nil {
+		x.goroutines.Go(func() { x.readMessages(predecessor, false) })
 	}
 }
 
@@ -157,42 +157,42 @@
 	x.closed = true
 	if x.listener != nil {
 		x.listener.Close()
-		if now, err := os.Lstat(x.path); err == nil && os.SameFile(now, x.file) { // not the newer one's
+		if now, err := os.Lstat(x.path); err == nil && os.SameFile(now, x.ownSocket) { // not the newer one's
 			os.Remove(x.path)
 		}
 	}
-	for _, l := range []*link{x.older, x.newer} {
+	for _, l := range []*link{x.predecessor, x.successor} {
 		if l != nil {
 			l.conn.Close()
 		}
 	}
 	x.mu.Unlock()
-	x.running.Wait()
+	x.goroutines.Wait()
 }
 
 // Stop has this process hand over if there is one to hand over to, and tells whether it does. What is known is asked for
 // only then, at once.
-func (x *Exchange) HandOver(known func() []byte) bool {
+func (x *Exchange) HandOver(exportState func() []byte) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	actions := x.m.Stop()
-	x.do(actions, known)
+	actions := x.machine.Stop()
+	x.perform(actions, exportState)
 	return len(actions) > 0
 }
 
 // do carries out what was decided. The lock is held; nothing here waits for the other process.
-func (x *Exchange) do(actions []Action, known func() []byte) {
+func (x *Exchange) perform(actions []Action, exportState func() []byte) {
 	for _, a := range actions {
 		switch a {
 		case StartAccepting:
-			x.bind()
+			x.bindPath()
 			x.host.Resume()
 		case ResumeAccepting:
 			slog.Warn("takeover", "takeover", "the newer process died")
 			x.host.Resume()
 		case ReportSuccessor:
-			if x.older.say(sayFollowed, []byte(fmt.Sprint(x.newer != nil))) != nil {
-				x.older.conn.Close() // its reader ends it
+			if x.predecessor.send(msgHasSuccessor, []byte(fmt.Sprint(x.successor != nil))) != nil {
+				x.predecessor.conn.Close() // its reader ends it
 			}
 		case HalveLimits:
 			x.host.SetHalfLimits(true)
@@ -200,54 +200,54 @@
 			x.host.SetHalfLimits(false)
 		case HandOverState:
 			x.host.Pause()
-			text, l := known(), x.newer
-			slog.Info("takeover", "takeover", "handed over", "bytes", len(text))
-			x.running.Go(func() {
-				if l.hand(text) != nil {
+			state, l := exportState(), x.successor
+			slog.Info("takeover", "takeover", "handed over", "bytes", len(state))
+			x.goroutines.Go(func() {
+				if l.sendState(state) != nil {
 					l.conn.Close() // its reader ends it
 					return
 				}
-				x.host.TransferIdle(func(c syscall.Conn) bool { return l.give(sayConn, nil, c) == nil })
+				x.host.TransferIdle(func(c syscall.Conn) bool { return l.sendSockets(msgConn, nil, c) == nil })
 			})
 		}
 	}
 }
 
 // bind makes this process the one that is found at the path. Where that fails, the next start is an ordinary one.
-func (x *Exchange) bind() {
+func (x *Exchange) bindPath() {
 	if err := x.listen(); err != nil {
 		slog.Warn("takeover", "takeover", "a newer process will not find this one", "path", x.path, "err", err)
 	}
 }
 
 func (x *Exchange) listen() error {
-	own := fmt.Sprintf("%s.%d", x.path, os.Getpid())
-	if len(own) > pathMost {
+	tempPath := fmt.Sprintf("%s.%d", x.path, os.Getpid())
+	if len(tempPath) > maxSocketPath {
 		return errors.New("the path is too long for a socket")
 	}
-	if there, err := os.Lstat(x.path); err == nil && there.Mode()&fs.ModeSocket == 0 {
+	if existing, err := os.Lstat(x.path); err == nil && existing.Mode()&fs.ModeSocket == 0 {
 		return errors.New("what is there is no socket")
 	}
-	os.Remove(own) // of a process that had the same number and was killed
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: own, Net: "unixpacket"})
+	os.Remove(tempPath) // of a process that had the same number and was killed
+	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: tempPath, Net: "unixpacket"})
 	if err != nil {
 		return err
 	}
 	l.SetUnlinkOnClose(false)
 	// In one step: whoever calls meanwhile reaches the one before, or this one.
-	if err = os.Chmod(own, 0o600); err == nil {
-		err = os.Rename(own, x.path)
+	if err = os.Chmod(tempPath, 0o600); err == nil {
+		err = os.Rename(tempPath, x.path)
 	}
 	if err == nil {
-		x.file, err = os.Lstat(x.path)
+		x.ownSocket, err = os.Lstat(x.path)
 	}
 	if err != nil {
 		l.Close()
-		os.Remove(own)
+		os.Remove(tempPath)
 		return err
 	}
 	x.listener = l
-	x.running.Go(func() {
+	x.goroutines.Go(func() {
 		for {
 			conn, err := l.AcceptUnix()
 			if errors.Is(err, net.ErrClosed) {
@@ -257,29 +257,29 @@
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
-			x.meet(conn)
+			x.acceptSuccessor(conn)
 		}
 	})
 	return nil
 }
 
 // meet answers a process that calls. One at a time, and none for long: this guards against callers that say nothing.
-func (x *Exchange) meet(conn *net.UnixConn) {
+func (x *Exchange) acceptSuccessor(conn *net.UnixConn) {
 	l := newLink(conn)
-	conn.SetReadDeadline(time.Now().Add(findWithin / 2))
-	var g greeting
-	err := sameUser(conn)
+	conn.SetReadDeadline(time.Now().Add(handshakeTimeout / 2))
+	var hello greeting
+	err := checkSameUser(conn)
 	if err == nil {
-		var what byte
-		var rest []byte
+		var kind byte
+		var payload []byte
 		var files []*os.File
-		what, rest, files, err = l.hear(make([]byte, packetMost))
-		closeAll(files)
-		if err == nil && what != sayHello {
+		kind, payload, files, err = l.receive(make([]byte, maxPacket))
+		closeFiles(files)
+		if err == nil && kind != msgHello {
 			err = errors.New("no greeting")
 		}
 		if err == nil {
-			err = json.Unmarshal(rest, &g)
+			err = json.Unmarshal(payload, &hello)
 		}
 	}
 	if err != nil {
@@ -290,129 +290,129 @@
 	conn.SetReadDeadline(time.Time{})
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	refusal, actions := x.m.SuccessorHello(g.Version, g.Name == x.o.Name && g.Listen == x.o.Listen)
+	refusal, actions := x.machine.SuccessorHello(hello.Version, hello.Name == x.opts.Name && hello.Listen == x.opts.Listen)
 	if refusal != "" {
 		slog.Warn("takeover", "takeover", "refused", "why", refusal)
-		l.say(sayRefused, []byte(refusal))
+		l.send(msgRefused, []byte(refusal))
 		conn.Close()
 		return
 	}
-	x.newer = l
-	x.do(actions, nil)
-	if err := l.give(sayWelcome, nil, x.host.ListeningSockets()...); err != nil {
+	x.successor = l
+	x.perform(actions, nil)
+	if err := l.sendSockets(msgWelcome, nil, x.host.ListeningSockets()...); err != nil {
 		slog.Warn("takeover", "takeover", "the newer process left", "err", err)
 		conn.Close() // its reader ends it
 	}
 	slog.Info("takeover", "takeover", "a newer process is there")
-	x.running.Go(func() { x.follow(l, true) })
+	x.goroutines.Go(func() { x.readMessages(l, true) })
 	x.host.SuccessorConnected()
 }
 
 // follow takes in what the other process says until the link ends.
-func (x *Exchange) follow(l *link, newer bool) {
-	buf, parts := make([]byte, packetMost), []byte(nil)
+func (x *Exchange) readMessages(l *link, fromSuccessor bool) {
+	buf, state := make([]byte, maxPacket), []byte(nil)
 	for {
-		what, rest, files, err := l.hear(buf)
+		kind, payload, files, err := l.receive(buf)
 		if err != nil {
 			break
 		}
-		switch what {
-		case sayPart:
-			if parts = append(parts, rest...); len(parts) > handMost {
+		switch kind {
+		case msgStateChunk:
+			if state = append(state, payload...); len(state) > maxStateSize {
 				l.conn.Close()
 			}
-		case sayYours:
-			if err := x.host.ImportState(parts); err != nil {
+		case msgStateEnd:
+			if err := x.host.ImportState(state); err != nil {
 				slog.Warn("takeover", "takeover", "what was handed over cannot be read", "err", err)
 			}
-			parts = nil
+			state = nil
 			x.mu.Lock()
-			x.do(x.m.PredecessorHandedOver(), nil)
+			x.perform(x.machine.PredecessorHandedOver(), nil)
 			x.mu.Unlock()
-		case sayFollowed:
+		case msgHasSuccessor:
 			x.mu.Lock()
-			x.m.SuccessorReport(string(rest) == fmt.Sprint(true))
+			x.machine.SuccessorReport(string(payload) == fmt.Sprint(true))
 			x.mu.Unlock()
-		case sayConn:
+		case msgConn:
 			for _, f := range files {
 				if conn, err := net.FileConn(f); err == nil {
 					x.host.AdoptConn(conn)
 				}
 			}
-		case sayJob:
+		case msgJob:
 			if len(files) == 1 {
 				if conn, err := net.FileConn(files[0]); err == nil {
-					x.host.AdoptJob(conn, append([]byte(nil), rest...))
+					x.host.AdoptJob(conn, append([]byte(nil), payload...))
 				}
 			}
-		case sayAsk:
-			if len(rest) < 8 {
+		case msgCallback:
+			if len(payload) < 8 {
 				break
 			}
-			number := append([]byte(nil), rest[:8]...)
-			x.host.ForwardedCallback(append([]byte(nil), rest[8:]...), newer, func(a CallbackResult) {
-				go l.say(sayKnown, append(number, byte(a)))
+			id := append([]byte(nil), payload[:8]...)
+			x.host.ForwardedCallback(append([]byte(nil), payload[8:]...), fromSuccessor, func(a CallbackResult) {
+				go l.send(msgCallbackResult, append(id, byte(a)))
 			})
-		case sayKnown:
-			if len(rest) == 9 {
-				l.answered(binary.BigEndian.Uint64(rest), CallbackResult(rest[8]))
+		case msgCallbackResult:
+			if len(payload) == 9 {
+				l.resolve(binary.BigEndian.Uint64(payload), CallbackResult(payload[8]))
 			}
 		}
-		closeAll(files)
+		closeFiles(files)
 	}
-	l.end()
+	l.close()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.closed {
 		return
 	}
-	slog.Info("takeover", "takeover", "the other process has ended", "newer", newer)
-	if newer {
-		x.newer = nil
-		x.do(x.m.SuccessorGone(), nil)
+	slog.Info("takeover", "takeover", "the other process has ended", "newer", fromSuccessor)
+	if fromSuccessor {
+		x.successor = nil
+		x.perform(x.machine.SuccessorGone(), nil)
 	} else {
-		x.older, x.alone = nil, time.Now()
-		x.do(x.m.PredecessorGone(), nil)
+		x.predecessor, x.predecessorGoneAt = nil, time.Now()
+		x.perform(x.machine.PredecessorGone(), nil)
 	}
 }
 
 // Hand gives a job away with its client's connection.
-func (x *Exchange) TransferJob(c syscall.Conn, text []byte) error {
+func (x *Exchange) TransferJob(c syscall.Conn, job []byte) error {
 	x.mu.Lock()
-	l := x.newer
+	l := x.successor
 	x.mu.Unlock()
 	switch {
 	case l == nil:
 		return errors.New("there is no newer process")
-	case len(text) >= packetMost:
+	case len(job) >= maxPacket:
 		return errors.New("it is too large")
 	}
-	return l.give(sayJob, text, c)
+	return l.sendSockets(msgJob, job, c)
 }
 
 // Beside tells whether an older process is there, or was until a moment ago.
 func (x *Exchange) HasPredecessor() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.older != nil || time.Since(x.alone) < askWithin
+	return x.predecessor != nil || time.Since(x.predecessorGoneAt) < callbackTimeout
 }
 
 // Pass asks the other processes about a callback that this one does not know: down the line if it came from a newer one,
 // up if from an older, both if from a worker. It does not wait; answer is called once.
-func (x *Exchange) ForwardCallback(text []byte, fromNewer, fromOlder bool, answer func(CallbackResult)) {
+func (x *Exchange) ForwardCallback(callback []byte, fromSuccessor, fromPredecessor bool, reply func(CallbackResult)) {
 	x.mu.Lock()
-	older, newer := x.older, x.newer
+	predecessor, successor := x.predecessor, x.successor
 	x.mu.Unlock()
-	up := func(a CallbackResult) {
-		if a != JobNotFound || newer == nil || fromNewer {
-			answer(a)
+	trySuccessor := func(a CallbackResult) {
+		if a != JobNotFound || successor == nil || fromSuccessor {
+			reply(a)
 			return
 		}
-		go newer.ask(text, answer)
+		go successor.forwardCallback(callback, reply)
 	}
-	if older == nil || fromOlder {
-		up(JobNotFound)
+	if predecessor == nil || fromPredecessor {
+		trySuccessor(JobNotFound)
 		return
 	}
-	go older.ask(text, up)
+	go predecessor.forwardCallback(callback, trySuccessor)
 }
--- a/internal/takeover/link.go
+++ b/internal/takeover/link.go
@@ -18,25 +18,25 @@
 
 // A message is one packet: a byte that says what it is, and the rest.
 const (
-	sayHello    = 'h' // greeting
-	sayWelcome  = 'w' // with the sockets
-	sayRefused  = 'r' // a Refusal
-	sayPart     = 'p' // of what is handed over
-	sayYours    = 'y' // all parts are there
-	sayConn     = 'c' // with a client's connection
-	sayFollowed = 'f' // whether a newer process is there
-	sayJob      = 'j' // with a client's connection, and the job that it waits for
-	sayAsk      = 'a' // a number of eight bytes, and a callback
-	sayKnown    = 'k' // a number of eight bytes, and an Answer
+	msgHello          = 'h' // greeting
+	msgWelcome        = 'w' // with the sockets
+	msgRefused        = 'r' // a Refusal
+	msgStateChunk     = 'p' // of what is handed over
+	msgStateEnd       = 'y' // all parts are there
+	msgConn           = 'c' // with a client's connection
+	msgHasSuccessor   = 'f' // whether a newer process is there
+	msgJob            = 'j' // with a client's connection, and the job that it waits for
+	msgCallback       = 'a' // a number of eight bytes, and a callback
+	msgCallbackResult = 'k' // a number of eight bytes, and an Answer
 )
 
 const (
-	sayWithin   = time.Second // a word is written within this time, or the link is given up
-	askWithin   = time.Second // a callback is answered within this time, or it is unsure
-	packetMost  = 128 << 10
-	partMost    = 32 << 10
-	handMost    = 16 << 20
-	socketsMost = 8
+	writeTimeout    = time.Second // a word is written within this time, or the link is given up
+	callbackTimeout = time.Second // a callback is answered within this time, or it is unsure
+	maxPacket       = 128 << 10
+	maxStateChunk   = 32 << 10
+	maxStateSize    = 16 << 20
+	maxSockets      = 8
 )
 
 // greeting is what a process that calls says of itself.
@@ -58,16 +58,16 @@
 
 type link struct {
 	conn    *net.UnixConn
-	writing sync.Mutex
+	writeMu sync.Mutex
 	mu      sync.Mutex
-	next    uint64
-	asked   map[uint64]func(CallbackResult) // nil once the link has ended
+	lastID  uint64
+	calls   map[uint64]func(CallbackResult) // nil once the link has ended
 }
 
-func newLink(c *net.UnixConn) *link { return &link{conn: c, asked: map[uint64]func(CallbackResult){}} }
+func newLink(c *net.UnixConn) *link { return &link{conn: c, calls: map[uint64]func(CallbackResult){}} }
 
 // sameUser guards against other users of the folder: they would be given the sockets, or be believed.
-func sameUser(c *net.UnixConn) error {
+func checkSameUser(c *net.UnixConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
@@ -86,25 +86,25 @@
 }
 
 // say writes one message, with descriptors if any.
-func (l *link) say(what byte, rest []byte, fds ...int) error {
-	l.writing.Lock()
-	defer l.writing.Unlock()
-	l.conn.SetWriteDeadline(time.Now().Add(sayWithin))
+func (l *link) send(kind byte, payload []byte, fds ...int) error {
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
+	l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	var rights []byte
 	if len(fds) > 0 {
 		rights = unix.UnixRights(fds...)
 	}
-	_, _, err := l.conn.WriteMsgUnix(append([]byte{what}, rest...), rights, nil)
+	_, _, err := l.conn.WriteMsgUnix(append([]byte{kind}, payload...), rights, nil)
 	return err
 }
 
 // give sends connections or listeners; they stay open here as well.
-func (l *link) give(what byte, text []byte, sockets ...syscall.Conn) error {
+func (l *link) sendSockets(kind byte, payload []byte, sockets ...syscall.Conn) error {
 	var fds []int
-	var pass func(rest []syscall.Conn) error
-	pass = func(rest []syscall.Conn) error {
+	var sendRest func(rest []syscall.Conn) error
+	sendRest = func(rest []syscall.Conn) error {
 		if len(rest) == 0 {
-			return l.say(what, text, fds...)
+			return l.send(kind, payload, fds...)
 		}
 		raw, err := rest[0].SyscallConn()
 		if err != nil {
@@ -113,18 +113,18 @@
 		var failed error
 		if err = raw.Control(func(fd uintptr) { // valid only within: a copy by File could be set to block by its use
 			fds = append(fds, int(fd))
-			failed = pass(rest[1:])
+			failed = sendRest(rest[1:])
 		}); err != nil {
 			return err
 		}
 		return failed
 	}
-	return pass(sockets)
+	return sendRest(sockets)
 }
 
 // hear reads one message. The files are the caller's to close.
-func (l *link) hear(buf []byte) (what byte, rest []byte, files []*os.File, err error) {
-	rights := make([]byte, unix.CmsgSpace(4*socketsMost))
+func (l *link) receive(buf []byte) (kind byte, payload []byte, files []*os.File, err error) {
+	rights := make([]byte, unix.CmsgSpace(4*maxSockets))
 	n, m, flags, _, err := l.conn.ReadMsgUnix(buf, rights)
 	if err != nil {
 		return 0, nil, nil, err
@@ -144,74 +144,74 @@
 		}
 	}
 	if n == 0 || flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0 {
-		closeAll(files)
+		closeFiles(files)
 		return 0, nil, nil, errors.New("the link ended, or a message was cut off")
 	}
 	return buf[0], buf[1:n], files, nil
 }
 
-func closeAll(files []*os.File) {
+func closeFiles(files []*os.File) {
 	for _, f := range files {
 		f.Close()
 	}
 }
 
 // hand sends what is handed over, in parts.
-func (l *link) hand(text []byte) error {
-	for len(text) > 0 {
-		n := min(len(text), partMost)
-		if err := l.say(sayPart, text[:n]); err != nil {
+func (l *link) sendState(state []byte) error {
+	for len(state) > 0 {
+		n := min(len(state), maxStateChunk)
+		if err := l.send(msgStateChunk, state[:n]); err != nil {
 			return err
 		}
-		text = text[n:]
+		state = state[n:]
 	}
-	return l.say(sayYours, nil)
+	return l.send(msgStateEnd, nil)
 }
 
 // ask passes a callback on; answer is called once.
-func (l *link) ask(text []byte, answer func(CallbackResult)) {
+func (l *link) forwardCallback(callback []byte, reply func(CallbackResult)) {
 	l.mu.Lock()
-	if l.asked == nil {
+	if l.calls == nil {
 		l.mu.Unlock()
-		answer(JobNotFound)
+		reply(JobNotFound)
 		return
 	}
-	l.next++
-	number := l.next
-	l.asked[number] = answer
+	l.lastID++
+	id := l.lastID
+	l.calls[id] = reply
 	l.mu.Unlock()
-	time.AfterFunc(askWithin, func() { l.answered(number, ResultUnknown) })
-	if l.say(sayAsk, append(binary.BigEndian.AppendUint64(nil, number), text...)) != nil {
+	time.AfterFunc(callbackTimeout, func() { l.resolve(id, ResultUnknown) })
+	if l.send(msgCallback, append(binary.BigEndian.AppendUint64(nil, id), callback...)) != nil {
 		l.conn.Close() // its reader ends it
 	}
 }
 
-func (l *link) answered(number uint64, a CallbackResult) {
+func (l *link) resolve(id uint64, a CallbackResult) {
 	l.mu.Lock()
-	answer := l.asked[number]
-	delete(l.asked, number)
+	reply := l.calls[id]
+	delete(l.calls, id)
 	l.mu.Unlock()
-	if answer != nil {
-		answer(a)
+	if reply != nil {
+		reply(a)
 	}
 }
 
 // end answers who still waits: what the other process held died with it.
-func (l *link) end() {
+func (l *link) close() {
 	l.conn.Close()
 	l.mu.Lock()
-	asked := l.asked
-	l.asked = nil
+	calls := l.calls
+	l.calls = nil
 	l.mu.Unlock()
-	for _, answer := range asked {
-		answer(JobNotFound)
+	for _, reply := range calls {
+		reply(JobNotFound)
 	}
 }
 
-func (l *link) greet(g greeting) error {
+func (l *link) sendGreeting(g greeting) error {
 	text, err := json.Marshal(g)
 	if err != nil {
 		return err
 	}
-	return l.say(sayHello, text)
+	return l.send(msgHello, text)
 }
--- a/internal/takeover/machine.go
+++ b/internal/takeover/machine.go
@@ -34,83 +34,83 @@
 
 // Machine is one process between its start and its end. Of all processes of a dispatcher one is to accept at any time.
 type Machine struct {
-	ours     bool // this one accepts
-	older    bool // the link to the one before is up
-	newer    bool // the link to the one after is up
-	yielded  bool // what was ours is the newer one's
-	followed bool // the newer one has a newer one itself
+	accepting             bool // this one accepts
+	predecessor           bool // the link to the one before is up
+	successor             bool // the link to the one after is up
+	handedOver            bool // what was ours is the newer one's
+	successorHasSuccessor bool // the newer one has a newer one itself
 }
 
 // Start begins: welcomed by an older process, or alone.
-func (m *Machine) Start(welcomed bool) []Action {
-	if m.older = welcomed; welcomed {
+func (m *Machine) Start(hasPredecessor bool) []Action {
+	if m.predecessor = hasPredecessor; hasPredecessor {
 		return []Action{HalveLimits}
 	}
-	m.ours = true
+	m.accepting = true
 	return []Action{StartAccepting}
 }
 
 // Hello is a newer process that calls.
-func (m *Machine) SuccessorHello(version int, same bool) (Refusal, []Action) {
+func (m *Machine) SuccessorHello(version int, sameDispatcher bool) (Refusal, []Action) {
 	switch {
 	case version != ProtocolVersion:
 		return RefusedVersion, nil
-	case !same:
+	case !sameDispatcher:
 		return RefusedOtherDispatcher, nil
-	case !m.ours || m.newer: // one that waits, or has handed over, has nothing to give
+	case !m.accepting || m.successor: // one that waits, or has handed over, has nothing to give
 		return RefusedBusy, nil
 	}
-	m.newer = true
-	return "", append(m.report(), SendSockets, HalveLimits)
+	m.successor = true
+	return "", append(m.reportSuccessor(), SendSockets, HalveLimits)
 }
 
 // report is told first: if this process dies, the one before must not accept beside the one after.
-func (m *Machine) report() (do []Action) {
-	if m.older {
-		do = append(do, ReportSuccessor)
+func (m *Machine) reportSuccessor() (actions []Action) {
+	if m.predecessor {
+		actions = append(actions, ReportSuccessor)
 	}
-	return do
+	return actions
 }
 
 // Followed is the newer process's word that there is one after it, or none any more.
-func (m *Machine) SuccessorReport(on bool) { m.followed = on }
+func (m *Machine) SuccessorReport(hasSuccessor bool) { m.successorHasSuccessor = hasSuccessor }
 
 // Stop is the order to end, told again when a newer process is there only since.
 func (m *Machine) Stop() []Action {
-	if !m.ours || !m.newer {
+	if !m.accepting || !m.successor {
 		return nil
 	}
-	m.ours, m.yielded = false, true
+	m.accepting, m.handedOver = false, true
 	return []Action{HandOverState}
 }
 
 // Yours is the older process's word that it has handed over.
 func (m *Machine) PredecessorHandedOver() []Action {
-	if m.ours || m.yielded {
+	if m.accepting || m.handedOver {
 		return nil
 	}
-	m.ours = true
+	m.accepting = true
 	return []Action{StartAccepting}
 }
 
 // OlderGone is the end of the link to the older process. If it had not handed over, it died: nobody accepts.
-func (m *Machine) PredecessorGone() (do []Action) {
-	m.older = false
-	if !m.newer {
-		do = append(do, RestoreLimits)
+func (m *Machine) PredecessorGone() (actions []Action) {
+	m.predecessor = false
+	if !m.successor {
+		actions = append(actions, RestoreLimits)
 	}
-	return append(do, m.PredecessorHandedOver()...)
+	return append(actions, m.PredecessorHandedOver()...)
 }
 
 // NewerGone is the end of the link to the newer process: it died.
-func (m *Machine) SuccessorGone() (do []Action) {
-	m.newer = false
-	if do = m.report(); !m.older {
-		do = append(do, RestoreLimits)
+func (m *Machine) SuccessorGone() (actions []Action) {
+	m.successor = false
+	if actions = m.reportSuccessor(); !m.predecessor {
+		actions = append(actions, RestoreLimits)
 	}
-	if m.yielded && !m.followed { // else that one accepts
-		m.ours, m.yielded = true, false
-		do = append(do, ResumeAccepting)
+	if m.handedOver && !m.successorHasSuccessor { // else that one accepts
+		m.accepting, m.handedOver = true, false
+		actions = append(actions, ResumeAccepting)
 	}
-	return do
+	return actions
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -100,23 +100,23 @@
 		at := strings.Join(path, ".")
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table = d.inLists(path, count)
+			table = d.listPath(path, count)
 			if e.Kind == unstable.ArrayTable {
 				table = at + "." + strconv.Itoa(count[at])
 				count[at]++
 			}
 			d.lines[table] = line
 		case unstable.KeyValue:
-			d.lines[join(table, at)] = line
+			d.lines[joinKey(table, at)] = line
 		}
 	}
 }
 
 // inLists names a table below the newest element of each list on its way.
-func (d *Doc) inLists(path []string, count map[string]int) string {
+func (d *Doc) listPath(path []string, count map[string]int) string {
 	plain, full := "", ""
 	for _, part := range path {
-		plain, full = join(plain, part), join(full, part)
+		plain, full = joinKey(plain, part), joinKey(full, part)
 		if n := count[plain]; n > 0 {
 			full += "." + strconv.Itoa(n-1)
 		}
@@ -124,7 +124,7 @@
 	return full
 }
 
-func join(path, key string) string {
+func joinKey(path, key string) string {
 	if path == "" {
 		return key
 	}
@@ -159,11 +159,11 @@
 // Decode fills the struct that into points at. Faults are kept for Err.
 func (d *Doc) Decode(into any) {
 	if len(d.faults) == 0 {
-		d.table("", d.tree, reflect.ValueOf(into).Elem())
+		d.decodeTable("", d.tree, reflect.ValueOf(into).Elem())
 	}
 }
 
-func (d *Doc) table(path string, tree map[string]any, to reflect.Value) {
+func (d *Doc) decodeTable(path string, tree map[string]any, to reflect.Value) {
 	known := map[string]bool{}
 	for k := range to.NumField() {
 		f := to.Type().Field(k)
@@ -172,11 +172,11 @@
 			continue
 		}
 		known[key] = true
-		switch x, there := tree[key]; {
-		case there:
-			d.value(join(path, key), x, to.Field(k), f.Tag)
+		switch x, present := tree[key]; {
+		case present:
+			d.decodeValue(joinKey(path, key), x, to.Field(k), f.Tag)
 		case f.Tag.Get("need") == "true":
-			d.AddFault(join(path, key), "is missing")
+			d.AddFault(joinKey(path, key), "is missing")
 		}
 	}
 	var unknown []string
@@ -192,15 +192,15 @@
 			names = append(names, name)
 		}
 		slices.Sort(names)
-		d.AddFault(join(path, key), "is not known here; known are %s", strings.Join(names, ", "))
+		d.AddFault(joinKey(path, key), "is not known here; known are %s", strings.Join(names, ", "))
 	}
 }
 
-var spanType = reflect.TypeFor[Millis]()
+var millisType = reflect.TypeFor[Millis]()
 
-func (d *Doc) value(path string, x any, to reflect.Value, tag reflect.StructTag) {
-	wrong := func(want string) { d.AddFault(path, "is %s, wanted %s", typeName(x), want) }
-	if to.Type() == spanType {
+func (d *Doc) decodeValue(path string, x any, to reflect.Value, tag reflect.StructTag) {
+	wrongType := func(want string) { d.AddFault(path, "is %s, wanted %s", typeName(x), want) }
+	if to.Type() == millisType {
 		switch x := x.(type) {
 		case string:
 			t, err := time.ParseDuration(x)
@@ -214,10 +214,10 @@
 		case float64:
 			to.SetFloat(x)
 		default:
-			wrong("a time")
+			wrongType("a time")
 			return
 		}
-		d.bounds(path, to.Float(), tag)
+		d.checkBounds(path, to.Float(), tag)
 		return
 	}
 	switch to.Kind() {
@@ -227,20 +227,20 @@
 			if v, ok := to.Interface().(Defaulter); ok {
 				v.Defaults()
 			}
-			d.table(path, tree, to.Elem())
+			d.decodeTable(path, tree, to.Elem())
 		} else {
-			wrong("a table")
+			wrongType("a table")
 		}
 	case reflect.Struct:
 		if tree, ok := x.(map[string]any); ok {
-			d.table(path, tree, to)
+			d.decodeTable(path, tree, to)
 		} else {
-			wrong("a table")
+			wrongType("a table")
 		}
 	case reflect.Slice:
 		list, ok := x.([]any)
 		if !ok {
-			wrong("a list")
+			wrongType("a list")
 			return
 		}
 		to.Set(reflect.MakeSlice(to.Type(), len(list), len(list)))
@@ -248,16 +248,16 @@
 			if v, ok := to.Index(k).Addr().Interface().(Defaulter); ok {
 				v.Defaults()
 			}
-			d.value(path+"."+strconv.Itoa(k), y, to.Index(k), tag)
+			d.decodeValue(path+"."+strconv.Itoa(k), y, to.Index(k), tag)
 		}
 	case reflect.String:
 		text, ok := x.(string)
 		if !ok {
-			wrong("a text")
+			wrongType("a text")
 			return
 		}
-		if one := strings.Fields(tag.Get("oneof")); len(one) > 0 && !slices.Contains(one, text) {
-			d.AddFault(path, "%q is none of %s", text, strings.Join(one, ", "))
+		if allowed := strings.Fields(tag.Get("oneof")); len(allowed) > 0 && !slices.Contains(allowed, text) {
+			d.AddFault(path, "%q is none of %s", text, strings.Join(allowed, ", "))
 			return
 		}
 		to.SetString(text)
@@ -265,14 +265,14 @@
 		if b, ok := x.(bool); ok {
 			to.SetBool(b)
 		} else {
-			wrong("true or false")
+			wrongType("true or false")
 		}
 	case reflect.Int:
 		if n, ok := x.(int64); ok {
 			to.SetInt(n)
-			d.bounds(path, float64(n), tag)
+			d.checkBounds(path, float64(n), tag)
 		} else {
-			wrong("a whole number")
+			wrongType("a whole number")
 		}
 	case reflect.Float64:
 		switch x := x.(type) {
@@ -281,16 +281,16 @@
 		case float64:
 			to.SetFloat(x)
 		default:
-			wrong("a number")
+			wrongType("a number")
 			return
 		}
-		d.bounds(path, to.Float(), tag)
+		d.checkBounds(path, to.Float(), tag)
 	default:
 		panic("tomlfile: no way to read a " + to.Type().String())
 	}
 }
 
-func (d *Doc) bounds(path string, x float64, tag reflect.StructTag) {
+func (d *Doc) checkBounds(path string, x float64, tag reflect.StructTag) {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		d.AddFault(path, "%v is no number to work with", x)
 		return
