--- a/cmd/weldmast/admin_test.go
+++ b/cmd/weldmast/admin_test.go
@@ -12,18 +12,18 @@
 )
 
 // operated gives the world an address for operators' calls.
-func operated(t *testing.T) *world {
-	w := newWorld(t)
-	l := w.port()
-	w.ops = l.Addr().String()
+func newAdminEnv(t *testing.T) *testEnv {
+	e := newTestEnv(t)
+	l := e.listenPort()
+	e.adminAddr = l.Addr().String()
 	l.Close()
-	return w
+	return e
 }
 
 // call is one of the operators': the answer and its body, within the second that they wait.
-func (w *world) call(text string) (answer, body string) {
+func (e *testEnv) adminCall(text string) (answer, body string) {
 	begun := time.Now()
-	c, err := net.Dial("tcp", w.ops)
+	c, err := net.Dial("tcp", e.adminAddr)
 	if err != nil {
 		return err.Error(), ""
 	}
@@ -39,21 +39,21 @@
 	return head, body
 }
 
-func (w *world) control(what string) (answer, body string) {
-	return w.call("GET /control/" + what + " HTTP/1.1\r\nHost: x\r\n\r\n")
+func (e *testEnv) control(what string) (answer, body string) {
+	return e.adminCall("GET /control/" + what + " HTTP/1.1\r\nHost: x\r\n\r\n")
 }
 
 // TestFigures: work of every ending; the figures say what the stand-ins saw.
-func TestFigures(t *testing.T) {
-	w := operated(t)
-	w.swap = [2]string{`"expiry":5000000,"credit":1.0}]`, `"expiry":1000000,"credit":1.0}]`} // an order's
+func TestCounters(t *testing.T) {
+	e := newAdminEnv(t)
+	e.swap = [2]string{`"expiry":5000000,"credit":1.0}]`, `"expiry":1000000,"credit":1.0}]`} // an order's
 	var names [2]string
 	for k, name := range []string{"w1", "w2"} {
-		names[k] = line(name, w.worker(name, func(j job) {
+		names[k] = memberEntry(name, e.startWorker(name, func(j job) {
 			kind, _, _ := strings.Cut(j.id, "-")
-			w.mu.Lock()
-			again := strings.Count(w.log.String(), ": "+j.id+"\n") > 1
-			w.mu.Unlock()
+			e.mu.Lock()
+			again := strings.Count(e.seen.String(), ": "+j.id+"\n") > 1
+			e.mu.Unlock()
 			switch {
 			case kind == "hangs" || kind == "leaves":
 				accept(j)
@@ -61,15 +61,15 @@
 				j.out.WriteHeader(500)
 			default:
 				accept(j)
-				w.back(j.id, name, "done", "")
+				e.callback(j.id, name, "done", "")
 			}
 		}), "in_service")
 	}
-	w.tell(list(1, true, names[0], names[1], line("w3", "127.0.0.1:9", "terminating")))
-	w.start()
+	e.publish(memberList(1, true, names[0], names[1], memberEntry("w3", "127.0.0.1:9", "terminating")))
+	e.start()
 	ask := func(id, path, headers string) {
-		w.t.Helper()
-		if got := w.dial().ask(request(id, path, headers)); !strings.HasPrefix(got, strings.SplitN(id, "-", 3)[1]) {
+		e.t.Helper()
+		if got := e.dial().ask(request(id, path, headers)); !strings.HasPrefix(got, strings.SplitN(id, "-", 3)[1]) {
 			t.Errorf("%s: %s", id, got)
 		}
 	}
@@ -82,13 +82,13 @@
 	}
 	ask("bad-404", "/cake/x", "")
 	ask("bad-400", "/plan/x", "X-Deadline: soon\r\n")
-	c := w.dial()
+	c := e.dial()
 	io.WriteString(c, request("leaves-1", "/order/x", ""))
-	w.await(": leaves-1", 1)
-	if got := w.dial().ask(request("leaves-1", "/order/x", "")); !strings.HasPrefix(got, "409") {
+	e.awaitLine(": leaves-1", 1)
+	if got := e.dial().ask(request("leaves-1", "/order/x", "")); !strings.HasPrefix(got, "409") {
 		t.Errorf("id in use: %s", got)
 	}
-	if _, body := w.control("counters"); !strings.Contains(body, "edge_router.active:1|g\n") {
+	if _, body := e.control("counters"); !strings.Contains(body, "edge_router.active:1|g\n") {
 		t.Errorf("one open:\n%s", body)
 	}
 	c.Close()
@@ -96,18 +96,18 @@
 	ask("retried-200", "/plan/x", "")
 	ask("fails-502", "/order/x", "")
 	var body string
-	w.until("the end of all", func() bool {
-		_, body = w.control("counters")
+	e.until("the end of all", func() bool {
+		_, body = e.control("counters")
 		return strings.Contains(body, "edge_router.active:0|g\n") && !strings.Contains(body, "ejected:0")
 	})
-	w.mu.Lock()
+	e.mu.Lock()
 	tries := 0
-	for _, l := range strings.Split(w.log.String(), "\n") {
+	for _, l := range strings.Split(e.seen.String(), "\n") {
 		if strings.HasPrefix(l, "w") && !strings.Contains(l, "DELETE") {
 			tries++
 		}
 	}
-	w.mu.Unlock()
+	e.mu.Unlock()
 	want := fmt.Sprintf(`edge_router.ok.plan:6|c
 edge_router.ok.order:1|c
 edge_router.shed.plan:3|c
@@ -126,29 +126,29 @@
 
 // TestOperators: calls are answered in every phase and beside callers that say nothing, half or nonsense, which are
 // closed within 3 s; and beside a flood at the clients' address.
-func TestOperators(t *testing.T) {
-	w := operated(t)
-	w.sockets, w.silent = 256, true
-	w.tell(list(1, true, line("w1", w.worker("w1", nil), "in_service")))
-	w.begin()
-	w.until("an answer", func() bool { a, _ := w.control("ready"); return strings.HasPrefix(a, "HTTP") })
-	note := func(what string, answer, body string) { w.note("%s: %s %s", what, answer, strings.TrimSpace(body)) }
+func TestAdminServer(t *testing.T) {
+	e := newAdminEnv(t)
+	e.sockets, e.discoveryDown = 256, true
+	e.publish(memberList(1, true, memberEntry("w1", e.startWorker("w1", nil), "in_service")))
+	e.launch()
+	e.until("an answer", func() bool { a, _ := e.control("ready"); return strings.HasPrefix(a, "HTTP") })
+	note := func(what string, answer, body string) { e.record("%s: %s %s", what, answer, strings.TrimSpace(body)) }
 	say := func(what, text string) {
-		a, _ := w.call(text)
+		a, _ := e.adminCall(text)
 		note(what, a, "")
 	}
-	a, body := w.control("ready")
+	a, body := e.control("ready")
 	if a != "HTTP/1.1 503 Service Unavailable" || body != "starting\n" {
 		t.Errorf("no list yet: %s %s", a, body)
 	}
-	w.mu.Lock()
-	w.silent = false
-	w.mu.Unlock()
-	w.until("ready", func() bool { a, _ := w.control("ready"); return strings.Contains(a, " 200 ") })
-	w.mu.Lock()
-	w.log.Reset()
-	w.mu.Unlock()
-	a, body = w.control("ready")
+	e.mu.Lock()
+	e.discoveryDown = false
+	e.mu.Unlock()
+	e.until("ready", func() bool { a, _ := e.control("ready"); return strings.Contains(a, " 200 ") })
+	e.mu.Lock()
+	e.seen.Reset()
+	e.mu.Unlock()
+	a, body = e.control("ready")
 	note("ready", a, body)
 	say("other path", "GET /control HTTP/1.1\r\nHost: x\r\n\r\n")
 	say("other method", "POST /control/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
@@ -157,7 +157,7 @@
 	begun, silent := time.Now(), make(chan time.Duration)
 	for k := range 30 {
 		go func() {
-			c, err := net.Dial("tcp", w.ops)
+			c, err := net.Dial("tcp", e.adminAddr)
 			if err == nil {
 				io.WriteString(c, "GET /control/ready HTTP"[:k%20])
 				io.Copy(io.Discard, c)
@@ -167,10 +167,10 @@
 		}()
 	}
 	for range 400 {
-		w.dial()
+		e.dial()
 	}
 	for range 5 {
-		if a, _ := w.control("counters"); !strings.HasPrefix(a, "HTTP/1.1 200") {
+		if a, _ := e.control("counters"); !strings.HasPrefix(a, "HTTP/1.1 200") {
 			t.Errorf("beside silent callers: %s", a)
 		}
 	}
@@ -179,21 +179,21 @@
 			t.Errorf("a silent caller stays for %s", d)
 		}
 	}
-	io.WriteString(w.dial(), request("a", "/order/x", ""))
-	w.await("w1: a", 1)
-	w.cmd.Process.Signal(syscall.SIGTERM)
-	w.until("the phase", func() bool { a, _ := w.control("ready"); return strings.Contains(a, " 503 ") })
-	a, body = w.control("ready")
+	io.WriteString(e.dial(), request("a", "/order/x", ""))
+	e.awaitLine("w1: a", 1)
+	e.cmd.Process.Signal(syscall.SIGTERM)
+	e.until("the phase", func() bool { a, _ := e.control("ready"); return strings.Contains(a, " 503 ") })
+	a, body = e.control("ready")
 	note("told to stop", a, body)
-	w.check(`ready: HTTP/1.1 200 OK serving
+	e.checkSeen(`ready: HTTP/1.1 200 OK serving
 other path: HTTP/1.1 404 Not Found 
 other method: HTTP/1.1 405 Method Not Allowed 
 nonsense: HTTP/1.1 400 Bad Request 
 long head: HTTP/1.1 431 Request Header Fields Too Large 
 w1: a
 told to stop: HTTP/1.1 503 Service Unavailable draining`)
-	if _, err := http.Get("http://" + w.listen + "/control/counters"); err == nil {
-		if a := w.get("/control/counters"); a == 200 {
+	if _, err := http.Get("http://" + e.listen + "/control/counters"); err == nil {
+		if a := e.status("/control/counters"); a == 200 {
 			t.Error("the figures are told at the clients' address")
 		}
 	}
--- a/cmd/weldmast/command_test.go
+++ b/cmd/weldmast/command_test.go
@@ -26,7 +26,7 @@
 	bad := write("bad.toml", "[log]\nlevel = \"loud\"\nlines_per_second = 0\nlien_bytes = 7\n[ledgre]\n")
 	var all strings.Builder
 	stamp := regexp.MustCompile(`time=\S+ `)
-	play := func(title string, args ...string) {
+	runCommand := func(title string, args ...string) {
 		var out, errs strings.Builder
 		code := run(args, &out, &errs)
 		text := strings.ReplaceAll(out.String()+errs.String(), dir+"/", "")
@@ -35,21 +35,21 @@
 		}
 		fmt.Fprintf(&all, "== %s: %d\n%s", title, code, stamp.ReplaceAllString(text, ""))
 	}
-	play("version", "version")
-	play("help", "--help")
-	play("unknown command", "srve")
-	play("unknown flag", "check", "--flie", "x")
-	play("check of nothing", "check")
-	play("check, a good file", "check", "--file", write("good.toml", "[log]\nlevel = \"warn\"\n"))
-	play("check, every fault", "check", "--file", bad)
-	play("check, no such file", "check", "--file", filepath.Join(dir, "none.toml"))
-	play("check, no TOML", "check", "--file", write("no.toml", "[log\n"))
-	play("serve, a faulty file", "serve", "--file", bad)
+	runCommand("version", "version")
+	runCommand("help", "--help")
+	runCommand("unknown command", "srve")
+	runCommand("unknown flag", "check", "--flie", "x")
+	runCommand("check of nothing", "check")
+	runCommand("check, a good file", "check", "--file", write("good.toml", "[log]\nlevel = \"warn\"\n"))
+	runCommand("check, every fault", "check", "--file", bad)
+	runCommand("check, no such file", "check", "--file", filepath.Join(dir, "none.toml"))
+	runCommand("check, no TOML", "check", "--file", write("no.toml", "[log\n"))
+	runCommand("serve, a faulty file", "serve", "--file", bad)
 	t.Setenv("WELDMAST_FILE", bad)
-	play("the variable names it as well", "check")
-	play("no argument at all")
+	runCommand("the variable names it as well", "check")
+	runCommand("no argument at all")
 	t.Setenv("ROUTER_CONFIG", write("config.json", `{"listen":"here"}`))
-	play("faults in both", "check")
+	runCommand("faults in both", "check")
 	kept.Check(t, "commands", all.String())
 }
 
--- a/cmd/weldmast/discovery_test.go
+++ b/cmd/weldmast/discovery_test.go
@@ -18,27 +18,27 @@
 )
 
 // toldWithin is how long what discovery has may stay unknown once it can be reached.
-const toldWithin = 6 * time.Second
+const discoveryTimeout = 6 * time.Second
 
 // returns has discovery, which was silent, answer calls from now on.
-func (w *world) returns() { w.mu.Lock(); w.silent = false; w.mu.Unlock() }
+func (e *testEnv) resumeDiscovery() { e.mu.Lock(); e.discoveryDown = false; e.mu.Unlock() }
 
 // descriptors is how many the program has open.
-func (w *world) descriptors() int {
-	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", w.cmd.Process.Pid))
-	w.must(err)
+func (e *testEnv) openDescriptors() int {
+	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", e.cmd.Process.Pid))
+	e.must(err)
 	return len(all)
 }
 
 // idlers are clients that ask whether it is ready and then rest. Those that are closed come again, until they are told to
 // rest; they all go at the end.
-func (w *world) idlers(many int) (rest, stop func()) {
+func (e *testEnv) idleClients(many int) (rest, stop func()) {
 	var all sync.WaitGroup
 	var resting, over atomic.Bool
 	for range many {
 		all.Go(func() {
 			for ; !over.Load() && !resting.Load(); time.Sleep(20 * time.Millisecond) {
-				c, err := net.DialTimeout("tcp", w.listen, time.Second)
+				c, err := net.DialTimeout("tcp", e.listen, time.Second)
 				if err != nil {
 					continue
 				}
@@ -58,12 +58,12 @@
 
 // TestIdleFill: idle clients fill the descriptors while discovery is down, however the process came to have so few. Its return
 // is told in time all the same, and the worker that it names gets work.
-func TestIdleFill(t *testing.T) {
+func TestIdleClientsFillDescriptors(t *testing.T) {
 	const few = 64
-	for name, limit := range map[string]func(w *world){
-		"as configured": func(w *world) { w.sockets = few },
-		"fewer by the system than configured": func(w *world) {
-			w.wrap = func(c *exec.Cmd) {
+	for name, limit := range map[string]func(e *testEnv){
+		"as configured": func(e *testEnv) { e.sockets = few },
+		"fewer by the system than configured": func(e *testEnv) {
+			e.wrap = func(c *exec.Cmd) {
 				c.Path, c.Args = "/bin/sh", []string{"sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", few, binary)}
 			}
 		},
@@ -71,52 +71,52 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t)
+			e := newTestEnv(t)
 			if limit != nil {
-				limit(w)
+				limit(e)
 			}
-			w.tell(list(1, true, line("w1", w.finishing("w1"), "in_service")))
-			w.start()
+			e.publish(memberList(1, true, memberEntry("w1", e.finishingWorker("w1"), "in_service")))
+			e.start()
 			if limit == nil {
-				w.must(unix.Prlimit(w.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: few, Max: few}, nil))
+				e.must(unix.Prlimit(e.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: few, Max: few}, nil))
 			}
-			w.must(w.disc.Close()) // down: calls are refused, and hold no descriptor
-			rest, stop := w.idlers(150)
+			e.must(e.discoveryServer.Close()) // down: calls are refused, and hold no descriptor
+			rest, stop := e.idleClients(150)
 			defer stop()
 			time.Sleep(time.Second) // many come and go
 			rest()
 			time.Sleep(300 * time.Millisecond)
 			most := 0
 			for range 50 {
-				most = max(most, w.descriptors())
+				most = max(most, e.openDescriptors())
 				time.Sleep(5 * time.Millisecond)
 			}
 			if most > few && limit != nil {
 				t.Errorf("%d descriptors, %d are all", most, few)
 			}
-			l, err := net.Listen("tcp", w.discAt)
-			w.must(err)
-			back := &http.Server{Handler: http.HandlerFunc(w.discovery)}
+			l, err := net.Listen("tcp", e.discoveryAddr)
+			e.must(err)
+			back := &http.Server{Handler: http.HandlerFunc(e.serveDiscovery)}
 			defer back.Close()
 			go back.Serve(l)
-			from, before := time.Now(), len(w.output.String())
+			from, before := time.Now(), len(e.output.String())
 			var workers []string
 			for k := range 10 {
 				name := fmt.Sprint("new", k)
-				workers = append(workers, line(name, w.finishing(name), "in_service"))
+				workers = append(workers, memberEntry(name, e.finishingWorker(name), "in_service"))
 			}
-			w.tell(list(2, true, workers...))
-			if took := time.Since(from); took > toldWithin {
+			e.publish(memberList(2, true, workers...))
+			if took := time.Since(from); took > discoveryTimeout {
 				t.Errorf("the return is known after %v", took)
 			}
 			var jobs sync.WaitGroup
 			for k := range 10 {
 				jobs.Go(func() {
 					answer := "none"
-					for n := 0; !strings.HasPrefix(answer, "200 from new") && time.Since(from) < patience; n++ {
-						if c, err := net.Dial("tcp", w.listen); err == nil {
+					for n := 0; !strings.HasPrefix(answer, "200 from new") && time.Since(from) < waitTimeout; n++ {
+						if c, err := net.Dial("tcp", e.listen); err == nil {
 							defer c.Close()
-							c.SetDeadline(time.Now().Add(patience))
+							c.SetDeadline(time.Now().Add(waitTimeout))
 							answer = (&client{Conn: c, in: bufio.NewReader(c)}).ask(request(fmt.Sprint("job-", k, "-", n), "/plan/x", ""))
 						}
 					}
@@ -126,7 +126,7 @@
 				})
 			}
 			jobs.Wait()
-			text := w.output.String()
+			text := e.output.String()
 			if strings.Contains(text, "too many open files") && limit != nil {
 				t.Error("it came to the system's limit, which it knew")
 			}
@@ -143,43 +143,43 @@
 	t.Parallel()
 	const many, within = 20, 10 * time.Second
 	const silent = 7600 * time.Millisecond
-	var fleet []*world
+	var fleet []*testEnv
 	for range many {
-		w := newWorld(t)
-		w.tell(list(1, true, line("w1", w.finishing("w1"), "in_service")))
-		fleet = append(fleet, w)
+		e := newTestEnv(t)
+		e.publish(memberList(1, true, memberEntry("w1", e.finishingWorker("w1"), "in_service")))
+		fleet = append(fleet, e)
 	}
-	each := func(part []*world, do func(w *world)) {
+	each := func(part []*testEnv, do func(e *testEnv)) {
 		var all sync.WaitGroup
-		for _, w := range part {
-			all.Go(func() { do(w) })
+		for _, e := range part {
+			all.Go(func() { do(e) })
 		}
 		all.Wait()
 	}
-	each(fleet, func(w *world) {
-		w.begin()
-		w.readyWithin(patience)
-		w.mu.Lock()
-		w.silent = true
-		w.mu.Unlock()
+	each(fleet, func(e *testEnv) {
+		e.launch()
+		e.readyWithin(waitTimeout)
+		e.mu.Lock()
+		e.discoveryDown = true
+		e.mu.Unlock()
 	})
 	down := time.Now()
 	var ready atomic.Int32
 	var restarts sync.WaitGroup
-	for _, w := range fleet {
+	for _, e := range fleet {
 		restarts.Go(func() {
-			w.cmd.Process.Kill()
-			w.cmd.Wait()
+			e.cmd.Process.Kill()
+			e.cmd.Wait()
 			began := time.Now()
-			w.begin()
-			if w.readyWithin(within-time.Since(began)) && time.Since(began) <= within {
+			e.launch()
+			if e.readyWithin(within-time.Since(began)) && time.Since(began) <= within {
 				ready.Add(1)
 			}
 		})
 	}
 	time.Sleep(time.Until(down.Add(silent)))
-	for _, w := range fleet {
-		w.returns()
+	for _, e := range fleet {
+		e.resumeDiscovery()
 	}
 	restarts.Wait()
 	if got := int(ready.Load()); got*10 < many*9 {
@@ -190,9 +190,9 @@
 }
 
 // readyWithin waits until the program is, for so long at most.
-func (w *world) readyWithin(within time.Duration) bool {
+func (e *testEnv) readyWithin(within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if w.get("/ready") == 200 {
+		if e.status("/ready") == 200 {
 			return true
 		}
 	}
--- a/cmd/weldmast/fleet_test.go
+++ b/cmd/weldmast/fleet_test.go
@@ -16,10 +16,10 @@
 )
 
 // voter builds the program that votes, once.
-var voter = sync.OnceValues(func() (string, error) {
+var buildVoter = sync.OnceValues(func() (string, error) {
 	path := filepath.Join(filepath.Dir(binary), "weldmast-voter")
 	args := []string{"build", "-buildvcs=false", "-o", path}
-	if raced() {
+	if raceEnabled() {
 		args = append(args, "-race")
 	}
 	out, err := exec.Command("go", append(args, "../weldmast-voter")...).CombinedOutput()
@@ -30,53 +30,53 @@
 })
 
 // fleetWorld is one member's, with a worker that notes under which release it is handed work.
-type fleetWorld struct {
-	*world
+type fleetEnv struct {
+	*testEnv
 	name string
-	at   string // the member's address
+	addr string // the member's address
 }
 
-func newFleetWorld(t *testing.T, name, voterAt, alone, more string) *fleetWorld {
-	f := &fleetWorld{world: newWorld(t), name: name, at: voterAt}
+func newFleetEnv(t *testing.T, name, voterAt, alone, more string) *fleetEnv {
+	f := &fleetEnv{testEnv: newTestEnv(t), name: name, addr: voterAt}
 	if name != "v" {
-		l := f.port()
-		f.at = l.Addr().String()
+		l := f.listenPort()
+		f.addr = l.Addr().String()
 		l.Close()
 	}
-	f.operator = filepath.Join(t.TempDir(), "fleet.toml")
-	f.must(os.WriteFile(f.operator, []byte(fmt.Sprintf("[fleet]\nname = \"test\"\nmember = %q\nlisten = %q\nvoters = [\"v %s\"]\nfolder = %q\nalone = %q\nbeat = 50\nlease = 400\n%s",
-		name, f.at, voterAt, t.TempDir(), alone, more)), 0o600))
-	l := f.port()
+	f.operatorPath = filepath.Join(t.TempDir(), "fleet.toml")
+	f.must(os.WriteFile(f.operatorPath, []byte(fmt.Sprintf("[fleet]\nname = \"test\"\nmember = %q\nlisten = %q\nvoters = [\"v %s\"]\nfolder = %q\nalone = %q\nbeat = 50\nlease = 400\n%s",
+		name, f.addr, voterAt, t.TempDir(), alone, more)), 0o600))
+	l := f.listenPort()
 	s := &http.Server{Handler: http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Request-Id")
-		f.note("%s under %q", id, r.Header.Get("X-Release"))
+		f.record("%s under %q", id, r.Header.Get("X-Release"))
 		accept(job{out: out})
-		f.back(id, "w1", "done", "")
+		f.callback(id, "w1", "done", "")
 	})}
 	go s.Serve(l)
 	t.Cleanup(func() { s.Close() })
-	f.tell(list(1, true, line("w1", l.Addr().String(), "in_service")))
+	f.publish(memberList(1, true, memberEntry("w1", l.Addr().String(), "in_service")))
 	return f
 }
 
 // newFleet is a voter and a follower, not yet started, with the program that votes and its address.
-func newFleet(t *testing.T) (path, at string, v, m *fleetWorld) {
-	path, err := voter()
+func newFleet(t *testing.T) (path, at string, v, m *fleetEnv) {
+	path, err := buildVoter()
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newWorld(t).port()
+	l := newTestEnv(t).listenPort()
 	at = l.Addr().String()
 	l.Close()
-	return path, at, newFleetWorld(t, "v", at, "serve", ""), newFleetWorld(t, "m", at, "stop", "")
+	return path, at, newFleetEnv(t, "v", at, "serve", ""), newFleetEnv(t, "m", at, "stop", "")
 }
 
 // client asks for one job on a connection of its own, and tells the status and what the worker saw.
-func (f *fleetWorld) job(id string) string {
+func (f *fleetEnv) job(id string) string {
 	answer := f.dial().ask(request(id, "/plan/x", ""))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, line := range strings.Split(f.log.String(), "\n") {
+	for _, line := range strings.Split(f.seen.String(), "\n") {
 		if rest, ok := strings.CutPrefix(line, id+" "); ok {
 			return answer + " " + rest
 		}
@@ -85,10 +85,10 @@
 }
 
 // jobs asks until the answer is as wanted.
-func (f *fleetWorld) jobs(want string) {
+func (f *fleetEnv) awaitJob(want string) {
 	f.t.Helper()
 	last := ""
-	for k, end := 0, time.Now().Add(patience); time.Now().Before(end); k++ {
+	for k, end := 0, time.Now().Add(waitTimeout); time.Now().Before(end); k++ {
 		if last = f.job(fmt.Sprintf("%s-%d-%d", f.name, time.Now().UnixNano(), k)); strings.TrimSpace(last) == want {
 			return
 		}
@@ -102,7 +102,7 @@
 	path, at, v, m := newFleet(t)
 	cli := func(want int, args ...string) string {
 		t.Helper()
-		cmd := exec.Command(binary, append([]string{"fleet"}, append(args, "--at", m.at, "--fleet", "test")...)...)
+		cmd := exec.Command(binary, append([]string{"fleet"}, append(args, "--at", m.addr, "--fleet", "test")...)...)
 		out, err := cmd.CombinedOutput()
 		code := 0
 		var exit *exec.ExitError
@@ -132,7 +132,7 @@
 	v.start()
 	binary = was
 	m.start()
-	m.jobs(`200 under ""`)
+	m.awaitJob(`200 under ""`)
 	one := cli(0, "publish", file(`{"mark":"one"}`), "--fence", "--wait", "--request", "r1")
 	says(one, "version 1, entry ")
 	says(one, "fence complete since ")
@@ -151,21 +151,21 @@
 		t.Errorf("a version that is refused: %s", got)
 	}
 	cli(0, "publish", file(`{"mark":"three"}`), "--wait")
-	m.jobs(`200 under "three"`)
+	m.awaitJob(`200 under "three"`)
 	cli(0, "shut-out", "m")
-	m.jobs("503 Retry-After")
-	v.jobs(`200 under "three"`)
+	m.awaitJob("503 Retry-After")
+	v.awaitJob(`200 under "three"`)
 	cli(0, "admit", "m")
-	m.jobs(`200 under "three"`)
+	m.awaitJob(`200 under "three"`)
 	says(cli(1, "shut-out", "nobody"), "no member is called nobody")
 
 	// Two with one name: the second gets no lease, and takes nothing.
-	twin := newFleetWorld(t, "m", at, "stop", "")
-	twin.begin()
+	twin := newFleetEnv(t, "m", at, "stop", "")
+	twin.launch()
 	twin.until("no lease", func() bool {
-		return strings.Contains(twin.output.String(), "the name is taken by the process at "+m.at)
+		return strings.Contains(twin.output.String(), "the name is taken by the process at "+m.addr)
 	})
-	twin.until("ready", func() bool { return twin.get("/ready") == 200 })
+	twin.until("ready", func() bool { return twin.status("/ready") == 200 })
 	if got := twin.job("twin"); got != "503 Retry-After" {
 		t.Errorf("the second of a name: %s", got)
 	}
@@ -174,20 +174,20 @@
 
 	// Stopped for longer than its lease, a version with a fence meanwhile: it wakes and acts on no older one.
 	m.must(m.cmd.Process.Signal(syscall.SIGSTOP))
-	says(exec2(t, binary, "fleet", "publish", file(`{"mark":"four"}`), "--fence", "--wait", "--at", at, "--fleet", "test"), "fence complete since ")
+	says(mustRun(t, binary, "fleet", "publish", file(`{"mark":"four"}`), "--fence", "--wait", "--at", at, "--fleet", "test"), "fence complete since ")
 	m.must(m.cmd.Process.Signal(syscall.SIGCONT))
 	for k := range 20 {
 		if got := m.job(fmt.Sprint("woken", k)); !strings.HasPrefix(got, "503") && got != `200 under "four"` {
 			t.Errorf("woken: %s", got)
 		}
 	}
-	m.jobs(`200 under "four"`)
+	m.awaitJob(`200 under "four"`)
 
 	// Killed and started again, it is what it was, and the audit knows both of its processes.
 	m.must(m.cmd.Process.Kill())
 	m.cmd.Wait()
 	m.start()
-	m.jobs(`200 under "four"`)
+	m.awaitJob(`200 under "four"`)
 	var audit struct {
 		Versions []struct {
 			Lines []struct{ Member, Run string } `json:"members"`
@@ -208,18 +208,18 @@
 	// Without the council the one stops once its lease is over; restarted, it stops at once. The other serves on.
 	v.must(v.cmd.Process.Kill())
 	v.cmd.Wait()
-	m.jobs("503 Retry-After")
+	m.awaitJob("503 Retry-After")
 	says(cli(1, "status"), "no leader can be reached; this is what the member itself knows")
 	binary = path
 	v.start()
 	binary = was
-	m.jobs(`200 under "four"`)
+	m.awaitJob(`200 under "four"`)
 	m.must(m.cmd.Process.Signal(syscall.SIGTERM))
 	if err := m.cmd.Wait(); err != nil {
 		t.Error(err)
 	}
 	v.until("it ended", func() bool {
-		return strings.Contains(exec2(t, binary, "fleet", "status", "--at", at, "--fleet", "test"), "it ended")
+		return strings.Contains(mustRun(t, binary, "fleet", "status", "--at", at, "--fleet", "test"), "it ended")
 	})
 }
 
@@ -227,34 +227,34 @@
 // other stays with what it had, serves on and says key and fault; a later version that both accept is in force at both.
 func TestRefusedBySome(t *testing.T) {
 	path, _, v, m := newFleet(t)
-	v.swap = [2]string{fmt.Sprintf(`"peer_listen":%q,`, v.peerAt), ""} // it tells siblings nothing; the other one has two
+	v.swap = [2]string{fmt.Sprintf(`"peer_listen":%q,`, v.peerAddr), ""} // it tells siblings nothing; the other one has two
 	v.wrap = func(c *exec.Cmd) { c.Path = path }
 	v.start()
 	m.start()
-	m.jobs(`200 under ""`)
+	m.awaitJob(`200 under ""`)
 	publish := func(text string) {
 		t.Helper()
 		file := filepath.Join(t.TempDir(), "version.json")
 		v.must(os.WriteFile(file, []byte(text), 0o600))
-		exec2(t, binary, "fleet", "publish", file, "--at", v.at, "--fleet", "test")
+		mustRun(t, binary, "fleet", "publish", file, "--at", v.addr, "--fleet", "test")
 	}
 	publish(`{"mark":"one"}`)
-	m.jobs(`200 under "one"`)
+	m.awaitJob(`200 under "one"`)
 	publish(`{"mark":"two","settings":{"siblings":1}}`)
-	v.jobs(`200 under "two"`)
+	v.awaitJob(`200 under "two"`)
 	m.until("its word", func() bool {
-		return strings.Contains(exec2(t, binary, "fleet", "status", "--at", v.at, "--fleet", "test"), "refuses version 2: peers: 2 addresses for 1 siblings")
+		return strings.Contains(mustRun(t, binary, "fleet", "status", "--at", v.addr, "--fleet", "test"), "refuses version 2: peers: 2 addresses for 1 siblings")
 	})
 	if got := m.job("older"); got != `200 under "one"` {
 		t.Errorf("the one that refuses: %s", got)
 	}
 	publish(`{"mark":"three"}`)
-	v.jobs(`200 under "three"`)
-	m.jobs(`200 under "three"`)
+	v.awaitJob(`200 under "three"`)
+	m.awaitJob(`200 under "three"`)
 }
 
 // exec2 runs a command that has to end well.
-func exec2(t *testing.T, name string, args ...string) string {
+func mustRun(t *testing.T, name string, args ...string) string {
 	t.Helper()
 	out, err := exec.Command(name, args...).CombinedOutput()
 	if err != nil {
@@ -271,8 +271,8 @@
 
 // TestNoVoter: the build that cannot vote says so.
 func TestNoVoter(t *testing.T) {
-	f := newFleetWorld(t, "v", "127.0.0.1:7100", "serve", "")
-	f.begin()
+	f := newFleetEnv(t, "v", "127.0.0.1:7100", "serve", "")
+	f.launch()
 	if err := f.cmd.Wait(); err == nil {
 		t.Error("it starts")
 	}
@@ -284,23 +284,23 @@
 // TestStandstill: a request that came while the process stood still, on a connection that had brought none yet, is answered
 // once it goes on, however long that was. Which of timer and socket comes first on waking is the machine's choice: without the
 // guard this failed in one of three runs; platform's TestLate fails each time.
-func TestStandstill(t *testing.T) {
-	w := newWorld(t)
-	w.tell(list(1, true, line("w1", w.finishing("w1"), "in_service")))
-	w.start()
+func TestRequestDuringPause(t *testing.T) {
+	e := newTestEnv(t)
+	e.publish(memberList(1, true, memberEntry("w1", e.finishingWorker("w1"), "in_service")))
+	e.start()
 	var all []*client
 	for range 30 {
-		all = append(all, w.dial())
+		all = append(all, e.dial())
 	}
 	time.Sleep(200 * time.Millisecond) // it waits for their requests by now
-	w.must(w.cmd.Process.Signal(syscall.SIGSTOP))
+	e.must(e.cmd.Process.Signal(syscall.SIGSTOP))
 	for k, c := range all {
 		if _, err := c.Write([]byte(request(fmt.Sprint("a", k), "/plan/x", ""))); err != nil {
 			t.Fatal(err)
 		}
 	}
 	time.Sleep(2500 * time.Millisecond) // longer than a silent connection may stay
-	w.must(w.cmd.Process.Signal(syscall.SIGCONT))
+	e.must(e.cmd.Process.Signal(syscall.SIGCONT))
 	for k, c := range all {
 		if got := c.answer(); got == "no answer" {
 			t.Errorf("request %d: %s", k, got)
--- a/cmd/weldmast/migrate_test.go
+++ b/cmd/weldmast/migrate_test.go
@@ -12,29 +12,29 @@
 )
 
 // with starts the program by the configuration in the file, as it is, and waits until it is ready.
-func (w *world) with(file string) {
-	w.t.Helper()
-	w.cmd = exec.Command(binary)
-	w.cmd.Env, w.cmd.Stderr = append(os.Environ(), "ROUTER_CONFIG="+file, "ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_DISCOVERY=",
-		"ROUTER_OPS=", "WELDMAST_FILE="), &w.output
-	w.must(w.cmd.Start())
-	w.until("ready", func() bool { return w.get("/ready") == 200 })
+func (e *testEnv) startWith(file string) {
+	e.t.Helper()
+	e.cmd = exec.Command(binary)
+	e.cmd.Env, e.cmd.Stderr = append(os.Environ(), "ROUTER_CONFIG="+file, "ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_DISCOVERY=",
+		"ROUTER_OPS=", "WELDMAST_FILE="), &e.output
+	e.must(e.cmd.Start())
+	e.until("ready", func() bool { return e.status("/ready") == 200 })
 }
 
-func (w *world) end() {
-	w.must(w.cmd.Process.Signal(os.Interrupt))
-	w.cmd.Wait()
+func (e *testEnv) interrupt() {
+	e.must(e.cmd.Process.Signal(os.Interrupt))
+	e.cmd.Wait()
 }
 
 // migrate runs the command and gives what it ended with and all that it printed.
-func migrateBy(args ...string) (code int, text string) {
+func runMigrate(args ...string) (code int, text string) {
 	var out strings.Builder
 	code = run(append([]string{"migrate"}, args...), &out, &out)
 	return code, out.String()
 }
 
 // folder is all that is in a folder.
-func folder(t *testing.T, dir string) map[string]string {
+func readFolder(t *testing.T, dir string) map[string]string {
 	all := map[string]string{}
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -53,21 +53,21 @@
 // TestMigrate: a migrated configuration starts the program, which serves and sends the work of a key to that key's worker;
 // a dry run leaves the folder as it was; the old one is not touched and serves again.
 func TestMigrate(t *testing.T) {
-	w := newWorld(t)
-	w.config("", "")
-	dir := filepath.Dir(w.file)
-	before := folder(t, dir)
+	e := newTestEnv(t)
+	e.writeConfig("", "")
+	dir := filepath.Dir(e.configPath)
+	before := readFolder(t, dir)
 	to := filepath.Join(dir, "new.json")
-	told := []string{w.file, "--to", to, "--weights", "live", "--load", "probe", "--origin", "0.05"}
-	code, dry := migrateBy(append(told, "--dry-run")...)
-	if diff := cmp.Diff(before, folder(t, dir)); code != 0 || diff != "" {
+	args := []string{e.configPath, "--to", to, "--weights", "live", "--load", "probe", "--origin", "0.05"}
+	code, dry := runMigrate(append(args, "--dry-run")...)
+	if diff := cmp.Diff(before, readFolder(t, dir)); code != 0 || diff != "" {
 		t.Errorf("dry run: exit %d, the folder differs:\n%s", code, diff)
 	}
-	code, text := migrateBy(told...)
+	code, text := runMigrate(args...)
 	if code != 0 || !strings.Contains(text, "no faults") || !strings.Contains(text, "peers: ") {
 		t.Fatalf("exit %d:\n%s", code, text)
 	}
-	after := folder(t, dir)
+	after := readFolder(t, dir)
 	if !strings.HasSuffix(dry, after["new.json"]) || len(after["new.json"]) < 100 {
 		t.Errorf("the dry run shows otherwise:\n%s\nwritten:\n%s", dry, after["new.json"])
 	}
@@ -86,56 +86,56 @@
 	var workers []string
 	for k := range 8 {
 		name := fmt.Sprint("w", k+1)
-		workers = append(workers, line(name, w.finishing(name), "in_service"))
+		workers = append(workers, memberEntry(name, e.finishingWorker(name), "in_service"))
 	}
-	w.tell(list(5, true, workers...))
-	w.with(to)
+	e.publish(memberList(5, true, workers...))
+	e.startWith(to)
 	ask := func(id, path string) string {
 		t.Helper()
-		got := w.dial().ask(request(id, path, ""))
+		got := e.dial().ask(request(id, path, ""))
 		if !strings.HasPrefix(got, "200 from w") {
 			t.Errorf("%s: %s", id, got)
 		}
 		return got
 	}
-	homes, at := map[string]bool{}, map[int]map[string]bool{}
+	used, workersOf := map[string]bool{}, map[int]map[string]bool{}
 	for n := range 6 {
 		for k := range 12 { // category, something and the key
-			if at[k] == nil {
-				at[k] = map[string]bool{}
+			if workersOf[k] == nil {
+				workersOf[k] = map[string]bool{}
 			}
 			a := ask(fmt.Sprintf("k%d-%d", k, n), fmt.Sprintf("/plan/x%d/key%d", n, k))
-			homes[a], at[k][a] = true, true
+			used[a], workersOf[k][a] = true, true
 		}
 	}
-	for k, workers := range at {
+	for k, workers := range workersOf {
 		if len(workers) > 2 {
 			t.Errorf("key%d ran at %d of 8 workers", k, len(workers))
 		}
 	}
-	if len(homes) < 3 {
-		t.Errorf("all keys ran at %d of 8 workers", len(homes))
+	if len(used) < 3 {
+		t.Errorf("all keys ran at %d of 8 workers", len(used))
 	}
-	w.end()
+	e.interrupt()
 
-	w.with(w.file) // going back
+	e.startWith(e.configPath) // going back
 	ask("back", "/plan/x")
 }
 
 // TestMigrateFaults: a clear error, an exit code, and nothing written, also where a key is still open.
 func TestMigrateFaults(t *testing.T) {
-	w := newWorld(t)
-	w.config("", "")
-	dir := filepath.Dir(w.file)
+	e := newTestEnv(t)
+	e.writeConfig("", "")
+	dir := filepath.Dir(e.configPath)
 	put := func(name, text string) string {
 		path := filepath.Join(dir, name)
-		w.must(os.WriteFile(path, []byte(text), 0o600))
+		e.must(os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
 	there, bad, unlike := put("there.json", "precious"), put("bad.json", `{"settings":`), put("new-shape.json", `{"shape":2,"settings":{"a":1}}`)
 	link := filepath.Join(dir, "link.json")
-	w.must(os.Symlink(w.file, link))
-	before := folder(t, dir)
+	e.must(os.Symlink(e.configPath, link))
+	before := readFolder(t, dir)
 	to := filepath.Join(dir, "to.json")
 	for _, x := range []struct {
 		code int
@@ -143,29 +143,29 @@
 		args []string
 	}{
 		{2, "OLD is required", nil},
-		{2, "NEW is required", []string{w.file}},
-		{2, `--weights: "heavy" is none of`, []string{w.file, "--to", to, "--weights", "heavy"}},
-		{2, `--load: "often" is none of`, []string{w.file, "--to", to, "--load", "often"}},
-		{2, `--origin: "-1" is not a plain number`, []string{w.file, "--to", to, "--origin=-1"}},
-		{2, `--origin: "NaN" is not a plain number`, []string{w.file, "--to", to, "--origin", "NaN"}},
+		{2, "NEW is required", []string{e.configPath}},
+		{2, `--weights: "heavy" is none of`, []string{e.configPath, "--to", to, "--weights", "heavy"}},
+		{2, `--load: "often" is none of`, []string{e.configPath, "--to", to, "--load", "often"}},
+		{2, `--origin: "-1" is not a plain number`, []string{e.configPath, "--to", to, "--origin=-1"}},
+		{2, `--origin: "NaN" is not a plain number`, []string{e.configPath, "--to", to, "--origin", "NaN"}},
 		{1, "no such file", []string{filepath.Join(dir, "none.json"), "--to", to}},
 		{1, "is a directory", []string{dir, "--to", to}},
 		{1, "no JSON at byte", []string{bad, "--to", to}},
 		{1, "shape: is 2, the new one, already", []string{unlike, "--to", to}},
-		{1, "exists already", []string{w.file, "--to", there}},
-		{1, "is the old configuration itself", []string{w.file, "--to", w.file}},
-		{1, "is the old configuration itself", []string{w.file, "--to", link}},
-		{1, "no such file", []string{w.file, "--to", filepath.Join(dir, "none", "to.json")}},
+		{1, "exists already", []string{e.configPath, "--to", there}},
+		{1, "is the old configuration itself", []string{e.configPath, "--to", e.configPath}},
+		{1, "is the old configuration itself", []string{e.configPath, "--to", link}},
+		{1, "no such file", []string{e.configPath, "--to", filepath.Join(dir, "none", "to.json")}},
 	} {
-		if code, text := migrateBy(x.args...); code != x.code || !strings.Contains(text, x.want) {
+		if code, text := runMigrate(x.args...); code != x.code || !strings.Contains(text, x.want) {
 			t.Errorf("%v: exit %d, want %d and %q:\n%s", x.args, code, x.code, x.want, text)
 		}
-		if diff := cmp.Diff(before, folder(t, dir)); diff != "" {
+		if diff := cmp.Diff(before, readFolder(t, dir)); diff != "" {
 			t.Fatalf("%v: the folder differs:\n%s", x.args, diff)
 		}
 	}
 
-	code, text := migrateBy(w.file, "--to", to)
+	code, text := runMigrate(e.configPath, "--to", to)
 	if code != 0 || !strings.Contains(text, "to be filled in: 3") || !strings.Contains(text, "settings.weights is missing") {
 		t.Errorf("nothing told: exit %d\n%s", code, text)
 	}
@@ -175,10 +175,10 @@
 		t.Errorf("started with open keys: %v\n%s", err, out)
 	}
 	if os.Getuid() != 0 { // whom no folder is closed to
-		w.must(os.Chmod(dir, 0o500))
-		if code, text := migrateBy(w.file, "--to", filepath.Join(dir, "x.json")); code != 1 || !strings.Contains(text, "permission denied") {
+		e.must(os.Chmod(dir, 0o500))
+		if code, text := runMigrate(e.configPath, "--to", filepath.Join(dir, "x.json")); code != 1 || !strings.Contains(text, "permission denied") {
 			t.Errorf("a folder that cannot be written: exit %d\n%s", code, text)
 		}
-		w.must(os.Chmod(dir, 0o700))
+		e.must(os.Chmod(dir, 0o700))
 	}
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func operator(t *testing.T, text string) (OperatorFile, error) {
+func loadOperatorFile(t *testing.T, text string) (OperatorFile, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "op.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -31,7 +31,7 @@
 		{strings.Replace(good, `["a 127.0.0.1:7100"]`, `["a 127.0.0.1:7100", "b 127.0.0.1:7101"]`, 1), "fleet.voters: 2 voters; there have to be 1, 3 or 5"},
 		{strings.Replace(good, `["a 127.0.0.1:7100"]`, `["a 127.0.0.1:7100", "a 127.0.0.1:7101", "b x"]`, 1), "the name a is there twice"},
 	} {
-		_, err := operator(t, c.text)
+		_, err := loadOperatorFile(t, c.text)
 		switch {
 		case c.want == "" && err != nil:
 			t.Errorf("%s\n%v", c.text, err)
@@ -39,7 +39,7 @@
 			t.Errorf("%s\n%v, wanted %q", c.text, err, c.want)
 		}
 	}
-	o, err := operator(t, good)
+	o, err := loadOperatorFile(t, good)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,11 +63,11 @@
 		t.Fatal(err)
 	}
 	none := func(string) string { return "" }
-	own, err := parse(text, nil)
+	base, err := parse(text, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	own.Text = text
+	base.Text = text
 	for _, c := range []struct{ version, fault, waits string }{
 		{`{}`, "", ""},
 		{`{"mark":"a","settings":{"allowed":{"max_hand_offs":2,"open_cap":7}},"discovery":"127.0.0.1:9"}`, "", ""},
@@ -80,7 +80,7 @@
 		{`{"settings":{"allowed":{"max_handoffs":2}}}`, "settings.allowed.max_handoffs is not known to this program", ""},
 		{`{"settings":{"categories":null}}`, "settings.categories.count is missing", ""},
 	} {
-		v, waits, err := Overlay(own, none, []byte(c.version))
+		v, waits, err := Overlay(base, none, []byte(c.version))
 		switch {
 		case c.fault != "" && (err == nil || !strings.Contains(err.Error(), c.fault)):
 			t.Errorf("%s: %v, wanted %q", c.version, err, c.fault)
@@ -89,15 +89,15 @@
 		case c.fault == "" && strings.Join(waits, " ") != c.waits:
 			t.Errorf("%s: waits for a restart: %v, wanted %s", c.version, waits, c.waits)
 		}
-		if strings.Contains(c.version, "open_cap") && (v.Settings.MaxHandOffs != 2 || v.Links.MaxOpen != 7 || v.Mark != "a" || v.Discovery.Port() != 9 || v.Name != own.Name) {
+		if strings.Contains(c.version, "open_cap") && (v.Settings.MaxHandOffs != 2 || v.Links.MaxOpen != 7 || v.Mark != "a" || v.Discovery.Port() != 9 || v.Name != base.Name) {
 			t.Errorf("%s: %+v", c.version, v)
 		}
 	}
 	set := func(name string) string { return map[string]string{"ROUTER_DISCOVERY": "127.0.0.1:8"}[name] }
-	if v, _, err := Overlay(own, set, []byte(`{}`)); err != nil || v.Discovery.Port() != 8 {
+	if v, _, err := Overlay(base, set, []byte(`{}`)); err != nil || v.Discovery.Port() != 8 {
 		t.Errorf("a version that says nothing of discovery: %v %v", v.Discovery, err)
 	}
-	if v, _, err := Overlay(own, set, []byte(`{"discovery":"127.0.0.1:9"}`)); err != nil || v.Discovery.Port() != 9 {
+	if v, _, err := Overlay(base, set, []byte(`{"discovery":"127.0.0.1:9"}`)); err != nil || v.Discovery.Port() != 9 {
 		t.Errorf("a version goes before what the start was told: %v %v", v.Discovery, err)
 	}
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestBound: a flood of one kind is cut and counted, another kind still comes through, a line has an end.
-func TestBound(t *testing.T) {
+func TestLimits(t *testing.T) {
 	var out strings.Builder
 	now := time.Unix(1000, 0).UTC()
 	w := New(&out, func() time.Time { return now })
@@ -25,9 +25,9 @@
 	w.SetLimits(Limits{Lines: 1, LineBytes: 40})
 	l.Warn("bad", "why", "no more")
 	l.Info("phase", "phase", strings.Repeat("z", 100))
-	at, next := "time=1970-01-01T00:16:40.000000Z ", "time=1970-01-01T00:16:41.000000Z "
+	first, next := "time=1970-01-01T00:16:40.000000Z ", "time=1970-01-01T00:16:41.000000Z "
 	bad := "level=WARN msg=bad why="
-	want := strings.Repeat(at+bad+"\"x y\"\n", DefaultLimits.Lines) + at + "level=INFO msg=phase phase=draining\n" +
+	want := strings.Repeat(first+bad+"\"x y\"\n", DefaultLimits.Lines) + first + "level=INFO msg=phase phase=draining\n" +
 		next + "level=WARN msg=dropped dropped=4980 of=bad\n" +
 		next + bad + strings.Repeat("y", DefaultLimits.LineBytes-len(bad)) + "\n" +
 		next + "level=INFO msg=phase phase=" + strings.Repeat("z", 40-len("level=INFO msg=phase phase=")) + "\n"
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -8,7 +8,7 @@
 	"weldmast/internal/kept"
 )
 
-const old = `{"name":"n0","listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"0000000000000001","colour":"red",
+const oldConfig = `{"name":"n0","listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"0000000000000001","colour":"red",
 	"limits":{"cores":1.0,"memory_mb":64,"disks":2},"peer_listen":"127.0.0.1:9000","peers":["127.0.0.1:9000","127.0.0.1:9001"],
 	"known":{"revision":1,"complete":true,"members":[]},
 	"settings":{"siblings":2,"position":1,"granularity":5000,"discovery":"push","localities":["a"],"locality":"a","machine_types":["m"],
@@ -23,24 +23,24 @@
 
 // TestPlan: what is carried over, and a line for each thing that is not; the same bytes each time.
 func TestPlan(t *testing.T) {
-	first, err := Plan([]byte(old), OperatorValues{})
+	first, err := Plan([]byte(oldConfig), OperatorValues{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, err := Plan([]byte(old), OperatorValues{Weights: "live", Load: "probe", Origin: "0.05"})
+	filled, err := Plan([]byte(oldConfig), OperatorValues{Weights: "live", Load: "probe", Origin: "0.05"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept.Check(t, "plan", "== nothing told\n"+first.String()+"== all told\n"+told.String())
+	kept.Check(t, "plan", "== nothing told\n"+first.String()+"== all told\n"+filled.String())
 	for range 20 {
-		if again, err := Plan([]byte(old), OperatorValues{}); err != nil || again.String() != first.String() {
+		if again, err := Plan([]byte(oldConfig), OperatorValues{}); err != nil || again.String() != first.String() {
 			t.Fatalf("another result: %v\n%s", err, again)
 		}
 	}
 }
 
 // TestBadOld: a clear error that names the key, and no result.
-func TestBadOld(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                 "no JSON at byte 0",
 		"{":                                "no JSON at byte 1",
--- a/internal/takeover/exchange.go
+++ b/internal/takeover/exchange.go
@@ -32,19 +32,19 @@
 	// Resume has them served.
 	Resume()
 	// GiveIdle gives away each connection that waits for a request; false: it stays.
-	TransferIdle(give func(syscall.Conn) bool)
+	TransferIdle(transfer func(syscall.Conn) bool)
 	// Adopt serves a connection that was given away there.
 	AdoptConn(net.Conn)
 	// AdoptJob answers a job that was given away there, on its client's connection. The node knows it when this returns.
-	AdoptJob(c net.Conn, text []byte)
+	AdoptJob(c net.Conn, job []byte)
 	// Share keeps to half of the bounds, or to all of them.
 	SetHalfLimits(half bool)
 	// Inherit takes what the older process knew.
-	ImportState(text []byte) error
+	ImportState(state []byte) error
 	// Succeeded tells that a newer process calls: if this one was told to stop, Stop is called once more.
 	SuccessorConnected()
 	// Callback takes one that the other process did not know.
-	ForwardedCallback(text []byte, newer bool, answer func(CallbackResult))
+	ForwardedCallback(callback []byte, fromSuccessor bool, reply func(CallbackResult))
 }
 
 // Options say who this is.
--- a/internal/takeover/machine_test.go
+++ b/internal/takeover/machine_test.go
@@ -9,40 +9,40 @@
 
 // process is one of a dispatcher's, as the test plays it: what its machine wanted done is what it does.
 type process struct {
-	m       Machine
-	accepts bool
-	half    bool
-	told    bool     // to stop
-	older   *process // that it is linked to
-	newer   *process
-	sent    bool   // older: has handed over, which the newer one has not read yet
-	said    []bool // newer: whether there is one after it, which the older one has not read yet
-	dead    bool
+	m           Machine
+	accepting   bool
+	halved      bool
+	toldToStop  bool     // to stop
+	predecessor *process // that it is linked to
+	successor   *process
+	stateSent   bool   // older: has handed over, which the newer one has not read yet
+	reports     []bool // newer: whether there is one after it, which the older one has not read yet
+	dead        bool
 }
 
-func (p *process) do(actions []Action) {
+func (p *process) perform(actions []Action) {
 	for _, a := range actions {
 		switch a {
 		case StartAccepting, ResumeAccepting:
-			p.accepts = true
+			p.accepting = true
 		case HandOverState:
-			p.accepts, p.sent = false, true
+			p.accepting, p.stateSent = false, true
 		case ReportSuccessor:
-			p.said = append(p.said, p.newer != nil)
+			p.reports = append(p.reports, p.successor != nil)
 		case HalveLimits:
-			p.half = true
+			p.halved = true
 		case RestoreLimits:
-			p.half = false
+			p.halved = false
 		}
 	}
 }
 
 // TestOneAccepts: whatever dies, comes or is told when, never do two processes accept, and once all is heard one does, if
 // any lives. Bounds are shared just while there are two.
-func TestOneAccepts(t *testing.T) {
+func TestOneProcessAccepts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []*process
-		var found *process // who is at the path
+		var atPath *process // who is at the path
 		living := func() (some []*process) {
 			for _, p := range all {
 				if !p.dead {
@@ -51,29 +51,29 @@
 			}
 			return some
 		}
-		take := func(p *process, actions []Action) {
-			if p.do(actions); slices.Contains(actions, StartAccepting) {
-				found = p
+		perform := func(p *process, actions []Action) {
+			if p.perform(actions); slices.Contains(actions, StartAccepting) {
+				atPath = p
 			}
 		}
-		hear := func(p *process) { // all that its older one has said, or its end
-			if o := p.older; o != nil {
-				if o.sent {
-					o.sent = false
-					take(p, p.m.PredecessorHandedOver())
+		deliver := func(p *process) { // all that its older one has said, or its end
+			if o := p.predecessor; o != nil {
+				if o.stateSent {
+					o.stateSent = false
+					perform(p, p.m.PredecessorHandedOver())
 				}
 				if o.dead {
-					p.older = nil
-					take(p, p.m.PredecessorGone())
+					p.predecessor = nil
+					perform(p, p.m.PredecessorGone())
 				}
 			}
-			if n := p.newer; n != nil {
-				for _, on := range n.said {
+			if n := p.successor; n != nil {
+				for _, on := range n.reports {
 					p.m.SuccessorReport(on)
 				}
-				if n.said = nil; n.dead {
-					p.newer, p.sent = nil, false
-					take(p, p.m.SuccessorGone())
+				if n.reports = nil; n.dead {
+					p.successor, p.stateSent = nil, false
+					perform(p, p.m.SuccessorGone())
 				}
 			}
 		}
@@ -81,32 +81,32 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
 				p := &process{}
-				if found == nil || found.dead {
+				if atPath == nil || atPath.dead {
 					if len(living()) > 0 {
 						t.Skip("it would share the address with one that cannot be found") // and is told so in the log
 					}
 					all = append(all, p)
-					take(p, p.m.Start(false))
+					perform(p, p.m.Start(false))
 					return
 				}
-				why, actions := found.m.SuccessorHello(ProtocolVersion, true)
+				why, actions := atPath.m.SuccessorHello(ProtocolVersion, true)
 				if why == "" {
-					p.older, found.newer = found, p
-					found.do(actions)
+					p.predecessor, atPath.successor = atPath, p
+					atPath.perform(actions)
 					all = append(all, p)
-					take(p, p.m.Start(true))
-				} else if why != RefusedBusy || found.newer == nil && found.accepts {
+					perform(p, p.m.Start(true))
+				} else if why != RefusedBusy || atPath.successor == nil && atPath.accepting {
 					t.Fatalf("refused: %s", why)
 				}
 			},
 			"stranger": func(t *rapid.T) {
-				if found == nil || found.dead {
+				if atPath == nil || atPath.dead {
 					t.Skip("nobody is found")
 				}
-				if why, actions := found.m.SuccessorHello(ProtocolVersion+1, true); why != RefusedVersion || actions != nil {
+				if why, actions := atPath.m.SuccessorHello(ProtocolVersion+1, true); why != RefusedVersion || actions != nil {
 					t.Fatal("another version is welcome")
 				}
-				if why, actions := found.m.SuccessorHello(ProtocolVersion, false); why != RefusedOtherDispatcher || actions != nil {
+				if why, actions := atPath.m.SuccessorHello(ProtocolVersion, false); why != RefusedOtherDispatcher || actions != nil {
 					t.Fatal("another dispatcher is welcome")
 				}
 			},
@@ -115,8 +115,8 @@
 					t.Skip("none lives")
 				}
 				p := pick(t)
-				p.told = true
-				p.do(p.m.Stop())
+				p.toldToStop = true
+				p.perform(p.m.Stop())
 			},
 			"die": func(t *rapid.T) {
 				if len(living()) == 0 {
@@ -128,12 +128,12 @@
 				if len(living()) == 0 {
 					t.Skip("none lives")
 				}
-				hear(pick(t))
+				deliver(pick(t))
 			},
 			"": func(t *rapid.T) {
 				accept := 0
 				for _, p := range living() {
-					if p.accepts {
+					if p.accepting {
 						accept++
 					}
 				}
@@ -144,19 +144,19 @@
 		})
 		for range all {
 			for _, p := range living() {
-				hear(p)
+				deliver(p)
 			}
 		}
 		accept := 0
 		for _, p := range living() {
-			if p.accepts {
+			if p.accepting {
 				accept++
 			}
-			if p.half != (p.older != nil || p.newer != nil) {
-				t.Fatalf("half of the bounds: %v, older %v, newer %v", p.half, p.older != nil, p.newer != nil)
+			if p.halved != (p.predecessor != nil || p.successor != nil) {
+				t.Fatalf("half of the bounds: %v, older %v, newer %v", p.halved, p.predecessor != nil, p.successor != nil)
 			}
 		}
-		if slices.ContainsFunc(living(), func(p *process) bool { return !p.told }) && accept != 1 {
+		if slices.ContainsFunc(living(), func(p *process) bool { return !p.toldToStop }) && accept != 1 {
 			t.Fatalf("%d accept of %d that live", accept, len(living()))
 		}
 	})
@@ -164,25 +164,25 @@
 
 // TestMiddleDies: of three processes the middle one dies before it hands over; it had told the oldest of the newest, so
 // that only the newest accepts. Had there been none, the oldest would.
-func TestMiddleDies(t *testing.T) {
-	for _, followed := range []bool{true, false} {
+func TestMiddleProcessDies(t *testing.T) {
+	for _, hasSuccessor := range []bool{true, false} {
 		var oldest, middle, newest Machine
 		oldest.Start(false)
 		oldest.SuccessorHello(ProtocolVersion, true)
 		middle.Start(true)
 		oldest.Stop()
 		middle.PredecessorHandedOver()
-		if followed {
-			if _, do := middle.SuccessorHello(ProtocolVersion, true); len(do) == 0 || do[0] != ReportSuccessor {
-				t.Fatalf("told of a newer one: %v, wanted the report first", do)
+		if hasSuccessor {
+			if _, actions := middle.SuccessorHello(ProtocolVersion, true); len(actions) == 0 || actions[0] != ReportSuccessor {
+				t.Fatalf("told of a newer one: %v, wanted the report first", actions)
 			}
 			oldest.SuccessorReport(true)
 			newest.Start(true)
 		}
-		if got := slices.Contains(oldest.SuccessorGone(), ResumeAccepting); got == followed {
-			t.Errorf("one follows: %v; the oldest accepts: %v", followed, got)
+		if got := slices.Contains(oldest.SuccessorGone(), ResumeAccepting); got == hasSuccessor {
+			t.Errorf("one follows: %v; the oldest accepts: %v", hasSuccessor, got)
 		}
-		if followed && !slices.Contains(newest.PredecessorGone(), StartAccepting) {
+		if hasSuccessor && !slices.Contains(newest.PredecessorGone(), StartAccepting) {
 			t.Error("nobody accepts")
 		}
 	}
