--- a/cmd/weldmast/takeover_test.go
+++ b/cmd/weldmast/takeover_test.go
@@ -194,9 +194,9 @@
 		{"long path", func(e *testEnv) {
 			e.tempDir += "/" + strings.Repeat("x", 100)
 			e.must(os.Mkdir(e.tempDir, 0o700))
-		}, "the path is too long"},
-		{"file", func(e *testEnv) { e.must(os.WriteFile(e.socketPath(), []byte("foreign"), 0o600)) }, "is no socket"},
-		{"folder", func(e *testEnv) { e.must(os.Mkdir(e.socketPath(), 0o700)) }, "is no socket"},
+		}, "the path is too long for a Unix socket"},
+		{"file", func(e *testEnv) { e.must(os.WriteFile(e.socketPath(), []byte("foreign"), 0o600)) }, "another kind of file exists at the path"},
+		{"folder", func(e *testEnv) { e.must(os.Mkdir(e.socketPath(), 0o700)) }, "another kind of file exists at the path"},
 		{"stale", func(e *testEnv) {
 			e.launch()
 			e.awaitReady()
@@ -205,7 +205,7 @@
 		}, "connection refused"},
 		{"hung", answering(""), "none to take over from"},
 		{"nonsense", answering("nonsense"), "refused: onsense"},
-		{"empty welcome", answering("w"), "no sockets came"},
+		{"empty welcome", answering("w"), "answered without sending any sockets"},
 		{"another version", answering("ranother version of the exchange"), "refused: another version"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
--- a/internal/takeover/exchange.go
+++ b/internal/takeover/exchange.go
@@ -1,4 +1,5 @@
-// This file does what the Machine decides: it owns the path at which a newer process calls, and the links.
+// This file performs the actions that Machine decides on. It owns the Unix socket at which a successor
+// connects, and the links to the neighbouring processes.
 
 package takeover
 
@@ -19,42 +20,47 @@
 )
 
 const (
-	handshakeTimeout = time.Second // an older process has answered within this time, or there is none
-	maxSocketPath    = 107         // bytes of a Unix socket's path
+	handshakeTimeout = time.Second // a predecessor answers within this time; otherwise the start is an ordinary one
+	maxSocketPath    = 107         // bytes; Linux limit for the path of a Unix socket
 )
 
-// Host is the program of which one process takes the place of another. Its methods may be called from any goroutine.
+// Host is the program whose process is replaced by another process. Its methods may be called from any
+// goroutine.
 type Host interface {
-	// Sockets are those to be handed over, always in the same order.
+	// ListeningSockets returns the sockets that are handed over, always in the same order.
 	ListeningSockets() []syscall.Conn
-	// Pause has them left alone; what comes waits for the other process.
+	// Pause stops serving the listening sockets. Pending connections and datagrams wait for the other
+	// process.
 	Pause()
-	// Resume has them served.
+	// Resume serves the listening sockets again.
 	Resume()
-	// GiveIdle gives away each connection that waits for a request; false: it stays.
+	// TransferIdle calls transfer for each connection that waits for a request. When transfer returns false,
+	// the connection stays in this process.
 	TransferIdle(transfer func(syscall.Conn) bool)
-	// Adopt serves a connection that was given away there.
+	// AdoptConn serves a client connection that the predecessor transferred.
 	AdoptConn(net.Conn)
-	// AdoptJob answers a job that was given away there, on its client's connection. The node knows it when this returns.
+	// AdoptJob takes over a job that the predecessor transferred; the job is answered on its client's
+	// connection c. The node has the job when AdoptJob returns.
 	AdoptJob(c net.Conn, job []byte)
-	// Share keeps to half of the bounds, or to all of them.
+	// SetHalfLimits applies half of the resource limits while two processes run, or all of them.
 	SetHalfLimits(half bool)
-	// Inherit takes what the older process knew.
+	// ImportState takes over the state that the predecessor exported.
 	ImportState(state []byte) error
-	// Succeeded tells that a newer process calls: if this one was told to stop, Stop is called once more.
+	// SuccessorConnected reports that a successor has connected. If this process was told to stop before, it
+	// calls HandOver once more.
 	SuccessorConnected()
-	// Callback takes one that the other process did not know.
+	// ForwardedCallback handles a worker's callback that the other process has no job for.
 	ForwardedCallback(callback []byte, fromSuccessor bool, reply func(CallbackResult))
 }
 
-// Options say who this is.
+// Options identify this process and its dispatcher.
 type Options struct {
-	Dir    string // in which processes of a dispatcher find each other
+	Dir    string // folder in which processes of one dispatcher find each other
 	Name   string
-	Listen string // the clients' address
+	Listen string // address for clients
 }
 
-// Exchange is one process's side.
+// Exchange is this process's side of the takeover protocol.
 type Exchange struct {
 	opts              Options
 	path              string
@@ -64,13 +70,13 @@
 	predecessor       *link
 	successor         *link
 	listener          *net.UnixListener
-	ownSocket         fs.FileInfo // of the path while it is this process's
+	ownSocket         fs.FileInfo // file of the socket at path while it belongs to this process
 	closed            bool
-	predecessorGoneAt time.Time // when the older process ended
+	predecessorGoneAt time.Time // when the link to the predecessor ended
 	goroutines        sync.WaitGroup
 }
 
-// New makes an Exchange; nothing is said yet.
+// New returns an Exchange. It doesn't connect to anything yet.
 func New(o Options) *Exchange {
 	name := strings.Map(func(r rune) rune {
 		if strings.ContainsRune("0123456789.abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ", r) {
@@ -83,8 +89,9 @@
 
 func (x *Exchange) greeting() greeting { return greeting{ProtocolVersion, x.opts.Name, x.opts.Listen} }
 
-// Find asks an older process for its sockets. None are given where there is no such process, or none that answers and
-// understands: then the start is an ordinary one. An error means that this process must not start.
+// Find requests the listening sockets of a predecessor. It returns none if there is no predecessor, or none
+// that answers in time and has the same protocol version; the start is then an ordinary one. An error means
+// that this process must not start.
 func (x *Exchange) Find() ([]*os.File, error) {
 	if _, err := os.Lstat(x.path); errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -118,7 +125,7 @@
 		kind, payload, files, err = l.receive(make([]byte, maxPacket))
 	}
 	if err == nil && kind == msgWelcome && len(files) == 0 {
-		err = errors.New("no sockets came with its welcome")
+		err = errors.New("the predecessor answered without sending any sockets")
 	}
 	if err == nil && kind != msgWelcome {
 		closeFiles(files)
@@ -136,7 +143,8 @@
 	return files, nil
 }
 
-// Run begins the exchange for the host, which has its sockets by now: those that were found, paused, or its own.
+// Run starts the exchange for the host. The host has its sockets already: those from Find, paused, or its
+// own.
 func (x *Exchange) Run(host Host) {
 	x.host = host
 	x.mu.Lock()
@@ -148,7 +156,7 @@
 	}
 }
 
-// Close ends the exchange.
+// Close ends the exchange and removes the socket at the path if it is still this process's.
 func (x *Exchange) Close() {
 	if x == nil {
 		return
@@ -157,7 +165,8 @@
 	x.closed = true
 	if x.listener != nil {
 		x.listener.Close()
-		if now, err := os.Lstat(x.path); err == nil && os.SameFile(now, x.ownSocket) { // not the newer one's
+		// a successor may have replaced it
+		if now, err := os.Lstat(x.path); err == nil && os.SameFile(now, x.ownSocket) {
 			os.Remove(x.path)
 		}
 	}
@@ -170,8 +179,8 @@
 	x.goroutines.Wait()
 }
 
-// Stop has this process hand over if there is one to hand over to, and tells whether it does. What is known is asked for
-// only then, at once.
+// HandOver hands this process's state over to a successor and returns true, or returns false if there is no
+// successor to hand over to. It calls exportState only in the first case, before it returns.
 func (x *Exchange) HandOver(exportState func() []byte) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -180,7 +189,7 @@
 	return len(actions) > 0
 }
 
-// do carries out what was decided. The lock is held; nothing here waits for the other process.
+// perform carries out the actions. The caller holds the lock; nothing here waits for the other process.
 func (x *Exchange) perform(actions []Action, exportState func() []byte) {
 	for _, a := range actions {
 		switch a {
@@ -192,7 +201,7 @@
 			x.host.Resume()
 		case ReportSuccessor:
 			if x.predecessor.send(msgHasSuccessor, []byte(fmt.Sprint(x.successor != nil))) != nil {
-				x.predecessor.conn.Close() // its reader ends it
+				x.predecessor.conn.Close() // its reader cleans up
 			}
 		case HalveLimits:
 			x.host.SetHalfLimits(true)
@@ -204,7 +213,7 @@
 			slog.Info("takeover", "takeover", "handed over", "bytes", len(state))
 			x.goroutines.Go(func() {
 				if l.sendState(state) != nil {
-					l.conn.Close() // its reader ends it
+					l.conn.Close() // its reader cleans up
 					return
 				}
 				x.host.TransferIdle(func(c syscall.Conn) bool { return l.sendSockets(msgConn, nil, c) == nil })
@@ -213,7 +222,7 @@
 	}
 }
 
-// bind makes this process the one that is found at the path. Where that fails, the next start is an ordinary one.
+// bindPath binds the path at which a successor connects. If it fails, the next start is an ordinary one.
 func (x *Exchange) bindPath() {
 	if err := x.listen(); err != nil {
 		slog.Warn("takeover", "takeover", "a newer process will not find this one", "path", x.path, "err", err)
@@ -223,18 +232,18 @@
 func (x *Exchange) listen() error {
 	tempPath := fmt.Sprintf("%s.%d", x.path, os.Getpid())
 	if len(tempPath) > maxSocketPath {
-		return errors.New("the path is too long for a socket")
+		return errors.New("the path is too long for a Unix socket")
 	}
 	if existing, err := os.Lstat(x.path); err == nil && existing.Mode()&fs.ModeSocket == 0 {
-		return errors.New("what is there is no socket")
+		return errors.New("another kind of file exists at the path")
 	}
-	os.Remove(tempPath) // of a process that had the same number and was killed
+	os.Remove(tempPath) // left by a killed process with the same process ID
 	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: tempPath, Net: "unixpacket"})
 	if err != nil {
 		return err
 	}
 	l.SetUnlinkOnClose(false)
-	// In one step: whoever calls meanwhile reaches the one before, or this one.
+	// The rename is atomic: a process that connects meanwhile reaches either the predecessor or this process.
 	if err = os.Chmod(tempPath, 0o600); err == nil {
 		err = os.Rename(tempPath, x.path)
 	}
@@ -263,7 +272,8 @@
 	return nil
 }
 
-// meet answers a process that calls. One at a time, and none for long: this guards against callers that say nothing.
+// acceptSuccessor answers a process that connects. It handles one connection at a time, with a short
+// deadline, so that callers that send nothing don't block others for long.
 func (x *Exchange) acceptSuccessor(conn *net.UnixConn) {
 	l := newLink(conn)
 	conn.SetReadDeadline(time.Now().Add(handshakeTimeout / 2))
@@ -276,14 +286,14 @@
 		kind, payload, files, err = l.receive(make([]byte, maxPacket))
 		closeFiles(files)
 		if err == nil && kind != msgHello {
-			err = errors.New("no greeting")
+			err = errors.New("the first message is not a greeting")
 		}
 		if err == nil {
 			err = json.Unmarshal(payload, &hello)
 		}
 	}
 	if err != nil {
-		slog.Warn("takeover", "takeover", "no newer process", "err", err)
+		slog.Warn("takeover", "takeover", "rejected a connection", "err", err)
 		conn.Close()
 		return
 	}
@@ -300,15 +310,15 @@
 	x.successor = l
 	x.perform(actions, nil)
 	if err := l.sendSockets(msgWelcome, nil, x.host.ListeningSockets()...); err != nil {
-		slog.Warn("takeover", "takeover", "the newer process left", "err", err)
-		conn.Close() // its reader ends it
+		slog.Warn("takeover", "takeover", "sending the sockets to the newer process failed", "err", err)
+		conn.Close() // its reader cleans up
 	}
 	slog.Info("takeover", "takeover", "a newer process is there")
 	x.goroutines.Go(func() { x.readMessages(l, true) })
 	x.host.SuccessorConnected()
 }
 
-// follow takes in what the other process says until the link ends.
+// readMessages handles the messages of the other process until the link ends.
 func (x *Exchange) readMessages(l *link, fromSuccessor bool) {
 	buf, state := make([]byte, maxPacket), []byte(nil)
 	for {
@@ -323,7 +333,7 @@
 			}
 		case msgStateEnd:
 			if err := x.host.ImportState(state); err != nil {
-				slog.Warn("takeover", "takeover", "what was handed over cannot be read", "err", err)
+				slog.Warn("takeover", "takeover", "cannot read the state that was handed over", "err", err)
 			}
 			state = nil
 			x.mu.Lock()
@@ -376,29 +386,30 @@
 	}
 }
 
-// Hand gives a job away with its client's connection.
+// TransferJob transfers a job and its client's connection to the successor.
 func (x *Exchange) TransferJob(c syscall.Conn, job []byte) error {
 	x.mu.Lock()
 	l := x.successor
 	x.mu.Unlock()
 	switch {
 	case l == nil:
-		return errors.New("there is no newer process")
+		return errors.New("no successor is connected")
 	case len(job) >= maxPacket:
-		return errors.New("it is too large")
+		return errors.New("the job is too large for one message")
 	}
 	return l.sendSockets(msgJob, job, c)
 }
 
-// Beside tells whether an older process is there, or was until a moment ago.
+// HasPredecessor reports whether a predecessor is connected, or was until at most callbackTimeout ago.
 func (x *Exchange) HasPredecessor() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.predecessor != nil || time.Since(x.predecessorGoneAt) < callbackTimeout
 }
 
-// Pass asks the other processes about a callback that this one does not know: down the line if it came from a newer one,
-// up if from an older, both if from a worker. It does not wait; answer is called once.
+// ForwardCallback forwards a callback for a job that this process doesn't know: to the predecessor if the
+// callback came from the successor, to the successor if it came from the predecessor, to both in turn if it
+// came from a worker. It doesn't wait; it calls reply once.
 func (x *Exchange) ForwardCallback(callback []byte, fromSuccessor, fromPredecessor bool, reply func(CallbackResult)) {
 	x.mu.Lock()
 	predecessor, successor := x.predecessor, x.successor
--- a/internal/takeover/link.go
+++ b/internal/takeover/link.go
@@ -1,4 +1,5 @@
-// This file owns one connection between two processes: the form of what they say, and who waits for which answer.
+// This file implements the connection between two processes: the message format, and matching results with
+// forwarded callbacks.
 
 package takeover
 
@@ -16,44 +17,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// A message is one packet: a byte that says what it is, and the rest.
+// Each message is one packet: a byte for its kind, followed by its payload.
 const (
-	msgHello          = 'h' // greeting
-	msgWelcome        = 'w' // with the sockets
-	msgRefused        = 'r' // a Refusal
-	msgStateChunk     = 'p' // of what is handed over
-	msgStateEnd       = 'y' // all parts are there
-	msgConn           = 'c' // with a client's connection
-	msgHasSuccessor   = 'f' // whether a newer process is there
-	msgJob            = 'j' // with a client's connection, and the job that it waits for
-	msgCallback       = 'a' // a number of eight bytes, and a callback
-	msgCallbackResult = 'k' // a number of eight bytes, and an Answer
+	msgHello          = 'h' // JSON of greeting
+	msgWelcome        = 'w' // comes with the listening sockets
+	msgRefused        = 'r' // payload: a Refusal
+	msgStateChunk     = 'p' // payload: a part of the exported state
+	msgStateEnd       = 'y' // all of the state has been sent
+	msgConn           = 'c' // comes with an idle client connection
+	msgHasSuccessor   = 'f' // payload: "true" or "false", whether the sender has a successor
+	msgJob            = 'j' // payload: a job; comes with its client's connection
+	msgCallback       = 'a' // payload: an 8-byte ID and a callback
+	msgCallbackResult = 'k' // payload: an 8-byte ID and a CallbackResult
 )
 
 const (
-	writeTimeout    = time.Second // a word is written within this time, or the link is given up
-	callbackTimeout = time.Second // a callback is answered within this time, or it is unsure
+	writeTimeout    = time.Second // if a message isn't written within this time, the link is closed
+	callbackTimeout = time.Second // without a result within this time, a forwarded callback ends with ResultUnknown
 	maxPacket       = 128 << 10
 	maxStateChunk   = 32 << 10
 	maxStateSize    = 16 << 20
 	maxSockets      = 8
 )
 
-// greeting is what a process that calls says of itself.
+// greeting identifies a process that connects. Its field names are part of the protocol.
 type greeting struct {
 	Version int
 	Name    string
 	Listen  string
 }
 
-// Answer tells what became of a callback that was passed on.
+// CallbackResult is the result of a forwarded callback.
 type CallbackResult byte
 
-// The answers.
+// Results of forwarded callbacks.
 const (
 	Applied       CallbackResult = iota
-	JobNotFound                  // nobody waits for it there, or there is nobody
-	ResultUnknown                // no answer in time
+	JobNotFound                  // the other process has no such job, or has ended
+	ResultUnknown                // no result in time
 )
 
 type link struct {
@@ -61,12 +62,13 @@
 	writeMu sync.Mutex
 	mu      sync.Mutex
 	lastID  uint64
-	calls   map[uint64]func(CallbackResult) // nil once the link has ended
+	calls   map[uint64]func(CallbackResult) // callbacks awaiting a result, by ID; nil once the link has ended
 }
 
 func newLink(c *net.UnixConn) *link { return &link{conn: c, calls: map[uint64]func(CallbackResult){}} }
 
-// sameUser guards against other users of the folder: they would be given the sockets, or be believed.
+// checkSameUser rejects a peer process of another user. Any user who can reach the folder could otherwise
+// receive the sockets, or inject state.
 func checkSameUser(c *net.UnixConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -80,12 +82,12 @@
 		err = failed
 	}
 	if err == nil && int(cred.Uid) != os.Geteuid() {
-		err = errors.New("it belongs to another user")
+		err = errors.New("the peer process belongs to another user")
 	}
 	return err
 }
 
-// say writes one message, with descriptors if any.
+// send writes one message, with file descriptors if any.
 func (l *link) send(kind byte, payload []byte, fds ...int) error {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
@@ -98,7 +100,7 @@
 	return err
 }
 
-// give sends connections or listeners; they stay open here as well.
+// sendSockets sends a message with connections or listeners. They stay open in this process too.
 func (l *link) sendSockets(kind byte, payload []byte, sockets ...syscall.Conn) error {
 	var fds []int
 	var sendRest func(rest []syscall.Conn) error
@@ -111,7 +113,9 @@
 			return err
 		}
 		var failed error
-		if err = raw.Control(func(fd uintptr) { // valid only within: a copy by File could be set to block by its use
+		// fd is valid only inside this function; the copy that File returns could switch the socket to
+		// blocking mode
+		if err = raw.Control(func(fd uintptr) {
 			fds = append(fds, int(fd))
 			failed = sendRest(rest[1:])
 		}); err != nil {
@@ -122,7 +126,7 @@
 	return sendRest(sockets)
 }
 
-// hear reads one message. The files are the caller's to close.
+// receive reads one message. The caller closes the files.
 func (l *link) receive(buf []byte) (kind byte, payload []byte, files []*os.File, err error) {
 	rights := make([]byte, unix.CmsgSpace(4*maxSockets))
 	n, m, flags, _, err := l.conn.ReadMsgUnix(buf, rights)
@@ -145,7 +149,7 @@
 	}
 	if n == 0 || flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0 {
 		closeFiles(files)
-		return 0, nil, nil, errors.New("the link ended, or a message was cut off")
+		return 0, nil, nil, errors.New("the link ended, or a message was truncated")
 	}
 	return buf[0], buf[1:n], files, nil
 }
@@ -156,7 +160,7 @@
 	}
 }
 
-// hand sends what is handed over, in parts.
+// sendState sends the exported state in chunks.
 func (l *link) sendState(state []byte) error {
 	for len(state) > 0 {
 		n := min(len(state), maxStateChunk)
@@ -168,7 +172,7 @@
 	return l.send(msgStateEnd, nil)
 }
 
-// ask passes a callback on; answer is called once.
+// forwardCallback forwards a callback to the other process; it calls reply once.
 func (l *link) forwardCallback(callback []byte, reply func(CallbackResult)) {
 	l.mu.Lock()
 	if l.calls == nil {
@@ -182,7 +186,7 @@
 	l.mu.Unlock()
 	time.AfterFunc(callbackTimeout, func() { l.resolve(id, ResultUnknown) })
 	if l.send(msgCallback, append(binary.BigEndian.AppendUint64(nil, id), callback...)) != nil {
-		l.conn.Close() // its reader ends it
+		l.conn.Close() // its reader cleans up
 	}
 }
 
@@ -196,7 +200,8 @@
 	}
 }
 
-// end answers who still waits: what the other process held died with it.
+// close closes the link and answers all pending callbacks with JobNotFound: the jobs of the other process
+// ended with it.
 func (l *link) close() {
 	l.conn.Close()
 	l.mu.Lock()
--- a/internal/takeover/machine.go
+++ b/internal/takeover/machine.go
@@ -1,47 +1,51 @@
-// Package takeover owns how two processes of one dispatcher find and speak to each other, so that the newer takes the
-// place of the older under load. docs/design/takeover.md has the steps. It must never look into what is handed over,
-// nor delay a start by more than a bounded time.
+// Package takeover replaces one process of a dispatcher by another under load: it implements how the two
+// processes find each other and which messages they exchange. docs/design/takeover.md lists the steps. The
+// package must not interpret the state that is handed over, and must not delay a start by more than a bounded
+// time.
 //
-// This file decides, free of I/O; link.go speaks, exchange.go does what is decided.
+// This file makes the decisions and does no I/O; link.go implements the messages, exchange.go performs the
+// actions.
 package takeover
 
-// Version is that of the exchange. Another one is not understood, and leads to an ordinary start.
+// ProtocolVersion is the version of the takeover protocol. A process that finds another version starts in the
+// ordinary way.
 const ProtocolVersion = 1
 
-// Action is what a Machine wants done.
+// Action is a step that Machine requests.
 type Action int
 
-// The actions.
+// Actions of a Machine.
 const (
-	StartAccepting  Action = iota // accept, hear siblings, listen for the next process
-	SendSockets                   // give the newer process the sockets, once what stands before is done
-	HandOverState                 // stop accepting and hand over what is known, then the idle connections
-	ResumeAccepting               // accept again: the newer process died
-	ReportSuccessor               // tell the older process whether there is a newer one now
-	HalveLimits                   // keep to half of the bounds
-	RestoreLimits                 // all of them are its own again
+	StartAccepting  Action = iota // accept connections, receive messages of peers, listen for the next process
+	SendSockets                   // send the listening sockets to the successor, after the actions before this one
+	HandOverState                 // stop accepting and hand over the state, then the idle connections
+	ResumeAccepting               // accept again, because the successor died
+	ReportSuccessor               // tell the predecessor whether this process has a successor now
+	HalveLimits                   // use half of the resource limits
+	RestoreLimits                 // use all of the resource limits again
 )
 
-// Refusal is why a process that calls is not welcome; empty: it is.
+// Refusal is the reason for refusing a process that connects; empty if it is accepted.
 type Refusal string
 
-// The refusals.
+// Reasons for a refusal. They are sent to the refused process.
 const (
 	RefusedBusy            Refusal = "another process is taking over"
 	RefusedOtherDispatcher Refusal = "not the same dispatcher"
 	RefusedVersion         Refusal = "another version of the exchange"
 )
 
-// Machine is one process between its start and its end. Of all processes of a dispatcher one is to accept at any time.
+// Machine holds the state of one process between its start and its end. At any time exactly one process of a
+// dispatcher should accept connections.
 type Machine struct {
-	accepting             bool // this one accepts
-	predecessor           bool // the link to the one before is up
-	successor             bool // the link to the one after is up
-	handedOver            bool // what was ours is the newer one's
-	successorHasSuccessor bool // the newer one has a newer one itself
+	accepting             bool // this process accepts connections
+	predecessor           bool // the link to the predecessor is up
+	successor             bool // the link to the successor is up
+	handedOver            bool // this process has handed its state over to the successor
+	successorHasSuccessor bool // the successor reported a successor of its own
 }
 
-// Start begins: welcomed by an older process, or alone.
+// Start begins with a predecessor whose sockets were received, or without one.
 func (m *Machine) Start(hasPredecessor bool) []Action {
 	if m.predecessor = hasPredecessor; hasPredecessor {
 		return []Action{HalveLimits}
@@ -50,21 +54,22 @@
 	return []Action{StartAccepting}
 }
 
-// Hello is a newer process that calls.
+// SuccessorHello handles the greeting of a process that connects.
 func (m *Machine) SuccessorHello(version int, sameDispatcher bool) (Refusal, []Action) {
 	switch {
 	case version != ProtocolVersion:
 		return RefusedVersion, nil
 	case !sameDispatcher:
 		return RefusedOtherDispatcher, nil
-	case !m.accepting || m.successor: // one that waits, or has handed over, has nothing to give
+	case !m.accepting || m.successor: // a process that doesn't accept yet, or has handed over, has no sockets to give
 		return RefusedBusy, nil
 	}
 	m.successor = true
 	return "", append(m.reportSuccessor(), SendSockets, HalveLimits)
 }
 
-// report is told first: if this process dies, the one before must not accept beside the one after.
+// reportSuccessor requests the report to the predecessor. The report goes out before anything else: if this
+// process then dies, the predecessor must not accept beside the successor.
 func (m *Machine) reportSuccessor() (actions []Action) {
 	if m.predecessor {
 		actions = append(actions, ReportSuccessor)
@@ -72,10 +77,10 @@
 	return actions
 }
 
-// Followed is the newer process's word that there is one after it, or none any more.
+// SuccessorReport handles the successor's report of whether it has a successor of its own.
 func (m *Machine) SuccessorReport(hasSuccessor bool) { m.successorHasSuccessor = hasSuccessor }
 
-// Stop is the order to end, told again when a newer process is there only since.
+// Stop handles the order to stop. It is called again when a successor connects after the order.
 func (m *Machine) Stop() []Action {
 	if !m.accepting || !m.successor {
 		return nil
@@ -84,7 +89,7 @@
 	return []Action{HandOverState}
 }
 
-// Yours is the older process's word that it has handed over.
+// PredecessorHandedOver handles the message that the predecessor has sent its whole state.
 func (m *Machine) PredecessorHandedOver() []Action {
 	if m.accepting || m.handedOver {
 		return nil
@@ -93,7 +98,8 @@
 	return []Action{StartAccepting}
 }
 
-// OlderGone is the end of the link to the older process. If it had not handed over, it died: nobody accepts.
+// PredecessorGone handles the end of the link to the predecessor. If the predecessor hadn't handed over, it
+// died and no process accepts, so this process takes over.
 func (m *Machine) PredecessorGone() (actions []Action) {
 	m.predecessor = false
 	if !m.successor {
@@ -102,13 +108,13 @@
 	return append(actions, m.PredecessorHandedOver()...)
 }
 
-// NewerGone is the end of the link to the newer process: it died.
+// SuccessorGone handles the end of the link to the successor, which means that the successor died.
 func (m *Machine) SuccessorGone() (actions []Action) {
 	m.successor = false
 	if actions = m.reportSuccessor(); !m.predecessor {
 		actions = append(actions, RestoreLimits)
 	}
-	if m.handedOver && !m.successorHasSuccessor { // else that one accepts
+	if m.handedOver && !m.successorHasSuccessor { // otherwise the successor's successor accepts
 		m.accepting, m.handedOver = true, false
 		actions = append(actions, ResumeAccepting)
 	}
--- a/internal/takeover/machine_test.go
+++ b/internal/takeover/machine_test.go
@@ -7,16 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-// process is one of a dispatcher's, as the test plays it: what its machine wanted done is what it does.
+// process simulates one process of a dispatcher: it applies the actions of its machine.
 type process struct {
 	m           Machine
 	accepting   bool
 	halved      bool
-	toldToStop  bool     // to stop
-	predecessor *process // that it is linked to
+	toldToStop  bool
+	predecessor *process // linked process
 	successor   *process
-	stateSent   bool   // older: has handed over, which the newer one has not read yet
-	reports     []bool // newer: whether there is one after it, which the older one has not read yet
+	stateSent   bool   // state was sent to the successor, which hasn't read it yet
+	reports     []bool // reports to the predecessor (whether this process has a successor) that it hasn't read yet
 	dead        bool
 }
 
@@ -37,12 +37,13 @@
 	}
 }
 
-// TestOneAccepts: whatever dies, comes or is told when, never do two processes accept, and once all is heard one does, if
-// any lives. Bounds are shared just while there are two.
+// TestOneProcessAccepts checks, for any order of starts, stops and crashes, that two processes never accept
+// at the same time, and that one accepts once all messages are delivered, if a process is alive that wasn't
+// told to stop. A process uses half of the limits exactly while it has a predecessor or a successor.
 func TestOneProcessAccepts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []*process
-		var atPath *process // who is at the path
+		var atPath *process // the process that listens at the path
 		living := func() (some []*process) {
 			for _, p := range all {
 				if !p.dead {
@@ -56,7 +57,8 @@
 				atPath = p
 			}
 		}
-		deliver := func(p *process) { // all that its older one has said, or its end
+		// delivers all pending messages of the linked processes, or the end of their links
+		deliver := func(p *process) {
 			if o := p.predecessor; o != nil {
 				if o.stateSent {
 					o.stateSent = false
@@ -83,7 +85,7 @@
 				p := &process{}
 				if atPath == nil || atPath.dead {
 					if len(living()) > 0 {
-						t.Skip("it would share the address with one that cannot be found") // and is told so in the log
+						t.Skip("it would share the address with a process that cannot be found") // Exchange logs this case
 					}
 					all = append(all, p)
 					perform(p, p.m.Start(false))
@@ -101,18 +103,18 @@
 			},
 			"stranger": func(t *rapid.T) {
 				if atPath == nil || atPath.dead {
-					t.Skip("nobody is found")
+					t.Skip("no process listens at the path")
 				}
 				if why, actions := atPath.m.SuccessorHello(ProtocolVersion+1, true); why != RefusedVersion || actions != nil {
-					t.Fatal("another version is welcome")
+					t.Fatal("accepted a process with another protocol version")
 				}
 				if why, actions := atPath.m.SuccessorHello(ProtocolVersion, false); why != RefusedOtherDispatcher || actions != nil {
-					t.Fatal("another dispatcher is welcome")
+					t.Fatal("accepted a process of another dispatcher")
 				}
 			},
 			"stop": func(t *rapid.T) {
 				if len(living()) == 0 {
-					t.Skip("none lives")
+					t.Skip("no process is alive")
 				}
 				p := pick(t)
 				p.toldToStop = true
@@ -120,13 +122,13 @@
 			},
 			"die": func(t *rapid.T) {
 				if len(living()) == 0 {
-					t.Skip("none lives")
+					t.Skip("no process is alive")
 				}
 				pick(t).dead = true
 			},
 			"hear": func(t *rapid.T) {
 				if len(living()) == 0 {
-					t.Skip("none lives")
+					t.Skip("no process is alive")
 				}
 				deliver(pick(t))
 			},
@@ -138,7 +140,7 @@
 					}
 				}
 				if accept > 1 {
-					t.Fatalf("%d accept", accept)
+					t.Fatalf("%d processes accept", accept)
 				}
 			},
 		})
@@ -153,17 +155,18 @@
 				accept++
 			}
 			if p.halved != (p.predecessor != nil || p.successor != nil) {
-				t.Fatalf("half of the bounds: %v, older %v, newer %v", p.halved, p.predecessor != nil, p.successor != nil)
+				t.Fatalf("half of the limits: %v, predecessor %v, successor %v", p.halved, p.predecessor != nil, p.successor != nil)
 			}
 		}
 		if slices.ContainsFunc(living(), func(p *process) bool { return !p.toldToStop }) && accept != 1 {
-			t.Fatalf("%d accept of %d that live", accept, len(living()))
+			t.Fatalf("%d of %d live processes accept, want 1", accept, len(living()))
 		}
 	})
 }
 
-// TestMiddleDies: of three processes the middle one dies before it hands over; it had told the oldest of the newest, so
-// that only the newest accepts. Had there been none, the oldest would.
+// TestMiddleProcessDies covers three processes of which the middle one dies before it hands over. The middle
+// one had reported the newest process to the oldest, so only the newest accepts. Without a newest process the
+// oldest accepts again.
 func TestMiddleProcessDies(t *testing.T) {
 	for _, hasSuccessor := range []bool{true, false} {
 		var oldest, middle, newest Machine
@@ -174,16 +177,16 @@
 		middle.PredecessorHandedOver()
 		if hasSuccessor {
 			if _, actions := middle.SuccessorHello(ProtocolVersion, true); len(actions) == 0 || actions[0] != ReportSuccessor {
-				t.Fatalf("told of a newer one: %v, wanted the report first", actions)
+				t.Fatalf("actions on a greeting: %v, want ReportSuccessor first", actions)
 			}
 			oldest.SuccessorReport(true)
 			newest.Start(true)
 		}
 		if got := slices.Contains(oldest.SuccessorGone(), ResumeAccepting); got == hasSuccessor {
-			t.Errorf("one follows: %v; the oldest accepts: %v", hasSuccessor, got)
+			t.Errorf("middle had a successor: %v; oldest accepts: %v", hasSuccessor, got)
 		}
 		if hasSuccessor && !slices.Contains(newest.PredecessorGone(), StartAccepting) {
-			t.Error("nobody accepts")
+			t.Error("no process accepts")
 		}
 	}
 }
