--- a/cmd/weldmast/fleet_test.go
+++ b/cmd/weldmast/fleet_test.go
@@ -276,7 +276,7 @@
 	if err := f.cmd.Wait(); err == nil {
 		t.Error("it starts")
 	}
-	if !strings.Contains(f.output.String(), "fleet.voters: v is to vote, and this build cannot: start weldmast-voter in its place") {
+	if !strings.Contains(f.output.String(), "fleet.voters: v is a voter, but this build cannot vote: start weldmast-voter instead") {
 		t.Error(f.output.String())
 	}
 }
--- a/internal/program/fleet_commands.go
+++ b/internal/program/fleet_commands.go
@@ -1,5 +1,5 @@
-// This file owns the operators' side of a fleet: its commands, and how answers are shown. It must never know more than what
-// a member answers.
+// This file implements the fleet commands for operators and prints their answers. They show only what a
+// member answers.
 
 package program
 
@@ -34,7 +34,7 @@
 	Voters  *fleetVoters        `arg:"subcommand:voters" help:"who votes; --replace NAME seats one anew that lost its folder"`
 }
 
-// asking is what all of them have.
+// asking holds the flags that all fleet commands share.
 type asking struct {
 	At      string `arg:"--at" placeholder:"ADDRESS:PORT" help:"a member's address; else the voters of the operator's file are tried in turn"`
 	Fleet   string `arg:"--fleet" placeholder:"NAME" help:"the fleet's name, with --at"`
@@ -74,7 +74,7 @@
 	waitInterval = 200 * time.Millisecond
 )
 
-// asker finds a member and asks it.
+// fleetClient sends requests to members of a fleet.
 type fleetClient struct {
 	asking
 	client *fleetrpc.Client
@@ -90,7 +90,7 @@
 			return nil, err
 		}
 		if o.Fleet == nil {
-			return nil, fmt.Errorf("no [fleet] in the operator's file: name it by --file, or say --at and --fleet")
+			return nil, fmt.Errorf("the operator's file has no [fleet] table: give the file with --file, or give --at and --fleet")
 		}
 		name = cmp.Or(name, o.Fleet.Name)
 		if a.At == "" {
@@ -112,7 +112,7 @@
 	return x, nil
 }
 
-// ask asks members in turn until one has an answer.
+// query asks the members in turn until one answers and can reach the leader of the voters.
 func (x *fleetClient) query(q fleetlink.Ask) (a fleetlink.Answer, err error) {
 	err = errNoAnswer
 	for _, addr := range x.addrs {
@@ -128,7 +128,7 @@
 	return a, err
 }
 
-// command has something stand in the history.
+// submit adds a command to the fleet's history.
 func (x *fleetClient) submit(c fleet.Command) (fleetlink.Answer, error) {
 	c.Request, c.At = x.Request, float64(time.Now().UnixMicro())/1000
 	c.By = "unknown"
@@ -138,11 +138,11 @@
 	a, err := x.query(fleetlink.Ask{Command: c})
 	switch {
 	case err != nil:
-		return a, fmt.Errorf("%w; whether it was taken is not known: the same again with --request %s carries it out once", err, x.Request)
+		return a, fmt.Errorf("%w; it is not known whether the command was accepted: repeating it with --request %s carries it out once", err, x.Request)
 	case a.NoLeader:
-		return a, fmt.Errorf("the council has no leader that can be reached; whether it was taken is not known: the same again with --request %s carries it out once", x.Request)
-	case a.Error != "":
-		return a, fmt.Errorf("%s", a.Error)
+		return a, fmt.Errorf("no leader of the voters can be reached; it is not known whether the command was accepted: repeating it with --request %s carries it out once", x.Request)
+	case a.Fault != "":
+		return a, fmt.Errorf("%s", a.Fault)
 	}
 	return a, nil
 }
@@ -151,7 +151,8 @@
 	err := c.execute(out)
 	switch {
 	case err == errUsage:
-		_ = p.WriteHelpForSubcommand(errs, p.SubcommandNames()...) // of our own arguments
+		// cannot fail: the subcommand names come from the parser itself
+		_ = p.WriteHelpForSubcommand(errs, p.SubcommandNames()...)
 		return exitUsage
 	case err != nil:
 		for _, line := range config.ErrorLines(err) {
@@ -162,7 +163,7 @@
 	return 0
 }
 
-var errUsage = fmt.Errorf("no such command")
+var errUsage = fmt.Errorf("unknown command")
 
 func (c *fleetCommand) execute(out io.Writer) error {
 	memberCommand := func(kind fleet.Kind, n *fleetMemberCommand) error {
@@ -195,7 +196,7 @@
 	return errUsage
 }
 
-// show prints a value as JSON where that was asked for, else the text.
+// print prints v as JSON if that was requested, otherwise the text.
 func (a asking) print(out io.Writer, v any, text string) error {
 	if !a.JSON {
 		_, err := io.WriteString(out, text)
@@ -224,7 +225,7 @@
 		if err := x.print(out, a.Local, b.String()); err != nil {
 			return err
 		}
-		return fmt.Errorf("the council has no leader that can be reached")
+		return fmt.Errorf("no leader of the voters can be reached")
 	}
 	st := a.Status
 	fmt.Fprintf(&b, "fleet %s: %d entries, digest %s, newest version %d, led by %s\n", st.Fleet, st.LastSeq, st.Digest, st.NewestVersion, st.Leader)
@@ -238,10 +239,10 @@
 		}
 	}
 	for _, v := range st.Voters {
-		fmt.Fprintf(&b, "voter %s: heard %s\n", v.Name, formatAgo(v.Heard))
+		fmt.Fprintf(&b, "voter %s: last contact %s\n", v.Name, formatAgo(v.Heard))
 	}
 	for _, m := range st.Members {
-		fmt.Fprintf(&b, "%-12s %-10s version %-4d lease %-8s heard %-16s %s\n", m.Member, m.Standing, m.InForce, formatInterval(m.Lease), formatAgo(m.Heard), m.Cause)
+		fmt.Fprintf(&b, "%-12s %-10s version %-4d lease %-8s last contact %-16s %s\n", m.Member, m.Standing, m.InForce, formatInterval(m.Lease), formatAgo(m.Heard), m.Cause)
 		for _, more := range []string{withPrefix("waits for a restart: ", m.Waits), withPrefix("voter: ", m.Voter)} {
 			if more != "" {
 				fmt.Fprintf(&b, "%-12s %s\n", "", more)
@@ -276,7 +277,7 @@
 	if ms < 0 {
 		return ""
 	}
-	return ", over in " + formatInterval(ms)
+	return ", ends in " + formatInterval(ms)
 }
 
 func formatTime(unix float64) string {
@@ -298,7 +299,7 @@
 		} else if t, err := time.Parse(time.RFC3339, s.Since); err == nil {
 			q.AuditSince = float64(t.UnixMilli())
 		} else {
-			return fmt.Errorf("--since: %q is neither a time such as 2026-12-01T10:00:00Z nor one ago such as 15m", s.Since)
+			return fmt.Errorf("--since: %q is neither a time such as 2026-12-01T10:00:00Z nor a duration such as 15m", s.Since)
 		}
 	}
 	a, err := x.query(q)
@@ -306,7 +307,7 @@
 		return err
 	}
 	if a.Audit == nil {
-		return fmt.Errorf("the council has no leader that can be reached: nobody has all reports")
+		return fmt.Errorf("no leader of the voters can be reached: only the leader has the reports of all members")
 	}
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%d entries, digest %s, newest version %d\n", a.Audit.LastSeq, a.Audit.Digest, a.Audit.NewestVersion)
@@ -375,7 +376,7 @@
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(waitInterval) {
 		st, err := x.query(fleetlink.Ask{})
 		if err != nil || st.Status == nil {
-			waitsFor = "the council has no leader that can be reached"
+			waitsFor = "no leader of the voters can be reached"
 			continue
 		}
 		var pending []string
@@ -394,7 +395,7 @@
 			if s.Fence {
 				message += fmt.Sprintf("fence complete since %s\n", formatTime(st.Status.Fence))
 			} else {
-				message += "in force at all that were heard of\n"
+				message += "in force at all members that are in contact\n"
 			}
 			return x.print(out, a.Result, message)
 		}
@@ -412,18 +413,18 @@
 		if err != nil {
 			return err
 		}
-		return x.print(out, a.Result, fmt.Sprintf("%s: seated anew, entry %d\n", s.Replace, a.Result.Entry))
+		return x.print(out, a.Result, fmt.Sprintf("%s: voter replaced, entry %d\n", s.Replace, a.Result.Entry))
 	}
 	a, err := x.query(fleetlink.Ask{})
 	if err != nil {
 		return err
 	}
 	if a.Status == nil {
-		return fmt.Errorf("the council has no leader that can be reached")
+		return fmt.Errorf("no leader of the voters can be reached")
 	}
 	var b bytes.Buffer
 	for _, v := range a.Status.Voters {
-		fmt.Fprintf(&b, "%s: heard %s\n", v.Name, formatAgo(v.Heard))
+		fmt.Fprintf(&b, "%s: last contact %s\n", v.Name, formatAgo(v.Heard))
 	}
 	return x.print(out, a.Status.Voters, b.String())
 }
--- a/internal/program/fleet_member.go
+++ b/internal/program/fleet_member.go
@@ -1,5 +1,6 @@
-// This file owns a serving program's part in a fleet: it puts the parts together, and has what is in force changed, whoever
-// asks for that. It must never decide what is in force.
+// This file connects a serving process to its fleet: it starts the fleet's components and applies
+// configuration changes, whether they come from a reload or from the fleet. It must never decide which
+// version is in force.
 
 package program
 
@@ -28,16 +29,18 @@
 	"weldmast/internal/settings"
 )
 
-// inForce is the configuration that the reducer has. There are two ways to change it, SIGHUP and a fleet's version, and
-// one way of applying.
+// activeConfig is the configuration that the event loop uses. It changes in two ways, by SIGHUP and by a
+// version of the fleet, and both are applied by the same code.
 type activeConfig struct {
-	node       *node.Node
-	maxClients int // clients that may wait at once, whatever the configuration says: the fleet's link has its part of the descriptors
+	node *node.Node
+	// upper bound on clients that wait at once, whatever the configuration says: the fleet's connections need
+	// some of the descriptors; 0: no bound
+	maxClients int
 
 	mu        sync.Mutex
-	own       config.Config // as started and last reloaded: what versions are laid over
-	version   fleet.Version // 0: none
-	discovery string        // where discovery was last said to be
+	own       config.Config // own configuration, as started or last reloaded; versions are merged over it
+	version   fleet.Version // version in force; number 0: none
+	discovery string        // not used
 }
 
 func (f *activeConfig) limitClients(open int) int {
@@ -47,7 +50,7 @@
 	return open
 }
 
-// reload takes the process's own files anew; a version that is in force is laid over them again.
+// reload applies the process's own files again. If a version is in force, it is merged over them again.
 func (f *activeConfig) reload(next config.Config) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,17 +65,17 @@
 		if err == nil {
 			return
 		}
-		// What is in force stays: it is the fleet's word.
-		slog.Error("reload", "reload", "the fleet's version cannot be laid over it and stays as it is", "version", f.version.Number, "err", err)
+		// The version stays in force: the fleet decides about it, not this process.
+		slog.Error("reload", "reload", "the fleet's version cannot be merged over the new files; the configuration in force stays", "version", f.version.Number, "err", err)
 		return
 	}
 	if changed {
 		f.node.Queue(node.Changed{Settings: updated.Settings, MaxOpen: f.limitClients(updated.Links.MaxOpen), Mark: updated.Mark})
 	}
-	f.node.Queue(node.Moved{Discovery: updated.Discovery.String()}) // the same address is asked anew as well
+	f.node.Queue(node.Moved{Discovery: updated.Discovery.String()}) // an unchanged address is queried again as well
 }
 
-// bring has a version of the fleet's brought into force.
+// applyVersion brings a version of the fleet into force.
 func (f *activeConfig) applyVersion(version fleet.Version, applied func(waits string)) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,7 +86,7 @@
 	return err
 }
 
-// check tells whether a version could be laid over this process's configuration.
+// checkVersion returns an error if a version cannot be merged over this process's configuration.
 func (f *activeConfig) checkVersion(text []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,7 +94,8 @@
 	return err
 }
 
-// lay has the reducer take a version laid over the process's own configuration. The lock is held.
+// overlay merges a version over the process's own configuration and queues the result for the event loop. The
+// caller holds the lock.
 func (f *activeConfig) overlay(version fleet.Version, applied func(needsRestart string)) (needsRestart []string, err error) {
 	c, needsRestart, err := config.Overlay(f.own, os.Getenv, version.Text)
 	if err != nil {
@@ -100,13 +104,14 @@
 	s, _ := settings.InFlight(f.own.Settings, c.Settings, f.own.Names.Same(c.Names))
 	change := node.Changed{Version: version.Number, Settings: s, MaxOpen: f.limitClients(c.Links.MaxOpen), Mark: c.Mark, Discovery: c.Discovery.String()}
 	if applied != nil {
-		change.Applied = func() { go applied(strings.Join(needsRestart, ", ")) } // the reducer waits for nobody
+		// in a goroutine, as the event loop must not block
+		change.Applied = func() { go applied(strings.Join(needsRestart, ", ")) }
 	}
 	f.node.Queue(change)
 	return needsRestart, nil
 }
 
-// part is a process's part in its fleet; nil: it is of none.
+// fleetMember is this process as a member of its fleet; nil if it belongs to none.
 type fleetMember struct {
 	membership config.Membership
 	ownConfig  config.Config
@@ -119,26 +124,26 @@
 	stop       chan struct{}
 	goroutines sync.WaitGroup
 
-	addressBound atomic.Bool // the member's address is this process's
+	addressBound atomic.Bool // whether this process listens at the member's address
 	mu           sync.Mutex
 	voter        fleetlink.Council
 	member       *member.Member
 	server       *fleetlink.Server
 }
 
-// join prepares the part.
+// joinFleet prepares the membership; start starts it.
 func joinFleet(f *config.Fleet, own config.Config, active *activeConfig, startVoter StartVoter) (*fleetMember, error) {
 	m, err := f.MembershipFor(own.Name)
 	if err != nil {
 		return nil, err
 	}
 	if m.IsVoter && startVoter == nil {
-		return nil, fmt.Errorf("fleet.voters: %s is to vote, and this build cannot: start weldmast-voter in its place", m.Name)
+		return nil, fmt.Errorf("fleet.voters: %s is a voter, but this build cannot vote: start weldmast-voter instead", m.Name)
 	}
 	if err := m.CreateFolder(); err != nil {
 		return nil, err
 	}
-	signal.Ignore(syscall.SIGXFSZ) // a full disk is an error of one write, no reason to end
+	signal.Ignore(syscall.SIGXFSZ) // a write to a full disk is then an error of that write and doesn't end the process
 	var random [16]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -149,7 +154,7 @@
 	return p, nil
 }
 
-// descriptors are those that the part may use, out of the limit.
+// maxDescriptors is how many file descriptors the fleet's components may use, out of the process's limit.
 func (p *fleetMember) maxDescriptors() int {
 	if p.membership.IsVoter {
 		return max(fleetlink.Descriptors, p.ownConfig.Sockets/2)
@@ -157,7 +162,7 @@
 	return fleetrpc.ReservedDescriptors
 }
 
-// follow begins, once the reducer is about to run.
+// start starts the membership in the background. It is called right before the event loop runs.
 func (p *fleetMember) start() {
 	if p == nil {
 		return
@@ -171,8 +176,8 @@
 	})
 }
 
-// listen waits until the member's address is free: an older process of this member may still have it. Until then it
-// follows without one.
+// listen waits until the member's address is free, as an older process of this member may still use it. Until
+// then the member follows the fleet without listening.
 func (p *fleetMember) listen() net.Listener {
 	for first := true; ; first = false {
 		l, err := net.Listen("tcp4", p.membership.Listen)
@@ -180,7 +185,7 @@
 			return l
 		}
 		if first {
-			slog.Warn("fleet", "fleet", "waits for its address", "listen", p.membership.Listen, "err", err)
+			slog.Warn("fleet", "fleet", "waiting until its address is free", "listen", p.membership.Listen, "err", err)
 			p.startMember(p.membership.Listen, nil)
 		}
 		select {
@@ -214,7 +219,7 @@
 	}
 }
 
-// start begins to follow, unless it does already.
+// startMember starts following the fleet. If it already does, it only sets the voter.
 func (p *fleetMember) startMember(addr string, voter fleetlink.Council) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,7 +231,7 @@
 		Figures: p.membership.Timing, Program: release, Run: p.runID, Seed: p.seed, Clock: p.clock, Council: voter, Bound: p.addressBound.Load, Bring: p.active.applyVersion, Check: p.active.checkVersion}, p.gate)
 }
 
-// close ends the part, after the dispatcher has ended.
+// close stops the fleet's components, after the dispatcher has ended.
 func (p *fleetMember) close() {
 	if p == nil {
 		return
@@ -247,5 +252,5 @@
 	}
 }
 
-// errNobody: no member said anything.
-var errNoAnswer = errors.New("nobody answered")
+// errNoAnswer is returned if no member answered.
+var errNoAnswer = errors.New("no member answered")
--- a/internal/program/migrate.go
+++ b/internal/program/migrate.go
@@ -1,4 +1,4 @@
-// This file owns the command that migrates a configuration. It must never change the old one.
+// This file implements the command that migrates a configuration. It must never change the old configuration.
 
 package program
 
@@ -50,8 +50,8 @@
 	for _, l := range []struct {
 		title string
 		lines []string
-	}{{"not carried over", r.Dropped}, {"carried over as it stands, not read by this program", r.CarriedUnread},
-		{"carried over, to be looked at: it is the old deployment's", r.ToReview}, {"to be filled in", r.ToFillIn}} {
+	}{{"not carried over", r.Dropped}, {"carried over unchanged, not read by this program", r.CarriedUnread},
+		{"carried over from the old deployment, to be reviewed", r.ToReview}, {"to be filled in", r.ToFillIn}} {
 		fmt.Fprintf(out, "%s: %d\n", l.title, len(l.lines))
 		for _, line := range l.lines {
 			fmt.Fprintln(out, "  "+line)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,6 @@
-// Package program is the command line of a dispatcher and how its parts are put together, for the two builds of it. It must
-// never decide, read a setting or speak a protocol.
+// Package program implements the command line of a dispatcher and assembles its components, for both builds
+// (with and without a voter). It must never make dispatching decisions, interpret a setting or implement a
+// protocol.
 package program
 
 import (
@@ -19,14 +20,15 @@
 	"weldmast/internal/logs"
 )
 
-// What the program ends with.
+// Exit codes.
 const (
-	exitFailure = 1 // a fault of the configuration, or a start that failed
-	exitUsage   = 2 // arguments that are none of ours
+	exitFailure = 1 // a fault in the configuration, or a failed start
+	exitUsage   = 2 // unknown arguments
 )
 
-// arguments are the command line. Without any, it serves: the platform starts it so. Kong, which reads weldlab's, is not
-// used here: it finds methods by their names, so the linker keeps all there are, and 3 MB more stay resident.
+// arguments are the command line. Without any, the program serves: the platform starts it that way. Kong,
+// which parses weldlab's command line, is not used here: it looks up methods by name, so the linker keeps all
+// methods, which costs 3 MB of resident memory.
 type arguments struct {
 	Serve   *serveCommand   `arg:"subcommand:serve" help:"run one dispatcher until SIGTERM (this is what no command means)"`
 	Check   *checkCommand   `arg:"subcommand:check" help:"read all that serve would read, tell every fault by line and key, start nothing"`
@@ -35,10 +37,10 @@
 	Version *versionCommand `arg:"subcommand:version" help:"print the version and what it was built with"`
 }
 
-// Description stands at the head of the help.
+// Description is the introduction of the help text.
 func (arguments) Description() string { return description }
 
-// files is what serve and check read.
+// files are the flags that serve and check share.
 type files struct {
 	File string `arg:"-f,--file" placeholder:"PATH" help:"the operator's own file (TOML); WELDMAST_FILE names it as well. None: everything beyond plain dispatching is off"`
 }
@@ -55,10 +57,10 @@
 that says.
 Ends with 0 when all is well, 1 for a fault, 2 for arguments that it does not know.`
 
-// Voting starts the part of a process that votes; nil in its place: this build has none.
-type StartVoter func(o VoterOptions) (fleetrpc.VoterService, error)
+// StartVoter starts a voter of the fleet in this process. It is nil in a build that cannot vote.
+type StartVoter func(o VoterOptions) (fleetlink.Council, error)
 
-// VotingOptions say which voter it is.
+// VoterOptions identify the voter and its fleet.
 type VoterOptions struct {
 	config.Membership
 	Address string
@@ -67,9 +69,11 @@
 	Clock   fleetagent.Clock
 }
 
-// Run carries out a command line and tells what to end with.
+// Run executes a command line and returns the exit code. startVoter may be nil.
 func Run(args []string, out, errs io.Writer, startVoter StartVoter) int {
-	if len(args) == 0 { // the platform's way: as little as can be stands between it and its sockets
+	// the platform starts the program this way; parsing is skipped so that the sockets open as soon as
+	// possible
+	if len(args) == 0 {
 		return reportExit((&serveCommand{}).run(errs, startVoter), errs)
 	}
 	var a arguments
@@ -101,7 +105,7 @@
 	return reportExit(a.Serve.run(errs, startVoter), errs)
 }
 
-// ended logs why serving ended, if for a fault.
+// reportExit logs the fault that ended serving, if any, and returns the exit code.
 func reportExit(err error, errs io.Writer) int {
 	if err == nil {
 		return 0
@@ -113,7 +117,7 @@
 	return exitFailure
 }
 
-// run of check prints each fault on a line of its own.
+// run prints each fault on a line of its own.
 func (c *checkCommand) run(out, errs io.Writer) int {
 	_, operatorErr := config.LoadOperatorFile(c.File, os.Getenv)
 	var configErr error
@@ -149,7 +153,7 @@
 	return 0
 }
 
-// version prints what is known of the build.
+// printVersion prints the release and the build information.
 func printVersion(out io.Writer) {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -163,5 +167,5 @@
 	}
 }
 
-// release is that of CHANGELOG.md.
+// release is the version of this program, as in CHANGELOG.md.
 const release = "0.2.0"
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -1,4 +1,4 @@
-// This file owns the serving program: it puts the parts together and waits for their end.
+// This file implements the serve command: it assembles the components and waits until they end.
 
 package program
 
@@ -26,7 +26,7 @@
 	"weldmast/internal/transport"
 )
 
-// loaded is a checked configuration with its list of workers.
+// loaded is a checked configuration with its decoded list of workers.
 type loaded struct {
 	config.Config
 	workers node.Listing
@@ -44,7 +44,7 @@
 	return l, nil
 }
 
-// profileCPU writes where CPU time goes, until done is called.
+// profileCPU writes a CPU profile to path until done is called.
 func profileCPU(path string) (done func(), err error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -60,7 +60,9 @@
 	}, nil
 }
 
-// aim sets the collector's aim; the operators' limit kills. Half of it while another process has the other half.
+// setMemoryLimit sets the memory target of the garbage collector to 60% of mb, below the limit at which the
+// operators' system kills the process. With half set it is half of that, as another process of the dispatcher
+// uses the rest.
 func setMemoryLimit(mb int, half bool) {
 	limit := int64(mb) << 20 * 6 / 10
 	if half {
@@ -69,8 +71,9 @@
 	debug.SetMemoryLimit(limit)
 }
 
-// descriptors is how many the process may use: what its configuration says, or what the system lets it have if that is less.
-// Relied on in vain, clients that only connect would leave none for discovery.
+// descriptorLimit returns how many file descriptors the process may use: the configured number, or the
+// system's limit if that is lower. Relying on more would let clients that only connect use up the descriptors
+// that discovery needs.
 func descriptorLimit(configured int) int {
 	var l unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &l); err != nil || l.Cur >= uint64(configured) {
@@ -79,15 +82,15 @@
 	return int(l.Cur)
 }
 
-// run serves until SIGTERM, then until all that was taken is answered.
+// run serves until SIGTERM, then until all accepted jobs are answered.
 func (s *serveCommand) run(errs io.Writer, startVoter StartVoter) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
-	reload := make(chan os.Signal, 1) // its own: many of these must not crowd out the order to stop
+	reload := make(chan os.Signal, 1) // a channel of its own, so that many SIGHUPs cannot displace the signal to stop
 	signal.Notify(reload, syscall.SIGHUP)
 	out, level := logs.New(errs, time.Now), new(slog.LevelVar)
 	slog.SetDefault(slog.New(logs.Handler(out, level)))
-	log.SetFlags(0) // what libraries log goes the same way
+	log.SetFlags(0) // libraries that use package log write to the same handler
 	operator, err := config.LoadOperatorFile(s.File, os.Getenv)
 	if err != nil {
 		return err
@@ -140,7 +143,8 @@
 		active.maxClients = options.Sockets / 2
 		nodeOptions.MaxOpen = active.limitClients(nodeOptions.MaxOpen)
 	}
-	reserved := c.Sockets - options.Sockets // for other parts, of whatever there is; half at most
+	// descriptors reserved for other components; at most half of the available ones
+	reserved := c.Sockets - options.Sockets
 	options.Limit = func() int { now := descriptorLimit(c.Sockets); return max(now-reserved, now/2) }
 	n := node.New(nodeOptions)
 	active.node = n
@@ -165,7 +169,8 @@
 			case <-stop:
 				n.Enqueue(node.Stop{})
 			case <-reload:
-				// A fault in either file leaves both as they were: half of a change may be worse than none.
+				// A fault in either file leaves both as they were: applying half of a change may be worse
+				// than applying none.
 				operator, err := config.LoadOperatorFile(s.File, os.Getenv)
 				if err != nil {
 					slog.Error("reload", "reload", "refused", "err", err)
