--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config owns what the program is told when it starts and at a reload: it alone reads the environment and the
-// JSON file, checks both and fills in what may be left out. It must never open a socket or decide
-// anything, and nothing else may look at the environment.
+// Package config reads the program's configuration, at the start and at a reload. It alone reads the
+// environment and the JSON file; it checks both and fills in defaults. It must never open a socket or make
+// dispatching decisions, and no other package may read the environment.
 package config
 
 import (
@@ -20,41 +20,41 @@
 	"weldmast/internal/settings"
 )
 
-// Config is checked and complete.
+// Config is a checked configuration with all defaults filled in. Reload reports its field names in the log.
 type Config struct {
 	Name       string
 	Listen     netip.AddrPort
 	Discovery  netip.AddrPort
-	Ops        netip.AddrPort // where operators call; not valid: nowhere
-	Temp       string         // folder in which processes of this dispatcher find each other; empty: nowhere
-	PeerListen netip.AddrPort // not valid: no messages between siblings
+	Ops        netip.AddrPort // address for operators' requests; not valid: none
+	Temp       string         // folder in which processes of this dispatcher find each other; empty: they don't
+	PeerListen netip.AddrPort // not valid: no messages between peers
 	Peers      []netip.AddrPort
-	PeersAll   netip.AddrPort // not valid: each of Peers is sent to
+	PeersAll   netip.AddrPort // address that reaches all peers; not valid: each of Peers gets its own message
 	Known      json.RawMessage
 	Settings   dispatch.Settings
 	Names      settings.Names
-	Links      settings.ConnectionSettings
-	Unserved   []string // what of the settings the sockets' protocol has no message for
-	Cores      int      // to run on at once
+	Links      settings.Links
+	Unserved   []string // settings for which the protocol on sockets has no message
+	Cores      int      // number of CPUs to use at once
 	MemoryMB   int
 	Sockets    int
-	Text       []byte // as it was read
-	Mark       string // each hand-off bears it as X-Release; empty: none does
+	Text       []byte // the file as read
+	Mark       string // sent with each hand-off as X-Release; empty: no such header
 }
 
-// The least with which the program can serve.
+// Lower bounds with which the program can serve.
 const (
 	minMemoryMB = 32
 	minSockets  = 64
 )
 
-// What holds where the settings say nothing of connections, in milliseconds.
+// Defaults for connections to workers, in milliseconds.
 const (
-	defaultIdle    = 5000 // short: a worker that closes first costs a hand-off
+	defaultIdle    = 5000 // short, because a hand-off fails if the worker closes the connection first
 	defaultConnect = 1000
 )
 
-// file is the JSON as it stands.
+// file is the JSON file as it is decoded.
 type file struct {
 	Shape      *int            `json:"shape"`
 	Name       string          `json:"name"`
@@ -77,23 +77,23 @@
 	Sockets  *int     `json:"sockets"`
 }
 
-// Load reads the file that ROUTER_CONFIG names; ROUTER_NAME, ROUTER_LISTEN, ROUTER_OPS and ROUTER_DISCOVERY
-// go before what it says. An error names the key at fault.
+// Load reads the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN, ROUTER_OPS and ROUTER_DISCOVERY
+// override its values. An error names the key at fault.
 func Load(getenv func(string) string) (Config, error) {
 	c, err := load(getenv, getenv("ROUTER_DISCOVERY"))
-	if c.Ops.IsValid() { // where operators can ask whether a new process is ready
+	if c.Ops.IsValid() { // a takeover needs an address at which operators can ask whether the new process is ready
 		c.Temp = getenv("TMPDIR")
 	}
 	return c, err
 }
 
-// Reload reads and checks the file again. ROUTER_DISCOVERY told of the start: what the file says now is newer.
-// Changed names the keys that differ and that only a new start can heed.
+// Reload reads and checks the file again. ROUTER_DISCOVERY applies to the start only: the file's value is
+// newer. changed names the keys that differ and take effect only after a restart.
 func Reload(getenv func(string) string, old Config) (c Config, changed []string, err error) {
 	if c, err = load(getenv, ""); err != nil {
 		return old, nil, err
 	}
-	c.Settings.Seed, c.Temp = old.Settings.Seed, old.Temp // of the start
+	c.Settings.Seed, c.Temp = old.Settings.Seed, old.Temp // these stay as they were at the start
 	changed = c.needsRestart(old)
 	newValue, oldValue := reflect.ValueOf(c), reflect.ValueOf(old)
 	for k := range newValue.NumField() {
@@ -105,8 +105,10 @@
 	return c, changed, nil
 }
 
-// heeded at a reload, of no meaning to a program that runs, or looked at key by key.
-var reloadable = []string{"Discovery", "Known", "Unserved", "Text", "Mark", "Settings", "Links", "Names"} // the last three: waits tells
+// reloadable are the fields that take effect at a reload, that don't matter to a running program, or that are
+// compared key by key.
+// needsRestart compares the last three
+var reloadable = []string{"Discovery", "Known", "Unserved", "Text", "Mark", "Settings", "Links", "Names"}
 
 func load(getenv func(string) string, discovery string) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
@@ -127,7 +129,8 @@
 	return c, err
 }
 
-// parse checks a configuration's text, with what goes before it.
+// parse decodes and checks a configuration's text; adjust, if not nil, changes the decoded values before the
+// check.
 func parse(text []byte, adjust func(f *file)) (Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -154,7 +157,7 @@
 	}
 }
 
-// pool checks what only a configuration of the new shape must say or must not.
+// checkPool checks the keys that only shape 2 (a pool of dispatchers) requires or forbids.
 func (f *file) checkPool(values settings.Values) error {
 	switch {
 	case f.Shape == nil || *f.Shape == 1:
@@ -242,13 +245,13 @@
 	if l.Connect <= 0 {
 		l.Connect = defaultConnect
 	}
-	if maxOpen := c.Sockets / 2; l.MaxOpen <= 0 || l.MaxOpen > maxOpen { // a client that waits holds a socket
+	if maxOpen := c.Sockets / 2; l.MaxOpen <= 0 || l.MaxOpen > maxOpen { // a waiting client uses a socket
 		l.MaxOpen = maxOpen
 	}
 	if s := &c.Settings; len(c.Peers) == 0 || !c.PeerListen.IsValid() {
-		s.MayNotifyPeers = false // no way to tell anybody
-	} else if len(c.Peers) != s.Dispatchers {
-		return c, fmt.Errorf("peers: %d addresses for %d siblings", len(c.Peers), s.Dispatchers)
+		s.MayTell = false // there is no address to send to
+	} else if len(c.Peers) != s.Siblings {
+		return c, fmt.Errorf("peers: %d addresses for %d siblings", len(c.Peers), s.Siblings)
 	}
 	return c, nil
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -1,5 +1,5 @@
-// This file owns what a fleet's process is told: its table in the operator's file, and a version laid over its own
-// configuration. It must never reach for another member's.
+// This file reads the configuration of a fleet's member: the fleet table in the operator's file, and a
+// version merged over the member's own configuration. It must never use another member's configuration.
 
 package config
 
@@ -17,41 +17,44 @@
 	"weldmast/internal/tomlfile"
 )
 
-// Fleet is the operator's table. The same text may serve all members.
+// Fleet is the [fleet] table of the operator's file. The same text may serve all members.
 type Fleet struct {
-	Name           string          `toml:"name" need:"true"`
-	Member         string          `toml:"member"` // empty: the dispatcher's name
-	Listen         string          `toml:"listen"` // empty: the voter's address of this name, or any free port of 127.0.0.1
+	Name   string `toml:"name" need:"true"`
+	Member string `toml:"member"` // empty: the dispatcher's name
+	// empty: the address of the voter with this name, or any free port of 127.0.0.1
+	Listen         string          `toml:"listen"`
 	BeyondLoopback bool            `toml:"beyond_loopback"`
-	Voters         []string        `toml:"voters" need:"true"` // "name address:port" each
-	Folder         string          `toml:"folder" need:"true"` // one below it for each member
+	Voters         []string        `toml:"voters" need:"true"` // each "name address:port"
+	Folder         string          `toml:"folder" need:"true"` // parent of one folder for each member
 	WhenIsolated   string          `toml:"alone" oneof:"serve stop"`
 	Heartbeat      tomlfile.Millis `toml:"beat" min:"20" max:"60000"`
 	Lease          tomlfile.Millis `toml:"lease" min:"100" max:"600000"`
 	Drift          float64         `toml:"drift" min:"0" max:"0.2"`
-	AddressMap     []string        `toml:"via"` // "address:port address:port": where a member's address is found from here
+	// each "address:port address:port": a member's published address, and where this process reaches it
+	AddressMap []string `toml:"via"`
 }
 
-// Defaults of a fleet.
+// Defaults sets the values of keys that the table leaves out.
 func (f *Fleet) Defaults() { f.WhenIsolated, f.Heartbeat, f.Lease, f.Drift = "serve", 250, 1000, 0.01 }
 
-// Membership is the table, complete, for the dispatcher of a name.
+// Membership is the complete configuration of one member.
 type Membership struct {
 	Fleet        string
 	Name         string
 	Listen       string
-	IsVoter      bool // it has a seat by the file
+	IsVoter      bool // whether the file lists this member as a voter
 	Voters       []fleet.Voter
 	Folder       string
-	WhenIsolated fleet.IsolationPolicy
-	Timing       fleet.Timing
-	AddressMap   map[string]string // published address to where it is found from here; others are found where they are
+	WhenIsolated fleet.Alone
+	Timing       fleet.Figures
+	// from a published address to the one that this process uses; all others are used as published
+	AddressMap map[string]string
 }
 
-// check finds what single values do not show.
+// check finds faults that involve more than one value.
 func (f *Fleet) check(addFault func(key, format string, a ...any)) {
 	if n := len(f.Voters); n != 0 && n != 1 && n != 3 && n != 5 {
-		addFault("fleet.voters", "%d voters; there have to be 1, 3 or 5", n)
+		addFault("fleet.voters", "%d voters; there must be 1, 3 or 5", n)
 	}
 	names := map[string]bool{}
 	for k, v := range f.Voters {
@@ -59,9 +62,9 @@
 		at, err := netip.ParseAddrPort(strings.TrimSpace(addr))
 		switch key := fmt.Sprintf("fleet.voters.%d", k); {
 		case err != nil || at.Port() == 0:
-			addFault(key, "%q is no name and address:port", v)
+			addFault(key, "%q is not a name and address:port", v)
 		case names[name]:
-			addFault(key, "the name %s is there twice", name)
+			addFault(key, "the name %s occurs twice", name)
 		default:
 			f.checkLoopback(key, at, addFault)
 		}
@@ -79,24 +82,25 @@
 		_, err := netip.ParseAddrPort(from)
 		at, err2 := netip.ParseAddrPort(strings.TrimSpace(to))
 		if key := fmt.Sprintf("fleet.via.%d", k); err != nil || err2 != nil {
-			addFault(key, "%q is not two of address:port", v)
+			addFault(key, "%q is not a pair of address:port", v)
 		} else {
 			f.checkLoopback(key, at, addFault)
 		}
 	}
 	if f.Lease < 3*f.Heartbeat {
-		addFault("fleet.lease", "%g ms are less than three beats of %g", f.Lease, f.Heartbeat)
+		addFault("fleet.lease", "%g ms is less than three heartbeats of %g ms", f.Lease, f.Heartbeat)
 	}
 }
 
-// near refuses what is not on loopback unless the file says so: whoever reaches the link can publish and shut out.
+// checkLoopback rejects an address that is not on loopback unless the file allows it: whoever reaches the
+// link can publish versions and exclude members.
 func (f *Fleet) checkLoopback(key string, at netip.AddrPort, addFault func(key, format string, a ...any)) {
 	if !at.Addr().IsLoopback() && !f.BeyondLoopback {
-		addFault(key, "%s is not on loopback; the link has no sign-in: on a private network say beyond_loopback = true", at)
+		addFault(key, "%s is not on loopback; the link has no authentication: on a private network set beyond_loopback = true", at)
 	}
 }
 
-// Of is the table for the dispatcher of the name.
+// MembershipFor returns the membership of the dispatcher with the name.
 func (f *Fleet) MembershipFor(name string) (m Membership, err error) {
 	m = Membership{Fleet: f.Name, Name: f.Member, Listen: f.Listen, WhenIsolated: fleet.IsolationPolicy(f.WhenIsolated),
 		Timing: fleet.Timing{Beat: float64(f.Heartbeat), Lease: float64(f.Lease), Drift: f.Drift}}
@@ -104,7 +108,7 @@
 		m.Name = name
 	}
 	if m.Name == "" || strings.ContainsAny(m.Name, "/ \x00") || m.Name == "." || m.Name == ".." {
-		return m, fmt.Errorf("fleet.member: %q can be no member's name: the configuration's name is used where none is said", m.Name)
+		return m, fmt.Errorf("fleet.member: %q is not a valid member name; an empty key stands for the name in the configuration", m.Name)
 	}
 	for _, v := range f.AddressMap {
 		if m.AddressMap == nil {
@@ -134,7 +138,7 @@
 	return m, nil
 }
 
-// Prepare makes the member's folder.
+// CreateFolder creates the member's folder.
 func (m Membership) CreateFolder() error {
 	if err := os.MkdirAll(m.Folder, 0o700); err != nil {
 		return fmt.Errorf("fleet.folder: %w", err)
@@ -142,8 +146,9 @@
 	return nil
 }
 
-// Overlay is the configuration with a version of the fleet's laid over what the file said (a JSON merge patch, RFC 7386),
-// and the names of what differs from the running one and waits for a restart. An error names the key at fault.
+// Overlay merges a version of the fleet over the file's configuration (a JSON merge patch, RFC 7386).
+// needsRestart names the settings that differ from the running ones and take effect only after a restart. An
+// error names the key at fault.
 func Overlay(own Config, getenv func(string) string, version []byte) (c Config, needsRestart []string, err error) {
 	var patch map[string]json.RawMessage
 	if err := json.Unmarshal(version, &patch); err != nil {
@@ -186,7 +191,8 @@
 	return c, c.needsRestart(own), nil
 }
 
-// waits names what of the settings differs from those of a running program and waits for a restart.
+// needsRestart names the settings that differ from those of the running program and take effect only after a
+// restart.
 func (c Config) needsRestart(running Config) []string {
 	_, keys := settings.InFlight(running.Settings, c.Settings, running.Names.Same(c.Names))
 	if c.Links.Idle != running.Links.Idle || c.Links.Connect != running.Links.Connect {
@@ -204,7 +210,8 @@
 	return d.Decode(into)
 }
 
-// merge lays one object over another: null takes a key out, objects are merged, all else takes the place of what was.
+// merge applies a JSON merge patch to an object: null removes a key, objects are merged, any other value
+// replaces the old one.
 func merge(target, patch map[string]any) map[string]any {
 	if target == nil {
 		target = map[string]any{}
@@ -232,8 +239,8 @@
 	return keys
 }
 
-// Version reads the text of a version that is to be published. That it is an object is all that can be said of it here:
-// each member checks it against its own configuration.
+// ReadVersion reads the text of a version that is to be published. It only checks that the text is a JSON
+// object: each member checks the version against its own configuration.
 func ReadVersion(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -23,20 +23,20 @@
 		{"", ""},
 		{"[fleet]\n", "fleet.folder: is missing"},
 		{good + "alone = \"maybe\"\n", `fleet.alone: "maybe" is none of serve, stop`},
-		{good + "lease = \"500ms\"\n", "fleet.lease: 500 ms are less than three beats of 250"},
+		{good + "lease = \"500ms\"\n", "fleet.lease: 500 ms is less than three heartbeats of 250 ms"},
 		{good + "listen = \"10.0.0.1:1\"\n", "fleet.listen: 10.0.0.1:1 is not on loopback"},
 		{good + "listen = \"10.0.0.1:1\"\nbeyond_loopback = true\n", ""},
 		{good + "listen = \"here\"\n", `fleet.listen: "here" is not an address and port`},
-		{good + "via = [\"127.0.0.1:1\"]\n", "fleet.via.0: \"127.0.0.1:1\" is not two of address:port"},
-		{strings.Replace(good, `["a 127.0.0.1:7100"]`, `["a 127.0.0.1:7100", "b 127.0.0.1:7101"]`, 1), "fleet.voters: 2 voters; there have to be 1, 3 or 5"},
-		{strings.Replace(good, `["a 127.0.0.1:7100"]`, `["a 127.0.0.1:7100", "a 127.0.0.1:7101", "b x"]`, 1), "the name a is there twice"},
+		{good + "via = [\"127.0.0.1:1\"]\n", "fleet.via.0: \"127.0.0.1:1\" is not a pair of address:port"},
+		{strings.Replace(good, `["a 127.0.0.1:7100"]`, `["a 127.0.0.1:7100", "b 127.0.0.1:7101"]`, 1), "fleet.voters: 2 voters; there must be 1, 3 or 5"},
+		{strings.Replace(good, `["a 127.0.0.1:7100"]`, `["a 127.0.0.1:7100", "a 127.0.0.1:7101", "b x"]`, 1), "the name a occurs twice"},
 	} {
 		_, err := loadOperatorFile(t, c.text)
 		switch {
 		case c.want == "" && err != nil:
 			t.Errorf("%s\n%v", c.text, err)
 		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
-			t.Errorf("%s\n%v, wanted %q", c.text, err, c.want)
+			t.Errorf("%s\n%v, want %q", c.text, err, c.want)
 		}
 	}
 	o, err := loadOperatorFile(t, good)
@@ -52,7 +52,7 @@
 	}
 	for _, name := range []string{"", "..", "a/b"} {
 		if _, err := o.Fleet.MembershipFor(name); err == nil {
-			t.Errorf("%q is taken for a name", name)
+			t.Errorf("%q is accepted as a member name", name)
 		}
 	}
 }
@@ -83,11 +83,11 @@
 		v, waits, err := Overlay(base, none, []byte(c.version))
 		switch {
 		case c.fault != "" && (err == nil || !strings.Contains(err.Error(), c.fault)):
-			t.Errorf("%s: %v, wanted %q", c.version, err, c.fault)
+			t.Errorf("%s: %v, want %q", c.version, err, c.fault)
 		case c.fault == "" && err != nil:
 			t.Errorf("%s: %v", c.version, err)
 		case c.fault == "" && strings.Join(waits, " ") != c.waits:
-			t.Errorf("%s: waits for a restart: %v, wanted %s", c.version, waits, c.waits)
+			t.Errorf("%s: needs a restart: %v, want %s", c.version, waits, c.waits)
 		}
 		if strings.Contains(c.version, "open_cap") && (v.Settings.MaxHandOffs != 2 || v.Links.MaxOpen != 7 || v.Mark != "a" || v.Discovery.Port() != 9 || v.Name != base.Name) {
 			t.Errorf("%s: %+v", c.version, v)
@@ -95,9 +95,9 @@
 	}
 	set := func(name string) string { return map[string]string{"ROUTER_DISCOVERY": "127.0.0.1:8"}[name] }
 	if v, _, err := Overlay(base, set, []byte(`{}`)); err != nil || v.Discovery.Port() != 8 {
-		t.Errorf("a version that says nothing of discovery: %v %v", v.Discovery, err)
+		t.Errorf("a version without a discovery address: %v %v", v.Discovery, err)
 	}
 	if v, _, err := Overlay(base, set, []byte(`{"discovery":"127.0.0.1:9"}`)); err != nil || v.Discovery.Port() != 9 {
-		t.Errorf("a version goes before what the start was told: %v %v", v.Discovery, err)
+		t.Errorf("the version's discovery address must override ROUTER_DISCOVERY: %v %v", v.Discovery, err)
 	}
 }
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -1,5 +1,5 @@
-// This file reads and writes the configurations that migrate turns from one shape into another. It must never change a
-// file that exists, nor leave half of one.
+// This file reads and writes the configurations that the migrate command converts. It must never change an
+// existing file, nor leave an incomplete one.
 
 package config
 
@@ -12,7 +12,8 @@
 	"weldmast/internal/migrate"
 )
 
-// Migrated is the plan for the file at the path, and what the program's own check says of its result.
+// PlanMigration returns the migration plan for the file at path; fault is what the program's own check finds
+// wrong with the result.
 func PlanMigration(path string, values migrate.OperatorValues) (r migrate.Result, fault error, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -25,7 +26,7 @@
 	return r, fault, nil
 }
 
-// WriteNew writes a file whole or not at all, and never over one that exists.
+// WriteNewFile writes a file completely or not at all, and never over an existing one.
 func WriteNewFile(path, old string, text []byte) error {
 	oldInfo, err := os.Stat(old)
 	if err != nil {
@@ -46,7 +47,7 @@
 	if err = errors.Join(err, f.Chmod(oldInfo.Mode().Perm()), f.Sync(), f.Close()); err != nil {
 		return fmt.Errorf("new configuration: %w", err)
 	}
-	if err := os.Link(f.Name(), path); err != nil { // fails where another came first
+	if err := os.Link(f.Name(), path); err != nil { // fails if another process has created the file meanwhile
 		return fmt.Errorf("new configuration: %w", err)
 	}
 	return nil
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -1,5 +1,5 @@
-// This file owns the operator's own file: TOML with one table for each further subsystem, where an absent table means
-// off. It must never change what ROUTER_CONFIG says.
+// This file reads the operator's file: TOML with a table for each optional subsystem. A subsystem without a
+// table is off. The operator's file must never change what the file of ROUTER_CONFIG says.
 
 package config
 
@@ -13,39 +13,39 @@
 	"weldmast/internal/tomlfile"
 )
 
-// FileVariable names the operator's file where no argument does.
+// OperatorFileVariable is the environment variable that names the operator's file if no argument does.
 const OperatorFileVariable = "WELDMAST_FILE"
 
-// Operator is the operator's file, checked and complete.
+// OperatorFile is the operator's file, checked and with all defaults filled in.
 type OperatorFile struct {
 	Log     Log     `toml:"log"`
 	Profile Profile `toml:"profile"`
-	Fleet   *Fleet  `toml:"fleet"` // nil: this process is of no fleet
+	Fleet   *Fleet  `toml:"fleet"` // nil: this process belongs to no fleet
 }
 
-// Profile has the program write a profile of itself.
+// Profile configures profiles that the program writes of itself.
 type Profile struct {
-	CPU string `toml:"cpu"` // path of the file; empty: none
+	CPU string `toml:"cpu"` // path of the CPU profile; empty: none
 }
 
-// Log says how much is logged.
+// Log configures logging.
 type Log struct {
-	Level     string `toml:"level" oneof:"debug info warn error"` // of the least lines that are written
+	Level     string `toml:"level" oneof:"debug info warn error"` // lowest level that is written
 	Lines     int    `toml:"lines_per_second" min:"1" max:"100000"`
 	LineBytes int    `toml:"line_bytes" min:"80" max:"65536"`
 }
 
-// Slog is the level as log/slog has it.
+// SlogLevel returns the level as a slog.Level.
 func (l Log) SlogLevel() (level slog.Level) {
-	_ = level.UnmarshalText([]byte(l.Level)) // checked when it was read
+	_ = level.UnmarshalText([]byte(l.Level)) // valid: decoding checked it
 	return level
 }
 
-// Bounds are those of the log's writer.
+// Limits returns the limits for the log's writer.
 func (l Log) Limits() logs.Limits { return logs.Limits{Lines: l.Lines, LineBytes: l.LineBytes} }
 
-// LoadOperator reads the file at the path, or that WELDMAST_FILE names if the path is empty; with neither, all is as
-// with an empty file. An error lists every fault with line and key.
+// LoadOperatorFile reads the file at path, or the one that WELDMAST_FILE names if path is empty; with
+// neither, the result is that of an empty file. An error lists every fault with its line and key.
 func LoadOperatorFile(path string, getenv func(string) string) (OperatorFile, error) {
 	o := OperatorFile{Log: Log{Level: "info", Lines: logs.DefaultLimits.Lines, LineBytes: logs.DefaultLimits.LineBytes}}
 	if path == "" {
@@ -65,7 +65,8 @@
 	return o, doc.Err()
 }
 
-// Lines splits an error into what stands on lines of its own: each fault of a file, or the error itself.
+// ErrorLines returns the lines in which an error is printed: one for each fault of a file, or the error
+// itself.
 func ErrorLines(err error) []string {
 	var faults *tomlfile.Faults
 	if !errors.As(err, &faults) {
