--- a/cmd/weldmast-voter/main.go
+++ b/cmd/weldmast-voter/main.go
@@ -1,4 +1,4 @@
-// Command weldmast-voter is weldmast with the part linked in that votes in a fleet's council; all else is alike.
+// Command weldmast-voter is weldmast with the code of a fleet's voter linked in. It is otherwise identical.
 package main
 
 import (
--- a/cmd/weldmast/main.go
+++ b/cmd/weldmast/main.go
@@ -1,5 +1,5 @@
-// Command weldmast is one dispatcher on sockets. It can follow a fleet; to vote in one takes weldmast-voter, as what that
-// links would cost every dispatcher memory.
+// Command weldmast runs one dispatcher. It can follow a fleet; a voter needs weldmast-voter, as the code that
+// is linked in for voting would cost every dispatcher memory.
 package main
 
 import (
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,6 @@
-// Package operate owns the address at which operators call: it reads one call a connection and answers from values that
-// are there already. It must never decide anything, wait for the reducer, or share a bound with the clients' front.
+// Package admin serves the HTTP address for operators: it reads one request per connection and answers from
+// values that are available at once. It must never make decisions, wait for the event loop, or share a limit
+// with the API for clients.
 package admin
 
 import (
@@ -18,31 +19,32 @@
 )
 
 const (
-	// Descriptors are those that the front may use, to be set aside out of the limit: the listener, the calls, as
-	// many that were closed and have yet to end.
+	// MaxDescriptors is how many file descriptors the server may use, to be reserved out of the process's
+	// limit: the listener, the open connections, and as many closed connections whose handlers have yet to
+	// end.
 	MaxDescriptors = 1 + 2*maxCalls
 	maxCalls       = 8
-	callTimeout    = 2 * time.Second // a call is there whole, and its answer read, within this time
+	callTimeout    = 2 * time.Second // for reading the whole request, and again for writing the answer
 	maxHeader      = 4 << 10
 )
 
-// Options say what calls are answered from.
+// Options are the sources of the answers.
 type Options struct {
 	Listen  netip.AddrPort
-	Ready   func() (cause string, ready bool) // the cause is one word; must not block
+	Ready   func() (cause string, ready bool) // cause is one word; must not block
 	Metrics *metrics.Metrics
 }
 
-// Front serves operators' calls.
+// Server serves operators' requests.
 type Server struct {
 	options  Options
 	listener net.Listener
 	server   *fasthttp.Server
 	mu       sync.Mutex
-	open     []*callConn // in the order in which they came
+	open     []*callConn // in the order in which they were accepted
 }
 
-// call is the connection of one.
+// callConn is the connection of one request.
 type callConn struct {
 	net.Conn
 	server *Server
@@ -60,12 +62,12 @@
 		NoDefaultServerHeader: true, SecureErrorLogMessage: true, Logger: discardLogger{},
 		ErrorHandler: writeError}
 	slog.Info("operators", "listen", l.Addr())
-	go s.server.Serve(s) // ends with the listener
+	go s.server.Serve(s) // ends when the listener is closed
 	return s, nil
 }
 
-// refuse answers what is no call. What is left of a long head is read first: closed over it, the connection would be
-// reset and the answer lost.
+// writeError answers an invalid request. It first reads the rest of a header that is too long: closing the
+// connection with unread data would reset it, and the answer would be lost.
 func writeError(ctx *fasthttp.RequestCtx, err error) {
 	status := platform.UnreadStatus(err)
 	if status == fasthttp.StatusRequestHeaderFieldsTooLarge {
@@ -75,13 +77,14 @@
 	ctx.Error("no call\n", status)
 }
 
-// quiet: what is wrong with a call is said to the caller, and concerns nobody else.
+// discardLogger drops fasthttp's log: the caller gets the error as its answer, and nobody else needs it.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
 
-// Accept makes the front the listener that fasthttp serves. This guards against callers that connect and say nothing: a
-// call that is finished takes no time, so the oldest of too many is one of those, and gives way.
+// Accept makes Server the listener that fasthttp serves. When too many connections are open it closes the
+// oldest, so that callers that connect and send nothing cannot block others: a complete request is answered
+// at once, so the oldest connection is one that sends nothing.
 func (s *Server) Accept() (net.Conn, error) {
 	conn, err := s.listener.Accept()
 	if err != nil {
@@ -98,13 +101,13 @@
 	if oldest != nil {
 		oldest.Close()
 	}
-	for s.server.GetOpenConnectionsCount() >= 2*maxCalls { // those that were closed have yet to end
+	for s.server.GetOpenConnectionsCount() >= 2*maxCalls { // the handlers of closed connections have yet to end
 		time.Sleep(time.Millisecond)
 	}
 	return c, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *callConn) Close() error {
 	c.server.mu.Lock()
 	for k, other := range c.server.open {
@@ -117,10 +120,10 @@
 	return c.Conn.Close()
 }
 
-// Addr is where it listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Close ends the listener and all calls.
+// Close closes the listener and all connections.
 func (s *Server) Close() error {
 	if s == nil {
 		return nil
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,6 +1,6 @@
-// Package logs bounds what is written to the log: of each kind of line, told by its message, so many a second at
-// most, and none beyond a length. It guards against clients, workers or networks that could fill a disk or use up the
-// CPU with lines. It must never drop a line without saying how many, nor one of a kind that is rare.
+// Package logs limits the log: the number of lines per second of each kind (lines with the same message), and
+// the length of a line. Otherwise clients, workers or networks could fill a disk or use up the CPU by causing
+// log lines. It must never drop a line without logging how many were dropped, nor drop a line of a rare kind.
 package logs
 
 import (
@@ -12,24 +12,24 @@
 	"time"
 )
 
-// Bounds say how much is written. Use them with Default's where nothing else is asked for.
+// Limits are the limits of a Writer. DefaultLimits has the values for fields that need no others.
 type Limits struct {
-	Lines     int // of a kind in a second
-	LineBytes int // of a line; the rest is cut off
+	Lines     int // per second and kind
+	LineBytes int // maximum length; the rest of a line is cut off
 }
 
-// Default holds where the operator's file says nothing.
+// DefaultLimits apply if the operator's file sets no others.
 var DefaultLimits = Limits{Lines: 20, LineBytes: 400}
 
-const maxKinds = 64 // that are told apart; there are fewer in the program
+const maxKinds = 64 // kinds that are counted separately; the program has fewer
 
-// kind is how many lines of one kind came in the present second.
+// kindCount counts the lines of one kind in the current second.
 type kindCount struct {
 	second int64
 	lines  int
 }
 
-// Writer is for a slog.TextHandler, see Handler: it puts the time before each line itself.
+// Writer is the output of a slog.TextHandler, see Handler. It adds the time to each line itself.
 type Writer struct {
 	mu     sync.Mutex
 	out    io.Writer
@@ -38,29 +38,29 @@
 	counts map[string]kindCount
 }
 
-// New writes to out.
+// New returns a Writer that writes to out with DefaultLimits.
 func New(out io.Writer, now func() time.Time) *Writer {
 	return &Writer{out: out, now: now, limits: DefaultLimits, counts: map[string]kindCount{}}
 }
 
-// Bound sets how much is written from now on.
+// SetLimits sets the limits from now on.
 func (w *Writer) SetLimits(limits Limits) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limits = limits
 }
 
-// Handler writes records as key=value lines; the message comes first and names the kind of line.
+// Handler writes records as key=value lines. The message comes first and is the kind of the line.
 func Handler(w *Writer, level slog.Leveler) slog.Handler {
 	return slog.NewTextHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
-		if len(groups) == 0 && a.Key == slog.TimeKey { // the Writer's
+		if len(groups) == 0 && a.Key == slog.TimeKey { // Writer adds the time
 			return slog.Attr{}
 		}
 		return a
 	}})
 }
 
-// Write takes one line.
+// Write writes one line, or counts it as dropped.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,7 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestBound: a flood of one kind is cut and counted, another kind still comes through, a line has an end.
+// TestLimits checks that a flood of one kind is limited and the dropped lines are counted, that lines of
+// another kind are still written, and that long lines are cut off.
 func TestLimits(t *testing.T) {
 	var out strings.Builder
 	now := time.Unix(1000, 0).UTC()
@@ -19,7 +20,7 @@
 		l.Warn("bad", "why", "x y")
 	}
 	l.Info("phase", "phase", "draining")
-	l.Debug("unheard")
+	l.Debug("suppressed")
 	now = now.Add(time.Second)
 	l.Warn("bad", "why", strings.Repeat("y", 5000))
 	w.SetLimits(Limits{Lines: 1, LineBytes: 40})
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package figures owns what a dispatcher reports of itself: plain counts, kept as atomic values so that whoever sees an
-// event counts it and whoever asks reads without waiting. It must never decide anything, and nothing may rest on it. A
-// nil *Figures counts nothing.
+// Package metrics holds the metrics that a dispatcher reports: counters and gauges as atomic values, so that
+// the code that observes an event counts it itself and a reader never waits. They must never influence a
+// decision. A nil *Metrics counts nothing.
 package metrics
 
 import (
@@ -8,20 +8,20 @@
 	"sync/atomic"
 )
 
-// Figures are one dispatcher's, from the start of its process.
+// Metrics are the metrics of one dispatcher since the start of its process.
 type Metrics struct {
 	categories []string
-	answered   [][outcomes]atomic.Int64 // of each class
+	answered   [][outcomes]atomic.Int64 // by category and outcome
 	active     atomic.Int64
 	handOffs   atomic.Int64
 	listed     atomic.Int64
 	ejected    atomic.Int64
 }
 
-// Ending is how a job ended for its client.
+// Outcome is how a job ended for its client.
 type Outcome int
 
-// The endings that are counted.
+// The outcomes that are counted.
 const (
 	OK Outcome = iota
 	Shed
@@ -31,21 +31,22 @@
 
 var outcomeNames = [outcomes]string{"ok", "shed", "errors"}
 
-const prefix = "edge_router." // as the operators' page has it
+const prefix = "edge_router." // as the operators' page defines it
 
-// New makes figures that are all 0, for classes as they are named on the wire.
+// New returns metrics that are all 0. categories are the names of the job categories as they appear on the
+// wire.
 func New(categories []string) *Metrics {
 	return &Metrics{categories: categories, answered: make([][outcomes]atomic.Int64, len(categories))}
 }
 
-// Taken counts a job that now has to be answered.
+// JobAccepted counts a job that has to be answered.
 func (m *Metrics) JobAccepted() {
 	if m != nil {
 		m.active.Add(1)
 	}
 }
 
-// Ended counts the answer to a job that was taken.
+// JobAnswered counts the answer to an accepted job.
 func (m *Metrics) JobAnswered(category int, outcome Outcome) {
 	if m != nil {
 		m.answered[category][outcome].Add(1)
@@ -53,21 +54,21 @@
 	}
 }
 
-// Left counts a job off whose client went away.
+// ClientLeft removes a job whose client has disconnected from the active ones.
 func (m *Metrics) ClientLeft() {
 	if m != nil {
 		m.active.Add(-1)
 	}
 }
 
-// Tried counts a hand-off that was written whole to a worker.
+// HandOffSent counts a hand-off that was completely written to a worker.
 func (m *Metrics) HandOffSent() {
 	if m != nil {
 		m.handOffs.Add(1)
 	}
 }
 
-// Pool takes how many workers are listed, and how many of these are avoided now.
+// SetPool sets how many workers are listed, and how many of these are avoided at present.
 func (m *Metrics) SetPool(listed, ejected int) {
 	if m != nil {
 		m.listed.Store(int64(listed))
@@ -75,7 +76,7 @@
 	}
 }
 
-// Append writes all figures, a line each.
+// Append appends all metrics to b, one per line.
 func (m *Metrics) Append(b []byte) []byte {
 	line := func(name string, n int64, suffix string) {
 		b = append(append(b, prefix...), name...)
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -1,8 +1,9 @@
-// Package migrate turns a configuration of the old shape into its counterpart for the new one, text to text. It must
-// never read or write a file, and nothing that it is given may vanish without a line that says so.
+// Package migrate converts a configuration of shape 1 to one of shape 2, from text to text. It must never
+// read or write a file, and each part of the input that is lost must be reported in a line of the result.
 //
-// The old shape is a dispatcher of each client's own whose siblings may speak; the new one is a pool of dispatchers behind
-// a front, which share nothing, so the settings say what tells of load and whether a fetch has a price.
+// In shape 1 each client has a dispatcher of its own, and the dispatchers may exchange messages as peers. In
+// shape 2 a pool of dispatchers runs behind a load balancer and shares nothing, so the settings must say how
+// load is reported and whether a fetch has a price.
 package migrate
 
 import (
@@ -17,26 +18,28 @@
 	"weldmast/internal/settings"
 )
 
-// Shape is the number by which a configuration of the new shape says so.
+// Shape is the value of the key "shape" in a configuration of the new shape.
 const Shape = 2
 
-// Fill is what only the operator knows of the new deployment; what is empty stays open.
+// OperatorValues are what only the operator knows of the new deployment. An empty value is left to be filled
+// in.
 type OperatorValues struct {
-	Weights string // what the list's weights are
+	Weights string // what the weights in the list of workers mean
 	Load    string // how workers report their load
 	Origin  string // price of a fetch, a number
 }
 
-// Result is what became of a configuration. Each line begins with the key that it is about.
+// Result is a migrated configuration and the report about it. Each line of the report starts with the key
+// that it is about.
 type Result struct {
 	Text          []byte
-	Dropped       []string // not carried over, and why
-	CarriedUnread []string // carried over as it stands, though this program reads nothing of it
-	ToReview      []string // carried over from the old deployment: to be looked at
-	ToFillIn      []string // still to be filled in; the program does not start before
+	Dropped       []string // not carried over, with the reason
+	CarriedUnread []string // carried over unchanged, though this program doesn't read it
+	ToReview      []string // carried over from the old deployment, for the operator to review
+	ToFillIn      []string // missing values; the program doesn't start without them
 }
 
-// Top-level keys by what becomes of them.
+// How the top-level keys, the limits and the settings are treated.
 var (
 	carriedKeys = []string{"name", "listen", "discovery", "ops", "seed", "limits", "settings", "shape"}
 	droppedKeys = map[string]string{
@@ -49,7 +52,7 @@
 	reviewKeys = []string{"siblings", "position", "localities", "locality", "machine_types", "categories", "realms", "allowed", "safety"}
 )
 
-// Plan makes the counterpart of a configuration. The same input gives the same bytes.
+// Plan converts a configuration. The same input gives the same bytes.
 func Plan(old []byte, given OperatorValues) (r Result, err error) {
 	tree, err := decodeObject(old)
 	if err != nil {
@@ -125,7 +128,9 @@
 			objects[x.path][x.key] = value
 		case existing != nil:
 			r.ToReview = append(r.ToReview, at)
-		default: // the program refuses to start until it is filled in: a guess could pass for knowledge
+		// null makes the program refuse to start until the value is filled in: a guess could be taken for a
+		// known value
+		default:
 			objects[x.path][x.key] = nil
 			r.ToFillIn = append(r.ToFillIn, at+": "+x.want)
 		}
@@ -153,7 +158,8 @@
 	return r, nil
 }
 
-// read takes one object, its numbers as they are written. A key that stands twice is a fault: one of the two would vanish.
+// decodeObject decodes one JSON object and keeps numbers as they are written. A duplicate key is an error, as
+// one of its two values would be lost.
 func decodeObject(text []byte) (map[string]any, error) {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.UseNumber()
@@ -206,13 +212,13 @@
 	default:
 		return t, nil
 	}
-	if _, err := dec.Token(); err != nil { // its end
+	if _, err := dec.Token(); err != nil { // closing delimiter
 		return nil, fmt.Errorf("no JSON at byte %d: %w", dec.InputOffset(), err)
 	}
 	return t, nil
 }
 
-// object is the one at the key, made where there is none.
+// child returns the object at the key, and creates it if there is none.
 func child(in map[string]any, key string) (map[string]any, error) {
 	switch x := in[key].(type) {
 	case nil:
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -21,7 +21,8 @@
 		strings.Join(r.ToReview, "\n  "), strings.Join(r.ToFillIn, "\n  "), r.Text)
 }
 
-// TestPlan: what is carried over, and a line for each thing that is not; the same bytes each time.
+// TestPlan checks what is carried over, that each thing that is not has a line, and that the same input gives
+// the same bytes.
 func TestPlan(t *testing.T) {
 	first, err := Plan([]byte(oldConfig), OperatorValues{})
 	if err != nil {
@@ -34,12 +35,12 @@
 	kept.Check(t, "plan", "== nothing told\n"+first.String()+"== all told\n"+filled.String())
 	for range 20 {
 		if again, err := Plan([]byte(oldConfig), OperatorValues{}); err != nil || again.String() != first.String() {
-			t.Fatalf("another result: %v\n%s", err, again)
+			t.Fatalf("a repeated run gives another result: %v\n%s", err, again)
 		}
 	}
 }
 
-// TestBadOld: a clear error that names the key, and no result.
+// TestInvalidInput checks that invalid input gives an error that names the key, and no result.
 func TestInvalidInput(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                 "no JSON at byte 0",
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,10 +1,11 @@
-// Package tomlfile reads TOML files that people write: the operator's file and the lab's experiments. It reports all
-// that is wrong with a file at once, each fault with its line and key. It must never know what a key is for, nor read
-// a file itself: it is given the text.
+// Package tomlfile reads TOML files that people write: the operator's file and the lab's experiments. It
+// reports all faults of a file at once, each with its line and key. It must never know what a key means, nor
+// read a file itself: it is given the text.
 //
-// A struct says what a file may hold, by field tags: toml (the key), min and max (bounds of a number or Span, both
-// allowed values), oneof (allowed texts, parted by blanks) and need ("true": must be there). What the file leaves out
-// keeps the value that the struct had; elements of a list are made with their Defaults, if they have that method.
+// A struct describes the file by field tags: toml (the key), min and max (inclusive bounds of a number or
+// Millis), oneof (allowed texts, separated by blanks) and need ("true": required). Keys that the file leaves
+// out keep the values that the struct had. Elements of a list start with the values that their Defaults
+// method sets, if they have one.
 package tomlfile
 
 import (
@@ -22,23 +23,24 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Span is a time in milliseconds. In a file it is a number of milliseconds or a text such as "1.5s" or "2m".
+// Millis is a time in milliseconds. In a file it is a number of milliseconds or a text such as "1.5s" or
+// "2m".
 type Millis float64
 
-// Fault is one thing wrong in a file.
+// Fault is one error in a file.
 type Fault struct {
 	Line    int    // from 1
-	Key     string // with dots, positions in lists from 0; empty where the text is no TOML
+	Key     string // parts separated by dots, list indexes from 0; empty if the text is not valid TOML
 	Message string
 }
 
-// Faults are all the faults of one file, by line.
+// Faults are all faults of one file, by line. It implements error.
 type Faults struct {
 	File string
 	All  []Fault
 }
 
-// Error gives one line for each fault: file, line, key and what is wrong.
+// Error returns one line for each fault: file, line, key and message.
 func (f *Faults) Error() string {
 	var b strings.Builder
 	for k, x := range f.All {
@@ -54,7 +56,7 @@
 	return b.String()
 }
 
-// Doc is one file being read.
+// Doc is a parsed file together with the faults found so far.
 type Doc struct {
 	file   string
 	tree   map[string]any
@@ -62,10 +64,10 @@
 	faults []Fault
 }
 
-// Defaulter is an element of a list that has other defaults than zero.
+// Defaulter is implemented by tables and list elements whose defaults are not the zero values.
 type Defaulter interface{ Defaults() }
 
-// Parse reads the text of the named file. What is no TOML at all shows in Err.
+// Parse parses the text of the named file. If it is not valid TOML, Err returns the fault.
 func Parse(file string, text []byte) *Doc {
 	d := &Doc{file: file, lines: map[string]int{}}
 	if err := toml.Unmarshal(text, &d.tree); err != nil {
@@ -81,7 +83,7 @@
 	return d
 }
 
-// findLines notes in which line each key stands.
+// findLines records the line of each key.
 func (d *Doc) findLines(text []byte) {
 	var p unstable.Parser
 	p.Reset(text)
@@ -112,7 +114,7 @@
 	}
 }
 
-// inLists names a table below the newest element of each list on its way.
+// listPath returns the path of a table, with the index of the latest element after each list on the path.
 func (d *Doc) listPath(path []string, count map[string]int) string {
 	plain, full := "", ""
 	for _, part := range path {
@@ -131,7 +133,8 @@
 	return path + "." + key
 }
 
-// Fault adds one that only the caller can see; key as in Fault.Key. Its line is the key's, or that of what holds it.
+// AddFault adds a fault that only the caller can detect; key is as in Fault.Key. The line is that of the key,
+// or of the nearest enclosing table that the file has.
 func (d *Doc) AddFault(key, format string, a ...any) {
 	line, at := 1, key
 	for at != "" {
@@ -144,10 +147,10 @@
 	d.faults = append(d.faults, Fault{line, key, fmt.Sprintf(format, a...)})
 }
 
-// Has tells whether the file says something under the key, a table or a value.
+// Has reports whether the file has the top-level key, as a table or a value.
 func (d *Doc) Has(key string) bool { _, ok := d.tree[key]; return ok }
 
-// Err is nil, or a *Faults with all that was found so far.
+// Err returns nil, or a *Faults with all faults found so far.
 func (d *Doc) Err() error {
 	if len(d.faults) == 0 {
 		return nil
@@ -156,7 +159,7 @@
 	return &Faults{d.file, d.faults}
 }
 
-// Decode fills the struct that into points at. Faults are kept for Err.
+// Decode fills the struct that into points at. Err returns its faults.
 func (d *Doc) Decode(into any) {
 	if len(d.faults) == 0 {
 		d.decodeTable("", d.tree, reflect.ValueOf(into).Elem())
@@ -205,7 +208,7 @@
 		case string:
 			t, err := time.ParseDuration(x)
 			if err != nil {
-				d.AddFault(path, `%q is no time such as "1.5s" or "200ms"`, x)
+				d.AddFault(path, `%q is not a time such as "1.5s" or "200ms"`, x)
 				return
 			}
 			to.SetFloat(float64(t) / 1e6)
@@ -221,7 +224,7 @@
 		return
 	}
 	switch to.Kind() {
-	case reflect.Pointer: // a table that may be left out
+	case reflect.Pointer: // an optional table
 		if tree, ok := x.(map[string]any); ok {
 			to.Set(reflect.New(to.Type().Elem()))
 			if v, ok := to.Interface().(Defaulter); ok {
@@ -286,13 +289,13 @@
 		}
 		d.checkBounds(path, to.Float(), tag)
 	default:
-		panic("tomlfile: no way to read a " + to.Type().String())
+		panic("tomlfile: unsupported type " + to.Type().String())
 	}
 }
 
 func (d *Doc) checkBounds(path string, x float64, tag reflect.StructTag) {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
-		d.AddFault(path, "%v is no number to work with", x)
+		d.AddFault(path, "%v is not a finite number", x)
 		return
 	}
 	for _, b := range []struct{ name, than string }{{"min", "below"}, {"max", "above"}} {
