--- a/cmd/weldmast/admin_test.go
+++ b/cmd/weldmast/admin_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// operated gives the world an address for operators' calls.
+// newAdminEnv returns a testEnv with an address for operators' requests.
 func newAdminEnv(t *testing.T) *testEnv {
 	e := newTestEnv(t)
 	l := e.listenPort()
@@ -20,7 +20,8 @@
 	return e
 }
 
-// call is one of the operators': the answer and its body, within the second that they wait.
+// adminCall sends one operator's request and returns the status line and the body. It fails after one second,
+// the operators' timeout.
 func (e *testEnv) adminCall(text string) (answer, body string) {
 	begun := time.Now()
 	c, err := net.Dial("tcp", e.adminAddr)
@@ -30,7 +31,7 @@
 	defer c.Close()
 	c.SetDeadline(begun.Add(time.Second))
 	io.WriteString(c, text)
-	all, err := io.ReadAll(c) // it is closed after the answer
+	all, err := io.ReadAll(c) // the server closes the connection after its answer
 	if err != nil {
 		return err.Error(), ""
 	}
@@ -43,10 +44,10 @@
 	return e.adminCall("GET /control/" + what + " HTTP/1.1\r\nHost: x\r\n\r\n")
 }
 
-// TestFigures: work of every ending; the figures say what the stand-ins saw.
+// TestCounters checks the counters after jobs with every outcome against what the workers and clients saw.
 func TestCounters(t *testing.T) {
 	e := newAdminEnv(t)
-	e.swap = [2]string{`"expiry":5000000,"credit":1.0}]`, `"expiry":1000000,"credit":1.0}]`} // an order's
+	e.swap = [2]string{`"expiry":5000000,"credit":1.0}]`, `"expiry":1000000,"credit":1.0}]`} // of category order
 	var names [2]string
 	for k, name := range []string{"w1", "w2"} {
 		names[k] = memberEntry(name, e.startWorker(name, func(j job) {
@@ -124,8 +125,8 @@
 	}
 }
 
-// TestOperators: calls are answered in every phase and beside callers that say nothing, half or nonsense, which are
-// closed within 3 s; and beside a flood at the clients' address.
+// TestAdminServer checks that requests are answered in every phase, while other callers send nothing, half a
+// request or nonsense (their connections are closed within 3 s), and during a flood at the clients' address.
 func TestAdminServer(t *testing.T) {
 	e := newAdminEnv(t)
 	e.sockets, e.discoveryDown = 256, true
--- a/cmd/weldmast/client_disconnect_test.go
+++ b/cmd/weldmast/client_disconnect_test.go
@@ -14,11 +14,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// late is how long after its client's departure nothing of a work item may be sent on any more, be it a first attempt or a
-// further one.
+// maxDelay is how long after its client's disconnect a work item may still be sent to a worker, in a first
+// attempt or a further one.
 const maxDelay = 100 * time.Millisecond
 
-// arrivals is a worker that notes when each request had come whole, and what is called off.
+// recorder is a worker that records when each complete request arrived and which jobs were cancelled.
 type recorder struct {
 	w       *testEnv
 	addr    string
@@ -26,7 +26,7 @@
 	deletes map[string]bool
 }
 
-// arrivals answers by the script; none: it takes all.
+// newRecorder starts a worker that answers by the script; without a script it accepts all jobs.
 func (e *testEnv) newRecorder(script func(j job)) *recorder {
 	a := &recorder{w: e, at: map[string]time.Time{}, deletes: map[string]bool{}}
 	l := e.listenPort()
@@ -69,7 +69,8 @@
 	a.w.until(id, func() bool { _, is := a.received(id); return is })
 }
 
-// never checks that nothing of it came later than it may, once the last one, of a client that stays, has.
+// neverLate checks that the job didn't arrive too long after its client left. It is called after serveLast,
+// when no earlier job can arrive any more.
 func (a *recorder) neverLate(id string, left time.Time) {
 	a.w.t.Helper()
 	if at, is := a.received(id); is && at.Sub(left) > maxDelay {
@@ -77,7 +78,7 @@
 	}
 }
 
-// leave is the client's departure: by FIN, by RST, or by closing.
+// disconnect ends the client's connection: with a FIN, an RST, or a close.
 func (c *client) disconnect(how int) time.Time {
 	t := c.Conn.(*net.TCPConn)
 	switch how % 3 {
@@ -92,8 +93,9 @@
 	return time.Now()
 }
 
-// TestLeft: a work item whose client has left while it waited is not sent on later than 0.1 s after, in whatever place it
-// waits, for its first attempt or a further one; judged by what the worker received.
+// TestClientDisconnects checks that a work item whose client disconnects while it waits is not sent to a
+// worker more than 0.1 s later. It covers all places where an item waits, for its first attempt or a further
+// one, and judges by what the worker received.
 func TestClientDisconnects(t *testing.T) {
 	const order = "/order/x"
 	start := func(t *testing.T, script func(j job)) (*testEnv, *recorder) {
@@ -103,12 +105,13 @@
 		e.start()
 		return e, a
 	}
-	// last has one more job done, of a client that stays: what was to be sent before has been. It comes again while it is deferred.
+	// serveLast has one more job served, for a client that stays, so that everything queued before it has
+	// been sent. It sends the job again while it is deferred.
 	serveLast := func(e *testEnv, a *recorder, from string) {
 		e.t.Helper()
 		for k := range 10 {
 			c, id := e.dial(), fmt.Sprint("last-", k)
-			io.WriteString(c, request(id, "/plan/x", "")) // which a worker gets that seemed to fail
+			io.WriteString(c, request(id, "/plan/x", "")) // rerunnable work also goes to a worker that seemed to fail
 			answer := make(chan string, 1)
 			go func() { answer <- c.answer() }()
 			for {
@@ -132,7 +135,7 @@
 		e, a := start(t, nil)
 		busy := e.dial()
 		io.WriteString(busy, request("busy", order, ""))
-		a.await("busy") // not started: nothing more goes there
+		a.await("busy") // accepted but not started, so the worker gets nothing more
 		var left [6]time.Time
 		for k := range left {
 			c := e.dial()
@@ -196,7 +199,7 @@
 			first.neverLate("left", left)
 		}
 	})
-	// A further attempt, whose worker turned the first one away.
+	// Further attempts, after the first worker refused the item.
 	refuse := func(j job) {
 		j.out.Header().Set("X-Not-Run", "1")
 		j.out.WriteHeader(http.StatusServiceUnavailable)
@@ -242,7 +245,7 @@
 		e.until("a first attempt", some(first))
 		e.publish(memberList(2, false, memberEntry("w1", first.addr, "terminating"), memberEntry("w2", second.addr, "in_service")))
 		e.until("one at the second worker", some(second))
-		for k, c := range clients { // the one that is there is called off, the others wait behind it
+		for k, c := range clients { // the item at the worker is cancelled, the others are queued behind it
 			left = append(left, c.disconnect(k))
 		}
 		e.until("their departure", func() bool { return e.active(0) })
@@ -255,12 +258,12 @@
 		const many = 12
 		hold := make(chan struct{})
 		e := newAdminEnv(t)
-		first := e.newRecorder(func(j job) { // turned away all at once, while the process stands still
+		first := e.newRecorder(func(j job) { // refuses all items at once, while the process is paused
 			<-hold
 			refuse(j)
 		})
 		var firsts []string
-		for k := range many { // one work item goes to a worker that has not started the one before
+		for k := range many { // a worker gets one item until it starts the item before
 			firsts = append(firsts, memberEntry(fmt.Sprint("w", k), first.addr, "in_service"))
 		}
 		second := e.newRecorder(nil)
@@ -284,7 +287,7 @@
 		for k, c := range clients {
 			left = append(left, c.disconnect(k))
 		}
-		time.Sleep(2 * maxDelay) // what goes out from now on is late
+		time.Sleep(2 * maxDelay) // whatever is sent from now on is too late
 		e.must(e.cmd.Process.Signal(syscall.SIGCONT))
 		e.until("their departure", func() bool { return e.active(0) })
 		serveLast(e, second, "second")
@@ -300,7 +303,7 @@
 		a.await("busy")
 		var clients []*client
 		const many = 40
-		for k := range many { // half of them wait already, half lie unread
+		for k := range many { // half of the items are queued already, half are unread
 			if k == many/2 {
 				e.until("the first half", func() bool { return e.active(many/2 + 1) })
 				e.must(e.cmd.Process.Signal(syscall.SIGSTOP))
@@ -314,8 +317,9 @@
 			left = append(left, c.disconnect(k))
 		}
 		done := make(chan int)
-		go func() { done <- e.callback("busy", "w1", "done", "") }() // room for one more, read together with what left
-		time.Sleep(2 * maxDelay)                                     // what goes out from now on is late
+		// allows one more hand-off; read together with the disconnects
+		go func() { done <- e.callback("busy", "w1", "done", "") }()
+		time.Sleep(2 * maxDelay) // whatever is sent from now on is too late
 		e.must(e.cmd.Process.Signal(syscall.SIGCONT))
 		<-done
 		serveLast(e, a, "w1")
@@ -366,7 +370,7 @@
 	})
 }
 
-// open tells whether so many clients wait.
+// active reports whether exactly that many jobs are active.
 func (e *testEnv) active(many int) bool { return e.counter(fmt.Sprintf("active:%d|g", many)) }
 
 func (e *testEnv) counter(line string) bool {
@@ -374,7 +378,7 @@
 	return strings.Contains(body, "edge_router."+line+"\n")
 }
 
-// starve leaves the program so many descriptors beyond those that it has.
+// limitDescriptors sets the program's limit to so many descriptors more than it uses now.
 func (e *testEnv) limitDescriptors(more int) {
 	e.t.Helper()
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", e.cmd.Process.Pid))
@@ -383,7 +387,7 @@
 	e.must(unix.Prlimit(e.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: most, Max: most}, nil))
 }
 
-// full is a listener whose queue is full: connections to it come up once it is let go.
+// fullListener returns a listener with a full backlog. Connections to it are established only after release.
 func (e *testEnv) fullListener() (l net.Listener, release func()) {
 	e.t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -395,7 +399,7 @@
 	f.Close()
 	e.must(err)
 	var fill []net.Conn
-	for { // until one does not come up
+	for { // until a connection is not established
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 100*time.Millisecond)
 		if err != nil {
 			break
@@ -409,9 +413,9 @@
 	}
 }
 
-// dialling tells whether a connection to the listener is coming up.
+// connecting reports whether a connection to the listener is being established.
 func (e *testEnv) connecting(l net.Listener) bool {
 	text, err := os.ReadFile("/proc/self/net/tcp")
 	e.must(err)
-	return strings.Contains(string(text), fmt.Sprintf(":%04X 02 ", l.Addr().(*net.TCPAddr).Port)) // SYN_SENT
+	return strings.Contains(string(text), fmt.Sprintf(":%04X 02 ", l.Addr().(*net.TCPAddr).Port)) // state SYN_SENT
 }
--- a/cmd/weldmast/command_test.go
+++ b/cmd/weldmast/command_test.go
@@ -11,7 +11,8 @@
 	"weldmast/internal/kept"
 )
 
-// TestCommands: each command line with what it prints and ends with. A faulty file has all its faults told.
+// TestCommands compares the output and exit code of each command line with the recorded ones. All faults of a
+// file are printed.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -30,7 +31,7 @@
 		var out, errs strings.Builder
 		code := run(args, &out, &errs)
 		text := strings.ReplaceAll(out.String()+errs.String(), dir+"/", "")
-		if title == "version" { // of any build
+		if title == "version" { // the rest depends on the build
 			text = strings.Join(strings.Fields(text)[:2], " ") + "\n"
 		}
 		fmt.Fprintf(&all, "== %s: %d\n%s", title, code, stamp.ReplaceAllString(text, ""))
@@ -53,7 +54,7 @@
 	kept.Check(t, "commands", all.String())
 }
 
-// TestExample: the operator's file that is shipped has no fault.
+// TestExample checks that the example operator's file has no faults.
 func TestExample(t *testing.T) {
 	t.Setenv("ROUTER_CONFIG", "../../example/config.json")
 	var out, errs strings.Builder
--- a/cmd/weldmast/discovery_test.go
+++ b/cmd/weldmast/discovery_test.go
@@ -17,21 +17,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// toldWithin is how long what discovery has may stay unknown once it can be reached.
+// discoveryTimeout is the time within which the program has to read a new list once discovery can be reached
+// again.
 const discoveryTimeout = 6 * time.Second
 
-// returns has discovery, which was silent, answer calls from now on.
+// resumeDiscovery makes discovery answer requests again.
 func (e *testEnv) resumeDiscovery() { e.mu.Lock(); e.discoveryDown = false; e.mu.Unlock() }
 
-// descriptors is how many the program has open.
+// openDescriptors returns how many file descriptors the program has open.
 func (e *testEnv) openDescriptors() int {
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", e.cmd.Process.Pid))
 	e.must(err)
 	return len(all)
 }
 
-// idlers are clients that ask whether it is ready and then rest. Those that are closed come again, until they are told to
-// rest; they all go at the end.
+// idleClients starts clients that request /ready and then stay idle. A client whose connection is closed
+// reconnects until rest is called; stop ends all of them.
 func (e *testEnv) idleClients(many int) (rest, stop func()) {
 	var all sync.WaitGroup
 	var resting, over atomic.Bool
@@ -56,8 +57,9 @@
 	return func() { resting.Store(true) }, func() { over.Store(true); all.Wait() }
 }
 
-// TestIdleFill: idle clients fill the descriptors while discovery is down, however the process came to have so few. Its return
-// is told in time all the same, and the worker that it names gets work.
+// TestIdleClientsFillDescriptors checks that idle clients that use up the descriptors while discovery is down
+// don't prevent the program from reading the new list in time and from handing work to its workers. The low
+// limit comes from the configuration, from the system at the start, or from the system later.
 func TestIdleClientsFillDescriptors(t *testing.T) {
 	const few = 64
 	for name, limit := range map[string]func(e *testEnv){
@@ -80,10 +82,10 @@
 			if limit == nil {
 				e.must(unix.Prlimit(e.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: few, Max: few}, nil))
 			}
-			e.must(e.discoveryServer.Close()) // down: calls are refused, and hold no descriptor
+			e.must(e.discoveryServer.Close()) // refused connections use no descriptor of the program
 			rest, stop := e.idleClients(150)
 			defer stop()
-			time.Sleep(time.Second) // many come and go
+			time.Sleep(time.Second) // many clients connect and are closed
 			rest()
 			time.Sleep(300 * time.Millisecond)
 			most := 0
@@ -137,8 +139,8 @@
 	}
 }
 
-// TestFleetRestarts: a fleet is killed and restarted at once, and discovery is down for a part of it; nobody knows a list from
-// before. Nine in ten are ready within 10 s of their start.
+// TestFleetRestarts kills and restarts many dispatchers at once while discovery is down for part of the time.
+// None knows an earlier list. Nine in ten must be ready within 10 s of their start.
 func TestFleetRestarts(t *testing.T) {
 	t.Parallel()
 	const many, within = 20, 10 * time.Second
@@ -189,7 +191,7 @@
 	}
 }
 
-// readyWithin waits until the program is, for so long at most.
+// readyWithin waits at most that long for the program to be ready, and reports whether it is.
 func (e *testEnv) readyWithin(within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if e.status("/ready") == 200 {
--- a/cmd/weldmast/fleet_test.go
+++ b/cmd/weldmast/fleet_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// voter builds the program that votes, once.
+// buildVoter builds weldmast-voter once and returns its path.
 var buildVoter = sync.OnceValues(func() (string, error) {
 	path := filepath.Join(filepath.Dir(binary), "weldmast-voter")
 	args := []string{"build", "-buildvcs=false", "-o", path}
@@ -29,7 +29,7 @@
 	return path, err
 })
 
-// fleetWorld is one member's, with a worker that notes under which release it is handed work.
+// fleetEnv is the environment of one member, with a worker that records the X-Release of each job.
 type fleetEnv struct {
 	*testEnv
 	name string
@@ -59,7 +59,8 @@
 	return f
 }
 
-// newFleet is a voter and a follower, not yet started, with the program that votes and its address.
+// newFleet returns a voter and a follower, not yet started, and the path of weldmast-voter and the voter's
+// address.
 func newFleet(t *testing.T) (path, at string, v, m *fleetEnv) {
 	path, err := buildVoter()
 	if err != nil {
@@ -71,7 +72,7 @@
 	return path, at, newFleetEnv(t, "v", at, "serve", ""), newFleetEnv(t, "m", at, "stop", "")
 }
 
-// client asks for one job on a connection of its own, and tells the status and what the worker saw.
+// job sends one job on a new connection and returns the status and what the worker recorded.
 func (f *fleetEnv) job(id string) string {
 	answer := f.dial().ask(request(id, "/plan/x", ""))
 	f.mu.Lock()
@@ -84,7 +85,7 @@
 	return answer
 }
 
-// jobs asks until the answer is as wanted.
+// awaitJob sends jobs until one is answered as wanted.
 func (f *fleetEnv) awaitJob(want string) {
 	f.t.Helper()
 	last := ""
@@ -97,7 +98,7 @@
 	f.t.Errorf("%s: a job is answered %q, never %q", f.name, last, want)
 }
 
-// TestFleet plays one voter and a follower as operators and clients see them.
+// TestFleet runs one voter and a follower and checks what operators and clients see.
 func TestFleet(t *testing.T) {
 	path, at, v, m := newFleet(t)
 	cli := func(want int, args ...string) string {
@@ -159,7 +160,7 @@
 	m.awaitJob(`200 under "three"`)
 	says(cli(1, "shut-out", "nobody"), "no member is called nobody")
 
-	// Two with one name: the second gets no lease, and takes nothing.
+	// Of two processes with the same member name, the second gets no lease and accepts no work.
 	twin := newFleetEnv(t, "m", at, "stop", "")
 	twin.launch()
 	twin.until("no lease", func() bool {
@@ -172,7 +173,8 @@
 	twin.must(twin.cmd.Process.Kill())
 	twin.cmd.Wait()
 
-	// Stopped for longer than its lease, a version with a fence meanwhile: it wakes and acts on no older one.
+	// The follower is paused for longer than its lease while a version with a fence is published. After it
+	// resumes, it must not apply an older version.
 	m.must(m.cmd.Process.Signal(syscall.SIGSTOP))
 	says(mustRun(t, binary, "fleet", "publish", file(`{"mark":"four"}`), "--fence", "--wait", "--at", at, "--fleet", "test"), "fence complete since ")
 	m.must(m.cmd.Process.Signal(syscall.SIGCONT))
@@ -183,7 +185,7 @@
 	}
 	m.awaitJob(`200 under "four"`)
 
-	// Killed and started again, it is what it was, and the audit knows both of its processes.
+	// After a kill and a restart the follower has the same state, and the audit lists both of its processes.
 	m.must(m.cmd.Process.Kill())
 	m.cmd.Wait()
 	m.start()
@@ -205,7 +207,8 @@
 		t.Errorf("%+v", audit)
 	}
 
-	// Without the council the one stops once its lease is over; restarted, it stops at once. The other serves on.
+	// Without a voter the follower stops taking work when its lease expires, as its file says alone = "stop".
+	// It serves again once the voter is back.
 	v.must(v.cmd.Process.Kill())
 	v.cmd.Wait()
 	m.awaitJob("503 Retry-After")
@@ -223,11 +226,13 @@
 	})
 }
 
-// TestRefusedBySome: a version that one member accepts and another one's own configuration forbids: the one goes on with it, the
-// other stays with what it had, serves on and says key and fault; a later version that both accept is in force at both.
+// TestRefusedBySome publishes a version that one member accepts and that conflicts with another member's own
+// configuration. The first applies it. The other keeps its old version, serves on, and reports the key and
+// the fault. Both apply a later version that both accept.
 func TestRefusedBySome(t *testing.T) {
 	path, _, v, m := newFleet(t)
-	v.swap = [2]string{fmt.Sprintf(`"peer_listen":%q,`, v.peerAddr), ""} // it tells siblings nothing; the other one has two
+	// sends nothing to peers, whereas the follower has two of them
+	v.swap = [2]string{fmt.Sprintf(`"peer_listen":%q,`, v.peerAddr), ""}
 	v.wrap = func(c *exec.Cmd) { c.Path = path }
 	v.start()
 	m.start()
@@ -253,7 +258,7 @@
 	m.awaitJob(`200 under "three"`)
 }
 
-// exec2 runs a command that has to end well.
+// mustRun runs a command that must succeed.
 func mustRun(t *testing.T, name string, args ...string) string {
 	t.Helper()
 	out, err := exec.Command(name, args...).CombinedOutput()
@@ -263,13 +268,13 @@
 	return string(out)
 }
 
-// release is what the program calls its version.
+// release returns the program's version.
 func release() string {
 	out, _ := exec.Command(binary, "version").Output()
 	return strings.Fields(string(out))[1]
 }
 
-// TestNoVoter: the build that cannot vote says so.
+// TestNoVoter checks that the build without a voter refuses to start as a voter, with a clear error.
 func TestNoVoter(t *testing.T) {
 	f := newFleetEnv(t, "v", "127.0.0.1:7100", "serve", "")
 	f.launch()
@@ -281,9 +286,10 @@
 	}
 }
 
-// TestStandstill: a request that came while the process stood still, on a connection that had brought none yet, is answered
-// once it goes on, however long that was. Which of timer and socket comes first on waking is the machine's choice: without the
-// guard this failed in one of three runs; platform's TestLate fails each time.
+// TestRequestDuringPause checks that a request that arrives while the process is paused, on a connection
+// without an earlier request, is answered after the process resumes, however long the pause was. Whether the
+// timer or the socket fires first after the pause depends on the machine: without the guard this test failed
+// in one of three runs, while platform's TestLate failed each time.
 func TestRequestDuringPause(t *testing.T) {
 	e := newTestEnv(t)
 	e.publish(memberList(1, true, memberEntry("w1", e.finishingWorker("w1"), "in_service")))
@@ -292,14 +298,14 @@
 	for range 30 {
 		all = append(all, e.dial())
 	}
-	time.Sleep(200 * time.Millisecond) // it waits for their requests by now
+	time.Sleep(200 * time.Millisecond) // by then the program waits for their requests
 	e.must(e.cmd.Process.Signal(syscall.SIGSTOP))
 	for k, c := range all {
 		if _, err := c.Write([]byte(request(fmt.Sprint("a", k), "/plan/x", ""))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(2500 * time.Millisecond) // longer than a silent connection may stay
+	time.Sleep(2500 * time.Millisecond) // longer than the timeout of a silent connection
 	e.must(e.cmd.Process.Signal(syscall.SIGCONT))
 	for k, c := range all {
 		if got := c.answer(); got == "no answer" {
--- a/cmd/weldmast/migrate_test.go
+++ b/cmd/weldmast/migrate_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// with starts the program by the configuration in the file, as it is, and waits until it is ready.
+// startWith starts the program with the given configuration file, unchanged, and waits until it is ready.
 func (e *testEnv) startWith(file string) {
 	e.t.Helper()
 	e.cmd = exec.Command(binary)
@@ -26,14 +26,14 @@
 	e.cmd.Wait()
 }
 
-// migrate runs the command and gives what it ended with and all that it printed.
+// runMigrate runs the migrate command and returns its exit code and output.
 func runMigrate(args ...string) (code int, text string) {
 	var out strings.Builder
 	code = run(append([]string{"migrate"}, args...), &out, &out)
 	return code, out.String()
 }
 
-// folder is all that is in a folder.
+// readFolder returns the content of each file in a folder.
 func readFolder(t *testing.T, dir string) map[string]string {
 	all := map[string]string{}
 	entries, err := os.ReadDir(dir)
@@ -50,8 +50,9 @@
 	return all
 }
 
-// TestMigrate: a migrated configuration starts the program, which serves and sends the work of a key to that key's worker;
-// a dry run leaves the folder as it was; the old one is not touched and serves again.
+// TestMigrate checks that the program starts with a migrated configuration, serves, and sends the work of a
+// key to that key's preferred workers. A dry run leaves the folder unchanged. The old configuration is
+// unchanged and still works.
 func TestMigrate(t *testing.T) {
 	e := newTestEnv(t)
 	e.writeConfig("", "")
@@ -100,7 +101,7 @@
 	}
 	used, workersOf := map[string]bool{}, map[int]map[string]bool{}
 	for n := range 6 {
-		for k := range 12 { // category, something and the key
+		for k := range 12 { // the path is category, anything, key
 			if workersOf[k] == nil {
 				workersOf[k] = map[string]bool{}
 			}
@@ -118,11 +119,12 @@
 	}
 	e.interrupt()
 
-	e.startWith(e.configPath) // going back
+	e.startWith(e.configPath) // back to the old configuration
 	ask("back", "/plan/x")
 }
 
-// TestMigrateFaults: a clear error, an exit code, and nothing written, also where a key is still open.
+// TestMigrateFaults checks that each fault gives a clear error and an exit code and writes no file, and that
+// the program doesn't start while a key is still to be filled in.
 func TestMigrateFaults(t *testing.T) {
 	e := newTestEnv(t)
 	e.writeConfig("", "")
@@ -174,7 +176,7 @@
 	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), "settings.weights is missing") {
 		t.Errorf("started with open keys: %v\n%s", err, out)
 	}
-	if os.Getuid() != 0 { // whom no folder is closed to
+	if os.Getuid() != 0 { // root may write to any folder
 		e.must(os.Chmod(dir, 0o500))
 		if code, text := runMigrate(e.configPath, "--to", filepath.Join(dir, "x.json")); code != 1 || !strings.Contains(text, "permission denied") {
 			t.Errorf("a folder that cannot be written: exit %d\n%s", code, text)
--- a/cmd/weldmast/takeover_test.go
+++ b/cmd/weldmast/takeover_test.go
@@ -16,14 +16,15 @@
 	"time"
 )
 
-// replaced gives the world what processes find each other by.
+// newTakeoverEnv returns a testEnv with a folder in which processes find each other.
 func newTakeoverEnv(t *testing.T) *testEnv {
 	e := newAdminEnv(t)
 	e.tempDir = t.TempDir()
 	return e
 }
 
-// beside starts another process while one serves, at another address for operators, and waits until it is ready.
+// startSuccessor starts another process while one serves, with another address for operators, and waits until
+// it is ready. It returns the older process.
 func (e *testEnv) startSuccessor() (older *exec.Cmd) {
 	e.t.Helper()
 	older = e.cmd
@@ -45,8 +46,8 @@
 	e.until(text, func() bool { return strings.Count(e.output.String(), text) >= times })
 }
 
-// TestUpgrades: under load, on kept, idle and new connections, one process after another takes the last one's place. No
-// connection is refused, reset or left unread, each job has one answer and ran once.
+// TestUpgrades replaces the process several times under load on reused, idle and new connections. No
+// connection may be refused, reset or left unread, and each job must run once and get one answer.
 func TestUpgrades(t *testing.T) {
 	e := newTakeoverEnv(t)
 	ran := map[string]int{}
@@ -80,7 +81,7 @@
 		case "200 from w1 " + id:
 			served.Add(1)
 			return !strings.HasSuffix(got, "close")
-		case "503 Retry-After": // turned away, which is an answer
+		case "503 Retry-After": // refusing a job is a valid answer
 			return true
 		default:
 			broken.Add(1)
@@ -98,7 +99,7 @@
 		return &client{c, bufio.NewReader(c)}
 	}
 	for k := range 6 {
-		clients.Go(func() { // half keep their connections, half do not
+		clients.Go(func() { // half of the clients reuse their connections
 			var c *client
 			for n := 0; running(); n++ {
 				if c == nil {
@@ -114,7 +115,8 @@
 		})
 	}
 	for k := range 4 {
-		waiting := []*client{dial(), dial(), dial(), dial()} // that have said nothing yet, or something
+		// two have had an answer, one stays silent, one gets half a request
+		waiting := []*client{dial(), dial(), dial(), dial()}
 		for n, c := range waiting[:2] {
 			serveOne(c, fmt.Sprintf("idle-%d-%d", k, n))
 		}
@@ -158,13 +160,13 @@
 	}
 }
 
-// at is the path at which processes of this dispatcher find each other.
+// socketPath returns the path at which processes of this dispatcher find each other.
 func (e *testEnv) socketPath() string {
 	return filepath.Join(e.tempDir, "weldmast-"+strings.ReplaceAll(e.listen, ":", "-"))
 }
 
-// TestOrdinaryStart: whatever stands where an older process would be found, the start is an ordinary one, soon, and says so;
-// a foreign file stays as it was.
+// TestOrdinaryStart checks that whatever exists at the path of the predecessor's socket, the program soon
+// starts in the ordinary way and logs the reason. A file of another kind stays unchanged.
 func TestOrdinaryStart(t *testing.T) {
 	answering := func(say string) func(*testEnv) {
 		return func(e *testEnv) {
@@ -232,7 +234,8 @@
 	}
 }
 
-// TestUpgradeFaults: who dies when, and who comes when; a client is served after each.
+// TestUpgradeFaults covers processes that die, hang or start at any point of a takeover. A client must be
+// served after each.
 func TestUpgradeFaults(t *testing.T) {
 	begin := func(t *testing.T) *testEnv {
 		t.Parallel()
@@ -263,7 +266,7 @@
 		e.awaitLog("the other process has ended", 1)
 		served(e)
 		e.cmd = older
-		e.startSuccessor() // and another one finds it as before
+		e.startSuccessor() // another successor can connect as before
 		terminate(e, older)
 		awaitExit(e, older)
 		served(e)
@@ -275,7 +278,7 @@
 		e.awaitLog("handed over", 1)
 		e.must(e.cmd.Process.Kill())
 		e.cmd.Wait()
-		served(e) // still takes work for half a second, as at any order to stop
+		served(e) // after a signal to stop the process still accepts work for half a second
 		awaitExit(e, older)
 	})
 	t.Run("older killed", func(t *testing.T) {
@@ -292,7 +295,7 @@
 	t.Run("older hangs", func(t *testing.T) {
 		e := begin(t)
 		e.must(e.cmd.Process.Signal(syscall.SIGSTOP))
-		older := e.startSuccessor() // shares the address; what the hung one would accept waits for its end
+		older := e.startSuccessor() // shares the address; connections queued for the paused process wait until it ends
 		e.must(older.Process.Kill())
 		older.Wait()
 		served(e)
@@ -322,13 +325,13 @@
 		e.launch()
 		e.awaitLog("a newer process is there", 1)
 		terminate(e, older)
-		e.awaitReady() // by the list that was handed over
+		e.awaitReady() // uses the list that was handed over
 		served(e)
 		awaitExit(e, older)
 	})
 	t.Run("newer comes after the order", func(t *testing.T) {
 		e := begin(t)
-		hold := e.dial() // keeps the older one alive
+		hold := e.dial() // keeps the older process alive
 		io.WriteString(hold, request("half", "/order/x", "")[:50])
 		older := e.cmd
 		terminate(e, older)
@@ -354,8 +357,9 @@
 	})
 }
 
-// TestUpgradeCallbacks: what the older process holds is told to it, whoever hears of it, and applied once; its ids are in
-// use at the newer one as well, also through two upgrades.
+// TestUpgradeCallbacks checks that a callback for a job of the older process reaches it, whichever process
+// receives the callback, and is applied once. Its job IDs are also in use at the newer process, and also
+// after two takeovers.
 func TestUpgradeCallbacks(t *testing.T) {
 	e := newTakeoverEnv(t)
 	e.publish(memberList(1, true, memberEntry("w1", e.startWorker("w1", nil), "in_service")))
@@ -399,8 +403,9 @@
 over: 200`)
 }
 
-// TestUpgradeLongJobs: what would still run at the kill goes to the newer process with its client's connection, which
-// serves on; a client that leaves then is noticed there, and the older process ends in time.
+// TestUpgradeLongJobs checks that jobs that would still run at the final kill move to the newer process with
+// their clients' connections, which then serve further requests. The newer process notices when such a client
+// disconnects, and the older process ends in time.
 func TestUpgradeLongJobs(t *testing.T) {
 	t.Parallel()
 	e := newTakeoverEnv(t)
@@ -414,7 +419,7 @@
 		io.WriteString(clients[id], request(id, "/order/x", ""))
 		e.awaitLine(": "+id+"\n", 1)
 	}
-	at := func(id string) string { // its worker
+	at := func(id string) string { // the worker of the job
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		before, _, _ := strings.Cut(e.seen.String(), ": "+id+"\n")
@@ -426,8 +431,9 @@
 	older := e.startSuccessor()
 	begun := time.Now()
 	e.must(older.Process.Signal(syscall.SIGTERM))
-	io.WriteString(clients["next"], "G")                                                                // of its next request
-	if err := older.Wait(); err != nil || time.Since(begun) > 3700*time.Millisecond && !raceEnabled() { // the detector waits a second at the exit
+	io.WriteString(clients["next"], "G") // the first byte of the next request
+	// the race detector waits one second at the exit
+	if err := older.Wait(); err != nil || time.Since(begun) > 3700*time.Millisecond && !raceEnabled() {
 		t.Errorf("the older one ended after %s: %v", time.Since(begun), err)
 	}
 	e.awaitLog("job handed over", 3)
@@ -449,8 +455,8 @@
 	}
 }
 
-// TestUpgradeBounds: while two processes are there each keeps to half of the descriptors, against a flood as well; the one
-// that is left has all of them again.
+// TestUpgradeBounds checks that while two processes run, each uses at most half of the descriptors, even
+// during a flood, and that the remaining process uses all of them again.
 func TestUpgradeBounds(t *testing.T) {
 	e := newTakeoverEnv(t)
 	e.sockets = 256
@@ -469,7 +475,7 @@
 	}
 	older := e.startSuccessor()
 	flood()
-	time.Sleep(100 * time.Millisecond) // those that gave way are closed by then
+	time.Sleep(100 * time.Millisecond) // by then the excess connections are closed
 	if a, b := used(older), used(e.cmd); a > 128 || a < 64 || b > 128 {
 		t.Errorf("%d and %d descriptors of 256", a, b)
 	}
