--- a/cmd/weldmast/admin_test.go
+++ b/cmd/weldmast/admin_test.go
@@ -87,17 +87,17 @@
 	io.WriteString(c, request("leaves-1", "/order/x", ""))
 	e.awaitLine(": leaves-1", 1)
 	if got := e.dial().ask(request("leaves-1", "/order/x", "")); !strings.HasPrefix(got, "409") {
-		t.Errorf("id in use: %s", got)
+		t.Errorf("second job with an ID in use: %s", got)
 	}
 	if _, body := e.control("counters"); !strings.Contains(body, "edge_router.active:1|g\n") {
-		t.Errorf("one open:\n%s", body)
+		t.Errorf("counters with one active job:\n%s", body)
 	}
 	c.Close()
 	ask("hangs-502", "/order/x", "")
 	ask("retried-200", "/plan/x", "")
 	ask("fails-502", "/order/x", "")
 	var body string
-	e.until("the end of all", func() bool {
+	e.until("all jobs ended", func() bool {
 		_, body = e.control("counters")
 		return strings.Contains(body, "edge_router.active:0|g\n") && !strings.Contains(body, "ejected:0")
 	})
@@ -121,7 +121,7 @@
 `, tries)
 	body, ejected, _ := strings.Cut(body, "edge_router.pool_ejected:")
 	if body != want || !strings.HasSuffix(ejected, "|g\n") || ejected == "0|g\n" {
-		t.Errorf("figures:\n%s%s\nwanted:\n%s and some of the two that failed", body, ejected, want)
+		t.Errorf("counters:\n%s%s\nwant:\n%s and at least one of the two failed workers ejected", body, ejected, want)
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 	a, body := e.control("ready")
 	if a != "HTTP/1.1 503 Service Unavailable" || body != "starting\n" {
-		t.Errorf("no list yet: %s %s", a, body)
+		t.Errorf("ready before a list was read: %s %s", a, body)
 	}
 	e.mu.Lock()
 	e.discoveryDown = false
@@ -172,18 +172,18 @@
 	}
 	for range 5 {
 		if a, _ := e.control("counters"); !strings.HasPrefix(a, "HTTP/1.1 200") {
-			t.Errorf("beside silent callers: %s", a)
+			t.Errorf("counters while other callers are silent: %s", a)
 		}
 	}
 	for range 30 {
 		if d := <-silent; d > 3*time.Second {
-			t.Errorf("a silent caller stays for %s", d)
+			t.Errorf("a silent caller stayed connected for %s", d)
 		}
 	}
 	io.WriteString(e.dial(), request("a", "/order/x", ""))
 	e.awaitLine("w1: a", 1)
 	e.cmd.Process.Signal(syscall.SIGTERM)
-	e.until("the phase", func() bool { a, _ := e.control("ready"); return strings.Contains(a, " 503 ") })
+	e.until("the draining phase", func() bool { a, _ := e.control("ready"); return strings.Contains(a, " 503 ") })
 	a, body = e.control("ready")
 	note("told to stop", a, body)
 	e.checkSeen(`ready: HTTP/1.1 200 OK serving
@@ -195,7 +195,7 @@
 told to stop: HTTP/1.1 503 Service Unavailable draining`)
 	if _, err := http.Get("http://" + e.listen + "/control/counters"); err == nil {
 		if a := e.status("/control/counters"); a == 200 {
-			t.Error("the figures are told at the clients' address")
+			t.Error("the clients' address serves the counters")
 		}
 	}
 }
--- a/cmd/weldmast/client_disconnect_test.go
+++ b/cmd/weldmast/client_disconnect_test.go
@@ -129,7 +129,7 @@
 				break
 			}
 		}
-		e.t.Error("no last one was served")
+		e.t.Error("no job of a client that stays was served")
 	}
 	t.Run("for a worker", func(t *testing.T) {
 		e, a := start(t, nil)
@@ -140,9 +140,9 @@
 		for k := range left {
 			c := e.dial()
 			io.WriteString(c, request(fmt.Sprint("left-", k), order, ""))
-			e.until("its arrival", func() bool { return e.active(2) })
+			e.until("the job is active", func() bool { return e.active(2) })
 			left[k] = c.disconnect(k)
-			e.until("its departure", func() bool { return e.active(1) })
+			e.until("the disconnect", func() bool { return e.active(1) })
 		}
 		e.callback("busy", "w1", "done", "")
 		serveLast(e, a, "w1")
@@ -159,9 +159,9 @@
 			e.start()
 			c := e.dial()
 			io.WriteString(c, request("left", order, ""))
-			e.until("its hand-off", func() bool { return e.connecting(l) })
+			e.until("the hand-off", func() bool { return e.connecting(l) })
 			left := c.disconnect(2)
-			e.until("its departure", func() bool { return e.active(0) })
+			e.until("the disconnect", func() bool { return e.active(0) })
 			a := &recorder{w: e, at: map[string]time.Time{}, deletes: map[string]bool{}}
 			full()
 			a.serve(l, nil)
@@ -188,10 +188,10 @@
 			io.WriteString(c, request("left", "/plan/x", ""))
 			first.await("left")
 			if name != "no 202" {
-				e.until("its end", func() bool { return e.counter("pool_ejected:1|g") })
+				e.until("the end of the first attempt", func() bool { return e.counter("pool_ejected:1|g") })
 			}
 			left := c.disconnect(len(name))
-			e.until("its departure", func() bool { return e.active(0) })
+			e.until("the disconnect", func() bool { return e.active(0) })
 			second := e.newRecorder(nil)
 			e.publish(memberList(2, true, memberEntry("w2", second.addr, "in_service")))
 			serveLast(e, second, "w2")
@@ -216,9 +216,9 @@
 			io.WriteString(c, request("left", order, ""))
 			first.await("left")
 			e.publish(memberList(2, false, memberEntry("w1", first.addr, "terminating"), memberEntry("w2", l.Addr().String(), "in_service")))
-			e.until("its second hand-off", func() bool { return e.connecting(l) })
+			e.until("the second hand-off", func() bool { return e.connecting(l) })
 			left := c.disconnect(how)
-			e.until("its departure", func() bool { return e.active(0) })
+			e.until("the disconnect", func() bool { return e.active(0) })
 			second := &recorder{w: e, at: map[string]time.Time{}, deletes: map[string]bool{}}
 			full()
 			second.serve(l, nil)
@@ -238,17 +238,17 @@
 			io.WriteString(c, request(fmt.Sprint("left-", k), order, ""))
 			clients = append(clients, c)
 		}
-		e.until("their arrival", func() bool { return e.active(6) })
+		e.until("the jobs are active", func() bool { return e.active(6) })
 		some := func(a *recorder) func() bool {
 			return func() bool { e.mu.Lock(); defer e.mu.Unlock(); return len(a.at) > 0 }
 		}
 		e.until("a first attempt", some(first))
 		e.publish(memberList(2, false, memberEntry("w1", first.addr, "terminating"), memberEntry("w2", second.addr, "in_service")))
-		e.until("one at the second worker", some(second))
+		e.until("an attempt at the second worker", some(second))
 		for k, c := range clients { // the item at the worker is cancelled, the others are queued behind it
 			left = append(left, c.disconnect(k))
 		}
-		e.until("their departure", func() bool { return e.active(0) })
+		e.until("the disconnects", func() bool { return e.active(0) })
 		serveLast(e, second, "w2")
 		for k := range left {
 			second.neverLate(fmt.Sprint("left-", k), left[k])
@@ -280,7 +280,7 @@
 			defer e.mu.Unlock()
 			return len(first.at)
 		}
-		e.until("their first attempts", func() bool { return held() >= many-1 })
+		e.until("the first attempts", func() bool { return held() >= many-1 })
 		e.must(e.cmd.Process.Signal(syscall.SIGSTOP))
 		close(hold)
 		var left []time.Time
@@ -289,7 +289,7 @@
 		}
 		time.Sleep(2 * maxDelay) // whatever is sent from now on is too late
 		e.must(e.cmd.Process.Signal(syscall.SIGCONT))
-		e.until("their departure", func() bool { return e.active(0) })
+		e.until("the disconnects", func() bool { return e.active(0) })
 		serveLast(e, second, "second")
 		for k := range left {
 			second.neverLate(fmt.Sprint("left-", k), left[k])
@@ -305,7 +305,7 @@
 		const many = 40
 		for k := range many { // half of the items are queued already, half are unread
 			if k == many/2 {
-				e.until("the first half", func() bool { return e.active(many/2 + 1) })
+				e.until("the first half of the jobs", func() bool { return e.active(many/2 + 1) })
 				e.must(e.cmd.Process.Signal(syscall.SIGSTOP))
 			}
 			c := e.dial()
@@ -342,7 +342,7 @@
 		io.WriteString(c, request("first", order, "")+request("behind", order, ""))
 		a.await("first")
 		left := c.disconnect(2)
-		e.until("its giving up", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return a.deletes["first"] })
+		e.until("the cancellation of the first job", func() bool { e.mu.Lock(); defer e.mu.Unlock(); return a.deletes["first"] })
 		serveLast(e, a, "w1")
 		a.neverLate("behind", left)
 	})
--- a/cmd/weldmast/discovery_test.go
+++ b/cmd/weldmast/discovery_test.go
@@ -94,7 +94,7 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 			if most > few && limit != nil {
-				t.Errorf("%d descriptors, %d are all", most, few)
+				t.Errorf("%d descriptors in use, limit %d", most, few)
 			}
 			l, err := net.Listen("tcp", e.discoveryAddr)
 			e.must(err)
@@ -109,7 +109,7 @@
 			}
 			e.publish(memberList(2, true, workers...))
 			if took := time.Since(from); took > discoveryTimeout {
-				t.Errorf("the return is known after %v", took)
+				t.Errorf("the new list was read after %v", took)
 			}
 			var jobs sync.WaitGroup
 			for k := range 10 {
@@ -130,10 +130,10 @@
 			jobs.Wait()
 			text := e.output.String()
 			if strings.Contains(text, "too many open files") && limit != nil {
-				t.Error("it came to the system's limit, which it knew")
+				t.Error("the program reached the system's limit, which it knows")
 			}
 			if strings.Contains(text[before:], "socket: too many open files") {
-				t.Error("a call to discovery or a worker found no descriptor")
+				t.Error("no descriptor left for a call to discovery or to a worker")
 			}
 		})
 	}
@@ -187,7 +187,7 @@
 	if got := int(ready.Load()); got*10 < many*9 {
 		t.Errorf("%d of %d were ready within %v, discovery was down for %v of it", got, many, within, silent)
 	} else {
-		t.Logf("%d of %d", got, many)
+		t.Logf("%d of %d were ready in time", got, many)
 	}
 }
 
--- a/cmd/weldmast/fleet_test.go
+++ b/cmd/weldmast/fleet_test.go
@@ -95,7 +95,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.t.Errorf("%s: a job is answered %q, never %q", f.name, last, want)
+	f.t.Errorf("%s: last answer to a job is %q, want %q", f.name, last, want)
 }
 
 // TestFleet runs one voter and a follower and checks what operators and clients see.
@@ -113,14 +113,14 @@
 			t.Fatal(err)
 		}
 		if code != want {
-			t.Errorf("%v: ends with %d\n%s", args, code, out)
+			t.Errorf("%v: exit code %d\n%s", args, code, out)
 		}
 		return string(out)
 	}
 	says := func(text, want string) {
 		t.Helper()
 		if !strings.Contains(text, want) {
-			t.Errorf("%q does not say %q", text, want)
+			t.Errorf("%q does not contain %q", text, want)
 		}
 	}
 	file := func(text string) string {
@@ -145,11 +145,11 @@
 	says(cli(1, "publish", file(`{"mark":"x"}`), "--after", "0"), "the newest version is 1, not 0")
 	says(cli(1, "publish", file(`[]`)), "not a JSON object")
 	cli(0, "publish", file(`{"mark":"two"}`), "--least", "99.0.0")
-	m.until("a straggler", func() bool {
+	m.until("the refusal in the status", func() bool {
 		return strings.Contains(cli(0, "status"), "refuses version 2: program too old: it is "+release()+", version 2 asks for 99.0.0")
 	})
 	if got := m.job("older"); got != `200 under "one"` {
-		t.Errorf("a version that is refused: %s", got)
+		t.Errorf("after a refused version: %s", got)
 	}
 	cli(0, "publish", file(`{"mark":"three"}`), "--wait")
 	m.awaitJob(`200 under "three"`)
@@ -168,7 +168,7 @@
 	})
 	twin.until("ready", func() bool { return twin.status("/ready") == 200 })
 	if got := twin.job("twin"); got != "503 Retry-After" {
-		t.Errorf("the second of a name: %s", got)
+		t.Errorf("second process with the same name: %s", got)
 	}
 	twin.must(twin.cmd.Process.Kill())
 	twin.cmd.Wait()
@@ -180,7 +180,7 @@
 	m.must(m.cmd.Process.Signal(syscall.SIGCONT))
 	for k := range 20 {
 		if got := m.job(fmt.Sprint("woken", k)); !strings.HasPrefix(got, "503") && got != `200 under "four"` {
-			t.Errorf("woken: %s", got)
+			t.Errorf("after the pause: %s", got)
 		}
 	}
 	m.awaitJob(`200 under "four"`)
@@ -247,11 +247,11 @@
 	m.awaitJob(`200 under "one"`)
 	publish(`{"mark":"two","settings":{"siblings":1}}`)
 	v.awaitJob(`200 under "two"`)
-	m.until("its word", func() bool {
+	m.until("the refusal in the status", func() bool {
 		return strings.Contains(mustRun(t, binary, "fleet", "status", "--at", v.addr, "--fleet", "test"), "refuses version 2: peers: 2 addresses for 1 siblings")
 	})
 	if got := m.job("older"); got != `200 under "one"` {
-		t.Errorf("the one that refuses: %s", got)
+		t.Errorf("member that refuses the version: %s", got)
 	}
 	publish(`{"mark":"three"}`)
 	v.awaitJob(`200 under "three"`)
@@ -279,7 +279,7 @@
 	f := newFleetEnv(t, "v", "127.0.0.1:7100", "serve", "")
 	f.launch()
 	if err := f.cmd.Wait(); err == nil {
-		t.Error("it starts")
+		t.Error("a build without a voter started as a voter")
 	}
 	if !strings.Contains(f.output.String(), "fleet.voters: v is a voter, but this build cannot vote: start weldmast-voter instead") {
 		t.Error(f.output.String())
@@ -289,7 +289,7 @@
 // TestRequestDuringPause checks that a request that arrives while the process is paused, on a connection
 // without an earlier request, is answered after the process resumes, however long the pause was. Whether the
 // timer or the socket fires first after the pause depends on the machine: without the guard this test failed
-// in one of three runs, while platform's TestLate failed each time.
+// in one of three runs, while transport's TestReadAfterDeadline failed each time.
 func TestRequestDuringPause(t *testing.T) {
 	e := newTestEnv(t)
 	e.publish(memberList(1, true, memberEntry("w1", e.finishingWorker("w1"), "in_service")))
--- a/cmd/weldmast/main_test.go
+++ b/cmd/weldmast/main_test.go
@@ -28,8 +28,8 @@
 	"weldmast/internal/kept"
 )
 
-// These tests start the built program and speak to it over loopback sockets. Each prints what its workers
-// and clients saw, which must be what is kept beside it.
+// These tests start the built program and talk to it over loopback sockets. Each compares what its workers
+// and clients saw with a recorded result, in the test or in testdata.
 
 var binary string
 
@@ -51,15 +51,15 @@
 	os.Exit(code)
 }
 
-// raced tells whether the tests were built with the race detector.
+// raceEnabled reports whether the tests were built with the race detector.
 func raceEnabled() bool {
 	info, ok := debug.ReadBuildInfo()
 	return ok && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
 }
 
-const waitTimeout = 10 * time.Second // for what must come; nothing that is expected takes so long
+const waitTimeout = 10 * time.Second // for anything that must happen; nothing that is expected takes this long
 
-// settings are the operators', small: times in microseconds.
+// settings are small operators' settings; times in microseconds.
 const settings = `{"siblings":2,"position":0,"granularity":5000,"discovery":"push","localities":["here","there"],
 	"locality":"here","machine_types":["twin"],"excess_credit":0.1,
 	"allowed":{"max_hand_offs":3,"may_cancel":true,"second_copies":true,"peers":true,"retry_after":true,
@@ -71,15 +71,15 @@
 	"categories":[{"name":"plan","semantics":"repeatable","due_time":2000000,"expiry":5000000,"credit":1.0},
 		{"name":"order","semantics":"once","due_time":2000000,"expiry":5000000,"credit":1.0}]}`
 
-// world is what a dispatcher lives among: discovery, workers and a sibling.
+// testEnv is the environment of a dispatcher under test: discovery, workers and a peer.
 type testEnv struct {
 	t               *testing.T
 	mu              sync.Mutex
 	seen            strings.Builder
-	lists           []string // what discovery has told, in order
+	lists           []string // the lists that discovery has published, in order
 	listChanged     chan struct{}
-	discoveryDown   bool // discovery is down
-	revisionNeeded  bool // it takes no watch without a revision
+	discoveryDown   bool // discovery accepts requests but doesn't answer
+	revisionNeeded  bool // discovery rejects a watch without a revision
 	watches         int
 	discoveryServer *http.Server
 	discoveryAddr   string
@@ -87,19 +87,19 @@
 	peer            *net.UDPConn
 	peerAddr        string
 	known           string
-	idleMicros      int // microseconds
+	idleMicros      int // conn_idle, in microseconds
 	sockets         int
-	swap            [2]string // text of the configuration, and what stands in its place
-	configPath      string    // the configuration
-	operatorPath    string    // the operator's file, if any
-	adminAddr       string    // where operators call, if anywhere
-	tempDir         string    // TMPDIR, if it is set
+	swap            [2]string // a text of the configuration and its replacement
+	configPath      string    // path of the configuration
+	operatorPath    string    // path of the operator's file; empty: none
+	adminAddr       string    // address for operators' requests; empty: none
+	tempDir         string    // TMPDIR; empty: not set
 	wrap            func(*exec.Cmd)
 	cmd             *exec.Cmd
 	output          output
 }
 
-// output is what the program logs.
+// output collects what the program logs.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -117,9 +117,9 @@
 	return o.text.String()
 }
 
-// sources reads what the program is built from. go test keeps results until a file changes that a test has
-// read, and the linker leaves the program out of the test's own binary: without this a changed program would
-// pass on the old one's result.
+// readSources reads the files that the program is built from. go test caches a result until a file that the
+// test has read changes, and the program is not linked into the test binary: without this, a changed program
+// would pass with the cached result of the old one.
 var readSources = sync.OnceValue(func() error {
 	for _, dir := range []string{".", "../../internal", "../../go.mod"} {
 		err := filepath.WalkDir(dir, func(path string, d os.DirEntry, err error) error {
@@ -141,7 +141,7 @@
 	e.discoveryAddr = l.Addr().String()
 	e.discoveryServer = &http.Server{Handler: http.HandlerFunc(e.serveDiscovery)}
 	go e.discoveryServer.Serve(l)
-	l = e.listenPort() // the dispatcher's, free again when it starts
+	l = e.listenPort() // the dispatcher's address, released until it starts
 	e.listen = l.Addr().String()
 	l.Close()
 	free := func() *net.UDPConn {
@@ -162,7 +162,7 @@
 			e.cmd.Wait()
 		}
 		if t.Failed() {
-			t.Logf("its log:\n%s", &e.output)
+			t.Logf("log of the program:\n%s", &e.output)
 		}
 	})
 	return e
@@ -175,8 +175,8 @@
 	}
 }
 
-// port listens on a port below those that the system hands out. The dispatcher's is closed before it starts: from the
-// system's own, any connection of another test could take it meanwhile.
+// listenPort listens on a port below the system's ephemeral range. The dispatcher's port is closed before it
+// starts; if it were an ephemeral port, a connection of another test could take it in between.
 func (e *testEnv) listenPort() net.Listener {
 	for {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", 20000+(os.Getpid()*64+int(ports.Add(1)))%12000))
@@ -195,17 +195,17 @@
 	fmt.Fprintf(&e.seen, format+"\n", a...)
 }
 
-// check compares what was seen.
+// checkSeen compares the recorded lines with the expected ones.
 func (e *testEnv) checkSeen(want string) {
 	e.t.Helper()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if diff := cmp.Diff(strings.TrimSpace(want), strings.TrimSpace(e.seen.String())); diff != "" {
-		e.t.Errorf("seen differs (-kept +now):\n%s", diff)
+		e.t.Errorf("recorded lines differ (-want +got):\n%s", diff)
 	}
 }
 
-// without forgets lines that begin so, whose order is no matter.
+// dropLines removes recorded lines with that prefix, whose order doesn't matter.
 func (e *testEnv) dropLines(start string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -214,7 +214,7 @@
 	e.seen.WriteString(strings.Join(lines, ""))
 }
 
-// await waits until a line was seen so many times.
+// awaitLine waits until a line was recorded so many times.
 func (e *testEnv) awaitLine(line string, times int) {
 	e.t.Helper()
 	e.until("line "+line, func() bool {
@@ -228,12 +228,12 @@
 	e.t.Helper()
 	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			e.t.Fatalf("%s did not come; seen:\n%s", what, e.seen.String())
+			e.t.Fatalf("timed out waiting for: %s; recorded so far:\n%s", what, e.seen.String())
 		}
 	}
 }
 
-// whole is what discovery has told so far, as one list.
+// fullList returns everything that discovery has published so far as one list.
 func (e *testEnv) fullList() string {
 	var revision int
 	var ids []string
@@ -272,7 +272,8 @@
 	return memberList(revision, true, lines...)
 }
 
-// discovery tells the whole list, or holds a watch open and writes what is told.
+// serveDiscovery answers a request with the full list, or keeps a watch open and writes each list that is
+// published.
 func (e *testEnv) serveDiscovery(out http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	silent, sent := e.discoveryDown, 0
@@ -325,7 +326,7 @@
 	}
 }
 
-// tell makes discovery tell; if the program runs, it has read it then.
+// publish makes discovery publish a list. If the program runs, publish waits until it has read the list.
 func (e *testEnv) publish(list string) {
 	e.t.Helper()
 	e.mu.Lock()
@@ -348,13 +349,14 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(lines, ","))
 }
 
-// job is a request as a worker got it.
+// job is a request that a worker received.
 type job struct {
 	id  string
 	out http.ResponseWriter
 }
 
-// worker serves jobs by the script and notes what comes; no script: it takes them.
+// startWorker starts a worker that records its requests and answers by the script; without a script it
+// accepts all jobs.
 func (e *testEnv) startWorker(name string, script func(j job)) string {
 	l := e.listenPort()
 	s := &http.Server{Handler: http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
@@ -376,13 +378,13 @@
 	return l.Addr().String()
 }
 
-// accept answers 202 at once, so that what follows comes after it.
+// accept sends 202 at once, so that whatever follows comes after it.
 func accept(j job) {
 	j.out.WriteHeader(http.StatusAccepted)
 	j.out.(http.Flusher).Flush()
 }
 
-// back calls back and tells the status that it got.
+// callback sends a callback to the program and returns the status of the answer.
 func (e *testEnv) callback(id, from, state, result string) int {
 	body, _ := json.Marshal(map[string]string{"id": id, "from": from, "state": state, "result": result})
 	r, err := http.Post("http://"+e.listen+"/callback", "application/json", bytes.NewReader(body))
@@ -394,7 +396,7 @@
 	return r.StatusCode
 }
 
-// finishing takes a job, starts it and is done.
+// finishingWorker starts a worker that accepts, starts and finishes each job.
 func (e *testEnv) finishingWorker(name string) string {
 	return e.startWorker(name, func(j job) {
 		accept(j)
@@ -403,7 +405,8 @@
 	})
 }
 
-// idling is a worker that is done at once, closes connections that idle, and notes when one comes and goes.
+// idleClosingWorker starts a worker that finishes each job at once, closes idle connections, and records when
+// a connection opens and closes.
 func (e *testEnv) idleClosingWorker(idle time.Duration) string {
 	l := e.listenPort()
 	s := &http.Server{Handler: http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
@@ -419,7 +422,8 @@
 	return l.Addr().String()
 }
 
-// config is the program's, with one text put in the place of another.
+// writeConfig writes the program's configuration, with one text replaced, and returns the environment for the
+// program.
 func (e *testEnv) writeConfig(old, new string) []string {
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"peer_listen":%q,"peers":[%q,%q],"peers_all":%q,
@@ -439,7 +443,7 @@
 	e.until("ready", func() bool { return e.status("/ready") == 200 })
 }
 
-// begin starts the program.
+// launch starts the program.
 func (e *testEnv) launch() {
 	e.t.Helper()
 	e.cmd = exec.Command(binary)
@@ -452,7 +456,7 @@
 	}
 	e.must(e.cmd.Start())
 	cmd := e.cmd
-	e.t.Cleanup(func() { // of those that another one has followed
+	e.t.Cleanup(func() { // for processes that were followed by another one
 		if cmd != e.cmd && cmd.ProcessState == nil {
 			cmd.Process.Kill()
 			cmd.Wait()
@@ -469,7 +473,7 @@
 	return r.StatusCode
 }
 
-// request is a job of a client.
+// request returns the text of a client's job.
 func request(id, path, headers string) string {
 	if !strings.Contains(headers, "X-Cost-Hint") {
 		headers += "X-Cost-Hint: 200000\r\n"
@@ -478,7 +482,7 @@
 		"X-Tenant: acme\r\nContent-Length: 4\r\n\r\nbody"
 }
 
-// client is one connection.
+// client is one client connection.
 type client struct {
 	net.Conn
 	in *bufio.Reader
@@ -518,7 +522,7 @@
 	return c.answer()
 }
 
-// TestBytes: what the client sent goes on byte for byte, on a connection that is kept.
+// TestRequestBytes checks that a client's requests are forwarded byte for byte, on a reused connection.
 func TestRequestBytes(t *testing.T) {
 	e := newTestEnv(t)
 	l := e.listenPort()
@@ -549,7 +553,7 @@
 	e.start()
 	c := e.dial()
 	for k, uri := range []string{"/plan/a%2Fb//../c%20d/?q=%zz&&x=+", "/order/./é?"} {
-		time.Sleep(50 * time.Millisecond) // a connection is used again once it has settled
+		time.Sleep(50 * time.Millisecond) // a connection is reused only after a moment
 		e.record("client: %s", c.ask("POST "+uri+" HTTP/1.1\r\nhost: x\r\nx-request-id: A.b-9_%41"+strings.Repeat("+", k)+"\r\nX-Tenant: acme\r\n"+
 			"x-deadline: 4.5\r\nX-Cost-Hint: 100000\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n\x00\xff\n\r\n0\r\n\r\n"))
 	}
@@ -559,7 +563,7 @@
 client: 200 ünï`, l.Addr()))
 }
 
-// TestOutcomes: what each end of a first hand-off leads to, for work that may run again and work that may not.
+// TestOutcomes checks what each outcome of a first hand-off leads to, for rerunnable and for exclusive work.
 func TestOutcomes(t *testing.T) {
 	var all strings.Builder
 	status := func(code int, notRun string) func(*testEnv, job) {
@@ -594,7 +598,7 @@
 			e := newTestEnv(t)
 			l := e.listenPort()
 			addr := l.Addr().String()
-			l.Close() // refuses
+			l.Close() // connections are refused
 			if x.script != nil {
 				addr = e.startWorker("first", func(j job) { x.script(e, j) })
 			}
@@ -613,7 +617,8 @@
 	kept.Check(t, "outcomes", all.String())
 }
 
-// TestCallbacks: they repeat, come before the 202, from the wrong worker or for nobody; each is answered.
+// TestCallbacks checks the answers to callbacks that are repeated, that come before the 202, from the wrong
+// worker, or for an unknown job.
 func TestCallbacks(t *testing.T) {
 	e := newTestEnv(t)
 	conn := make(chan *client, 1)
@@ -657,11 +662,12 @@
 client: 200 and the next`)
 }
 
-// TestGivenUp: a job whose client leaves or runs out of time is called off at its worker, before the 202 by
-// closing the connection; a worker that falls silent loses what may run again to another.
+// TestJobCancelled checks that a job whose client disconnects or whose deadline expires is cancelled at its
+// worker, before the 202 by closing the connection. Rerunnable work at a worker that stops answering moves to
+// another worker.
 func TestJobCancelled(t *testing.T) {
 	e := newTestEnv(t)
-	silent := e.listenPort() // takes connections and never reads
+	silent := e.listenPort() // accepts connections and never reads
 	defer silent.Close()
 	e.publish(memberList(1, true, memberEntry("w1", e.startWorker("w1", nil), "in_service")))
 	e.start()
@@ -701,8 +707,8 @@
 client: 200 from w2`)
 }
 
-// TestNoSecondCopy: where second copies are forbidden, a work item goes on only once the worker that held it
-// has answered that it dropped it.
+// TestNoSecondCopy checks that, where second copies are forbidden, a work item moves to another worker only
+// once the worker that had it has confirmed the cancellation.
 func TestNoSecondCopy(t *testing.T) {
 	e := newTestEnv(t)
 	e.swap = [2]string{`"second_copies":true`, `"second_copies":false`}
@@ -728,7 +734,8 @@
 	e.checkSeen("w1: a\nw1: dropped\nw2: a\nclient: 200 from w2")
 }
 
-// TestSiblings: a hand-off that lasts is told to the sibling, and what the sibling tells counts as load.
+// TestPeerMessages checks that a long hand-off is reported to the peer, and that what a peer reports counts
+// as load.
 func TestPeerMessages(t *testing.T) {
 	e := newTestEnv(t)
 	e.publish(memberList(1, true, memberEntry("w1", e.startWorker("w1", nil), "in_service")))
@@ -739,12 +746,12 @@
 	e.must(e.peer.SetDeadline(time.Now().Add(waitTimeout)))
 	n, from, err := e.peer.ReadFrom(told)
 	e.must(err)
-	e.awaitLine("w1: a", 1) // which may have come first
+	e.awaitLine("w1: a", 1) // may have arrived first
 	e.record("told from its own address: %v, at most 256 bytes: %v", from.String() == e.peerAddr, n <= 256)
 	e.callback("a", "w1", "started", "")
 	e.callback("a", "w1", "done", "")
 	e.record("client: %s", c.answer())
-	if _, err = e.peer.WriteTo(told[:n], from); err != nil { // the sibling has as much there
+	if _, err = e.peer.WriteTo(told[:n], from); err != nil { // the peer reports the same load
 		t.Fatal(err)
 	}
 	e.publish(memberList(2, false, memberEntry("w2", e.finishingWorker("w2"), "in_service")))
@@ -758,7 +765,7 @@
 	e.checkSeen(want)
 }
 
-// TestNoHint: work without any hint is not deferred while nothing is known of its size.
+// TestNoHint checks that work without a cost hint is not deferred while nothing is known about its size.
 func TestNoHint(t *testing.T) {
 	e := newTestEnv(t)
 	e.publish(memberList(1, true, memberEntry("w1", e.startWorker("w1", nil), "in_service")))
@@ -777,10 +784,11 @@
 	e.checkSeen("w1: a\nw2: b\nclient: 200 from w2\nclient: 200 a")
 }
 
-// TestBadInput: each is answered 4xx and changes nothing: the program goes on.
+// TestBadInput checks that each invalid request gets a 4xx answer and changes nothing, and that the program
+// goes on.
 func TestBadInput(t *testing.T) {
 	e := newTestEnv(t)
-	e.publish("garbage") // ends the watch; asked again
+	e.publish("garbage") // ends the watch; the program requests the list again
 	e.publish(memberList(1, true, `{"id":"no address"}`, `17`, memberEntry("", "127.0.0.1:1", "in_service"),
 		memberEntry("w0", "127.0.0.1:1", "asleep"), memberEntry("w1", e.finishingWorker("w1"), "in_service")))
 	e.start()
@@ -889,9 +897,9 @@
 good: 200 from w1`)
 }
 
-// TestDiscovery: drains are kept, a watch that breaks is opened again after what was read, and a complete
-// list drops what it lacks; the same where discovery tells nothing unasked, and where it takes no watch without a
-// revision, so that the list has to be asked for first.
+// TestDiscovery checks that drains are remembered, that a broken watch is reopened after the last revision
+// that was read, and that a complete list removes workers that it lacks. It also covers discovery without
+// watches, and discovery that rejects a watch without a revision, so that the list has to be requested first.
 func TestDiscovery(t *testing.T) {
 	for _, mode := range []string{"push", "ask", "older"} {
 		e := newTestEnv(t)
@@ -923,7 +931,8 @@
 	}
 }
 
-// TestStop: told to stop, it answers what it has taken, still takes work for a moment, and keeps nobody.
+// TestStop checks that after a signal to stop the program answers all accepted jobs, still accepts work for a
+// moment, and keeps no connection open.
 func TestStop(t *testing.T) {
 	e := newTestEnv(t)
 	e.publish(memberList(1, true, memberEntry("w1", e.startWorker("w1", nil), "in_service")))
@@ -967,8 +976,9 @@
 exit: <nil>`)
 }
 
-// TestReload: SIGHUP moves discovery, whatever the start was told and however the new one counts; a faulty file
-// changes nothing, work and connections stay, and it still stops when told.
+// TestReload checks that SIGHUP changes the discovery address, whatever address the start was given and
+// whatever revisions the new discovery counts. A faulty file changes nothing, jobs and connections are kept,
+// and the program still stops when told to.
 func TestReload(t *testing.T) {
 	e, other, silent := newTestEnv(t), newTestEnv(t), newTestEnv(t)
 	silent.discoveryDown = true
@@ -993,7 +1003,7 @@
 	e.callback("a", "w1", "started", "")
 	hup("{", "reload=refused")
 	e.must(os.WriteFile(e.operatorPath, []byte("[log]\nlevel = \"error\"\nlines_per_second = 0\n"), 0o600))
-	hup(configFor(other), "log.lines_per_second: 0 is below 1") // and info is logged as before
+	hup(configFor(other), "log.lines_per_second: 0 is below 1") // the log level is still info
 	e.must(os.WriteFile(e.operatorPath, nil, 0o600))
 	hup(strings.Replace(configFor(other), `"cores":1.0`, `"cores":0`, 1), "limits.cores")
 	hup(strings.Replace(configFor(other), `"cores":1.0`, `"cores":2`, 1), `until_restart=[Cores]`)
@@ -1019,7 +1029,8 @@
 	e.checkSeen("w1: a\n" + moved + "w2: mute\nclient: 200 from w2\nbusy: 200 a\nexit: <nil>")
 }
 
-// TestReloadSettings: SIGHUP changes what can change in flight, and says what waits for a restart.
+// TestReloadSettings checks that SIGHUP applies the settings that can change at run time, and that the log
+// names those that need a restart.
 func TestReloadSettings(t *testing.T) {
 	e := newTestEnv(t)
 	e.publish(memberList(50, true, memberEntry("w1", e.startWorker("w1", nil), "in_service")))
@@ -1048,13 +1059,14 @@
 	e.record("busy: %s", busy.answer())
 	e.must(e.cmd.Process.Signal(syscall.SIGTERM))
 	e.record("exit: %v", e.cmd.Wait())
-	e.dropLines("watch after ") // each reload asks discovery anew, at its own time
+	e.dropLines("watch after ") // each reload queries discovery again, at a time of its own
 	if !strings.HasSuffix(e.seen.String(), "busy: 200 a\nexit: <nil>\n") {
 		t.Error(e.seen.String())
 	}
 }
 
-// TestRestart: killed, it starts from nothing but the old list, also while discovery is silent.
+// TestRestart checks that after a kill the program starts with nothing but the list of its configuration,
+// even while discovery doesn't answer.
 func TestRestart(t *testing.T) {
 	e := newTestEnv(t)
 	e.known = memberList(3, true, memberEntry("w1", e.finishingWorker("w1"), "in_service"))
@@ -1079,8 +1091,8 @@
 late: 200`)
 }
 
-// TestFewDescriptors: clients that wait leave room for the callbacks that end their jobs, from the start and from the moment
-// at which the system's limit falls.
+// TestFewDescriptors checks that waiting clients leave descriptors for the callbacks that end their jobs,
+// with a low limit from the start and with a system limit that is lowered later.
 func TestFewDescriptors(t *testing.T) {
 	const few, many = 64, 40
 	for name, falls := range map[string]bool{"configured": false, "fallen": true} {
@@ -1103,7 +1115,7 @@
 				stop()
 			}
 			answers := make(chan string, many)
-			jobs := func() map[string]string { // that workers have, and who
+			jobs := func() map[string]string { // the jobs at workers, with the worker of each
 				e.mu.Lock()
 				defer e.mu.Unlock()
 				at := map[string]string{}
@@ -1114,7 +1126,7 @@
 				}
 				return at
 			}
-			for k := range many { // each waits, or has its answer, before the next one comes
+			for k := range many { // each job is at a worker or answered before the next one is sent
 				id, c := fmt.Sprint("job-", k), e.dial()
 				io.WriteString(c, request(id, "/plan/x", ""))
 				before := len(answers)
@@ -1123,7 +1135,7 @@
 			}
 			out := jobs()
 			if len(out) < few/8 {
-				t.Errorf("%d are taken", len(out))
+				t.Errorf("only %d jobs were accepted", len(out))
 			}
 			for id, from := range out {
 				if status := e.callback(id, from, "done", ""); status != 200 {
@@ -1140,7 +1152,8 @@
 	}
 }
 
-// TestLinks: connections to workers are closed well before the worker would, and a limit on sockets holds.
+// TestWorkerConnections checks that idle connections to workers are closed well before the worker would close
+// them, and that a limit on sockets holds.
 func TestWorkerConnections(t *testing.T) {
 	e := newTestEnv(t)
 	e.idleMicros, e.sockets = 400e3, 64
@@ -1149,13 +1162,13 @@
 	c := e.dial()
 	begun := time.Now()
 	for k := range 3 {
-		time.Sleep(30 * time.Millisecond) // a connection is used again once it has settled
+		time.Sleep(30 * time.Millisecond) // a connection is reused only after a moment
 		e.record("client: %s", c.ask(request(fmt.Sprint(k), "/order/x", "")))
 	}
 	last := time.Now()
 	e.awaitLine("closed", 1)
 	if open := time.Since(last); open > 350*time.Millisecond && last.Sub(begun) < 190*time.Millisecond {
-		t.Errorf("an idle connection was closed after %v only", open)
+		t.Errorf("an idle connection was closed only after %v", open)
 	}
 	e.record("client: %s", c.ask(request("3", "/order/x", "")))
 	e.checkSeen("new\nclient: 200\nclient: 200\nclient: 200\nclosed\nnew\nclient: 200")
@@ -1168,13 +1181,13 @@
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", e.cmd.Process.Pid))
 	e.must(err)
 	if len(fds) > e.sockets {
-		t.Errorf("%d descriptors of %d", len(fds), e.sockets)
+		t.Errorf("%d descriptors in use, limit %d", len(fds), e.sockets)
 	}
 }
 
-// TestFlood: among hundreds of connections that say nothing, half of a head, a byte now and then, or far too much,
-// usual clients keep their connections and are served, callbacks and /ready get through; each of the others has an
-// error or a close within 3 s of its connecting, and nothing stays behind.
+// TestFlood opens hundreds of connections that send nothing, half a header, a byte now and then, or far too
+// much. Usual clients must keep their connections and be served, and callbacks and /ready must be answered.
+// Each of the others must get an error or be closed within 3 s of connecting, and nothing may be left over.
 func TestFlood(t *testing.T) {
 	e := newTestEnv(t)
 	e.sockets = 256
@@ -1198,7 +1211,7 @@
 		})
 	}
 	half := request("half", "/order/x", "X-Deadline: 4\r\n")
-	for k := range 4 { // jobs that come over more than 2 s, from before the flood to after it
+	for k := range 4 { // jobs that are sent over more than 2 s, from before the flood until after it
 		c, text := e.dial(), request(fmt.Sprint("slow", k), "/order/x", "")
 		all.Go(func() {
 			for n := 0; n < len(text); n += len(text)/12 + 1 {
@@ -1218,7 +1231,7 @@
 		misbehave("half a body", func(c *client) { io.WriteString(c, half[:len(half)-2]) })
 	}
 	for range 200 {
-		go e.dial().ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n") // and stays
+		go e.dial().ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n") // and stays connected
 	}
 	e.record("ready: %d", e.status("/ready"))
 	for range 10 {
@@ -1240,7 +1253,7 @@
 	e.record("usual: %s", usual.ask(request("b", "/order/x", "")))
 	e.record("another: %s", e.dial().ask(request("c", "/order/x", "")))
 	all.Wait()
-	time.Sleep(time.Until(begun.Add(2500 * time.Millisecond))) // longer than a begun request may take
+	time.Sleep(time.Until(begun.Add(2500 * time.Millisecond))) // longer than the time allowed for one request
 	e.record("usual: %s", usual.ask(request("d", "/order/x", "")))
 	e.record("ended: %v", ended)
 	e.dropLines("w1: slow")
@@ -1260,12 +1273,13 @@
 	_, after, _ := strings.Cut(string(text), "VmHWM:")
 	fmt.Sscan(after, &peak)
 	if peak > 32<<10 && !raceEnabled() {
-		t.Errorf("%d KB of memory", peak)
+		t.Errorf("peak memory %d KB", peak)
 	}
 }
 
-// TestStale: a connection that the worker has closed meanwhile is not used again, else exclusive work would be
-// written off, as it may have run; and it teaches how long others may idle.
+// TestStaleConnection checks that a connection that the worker has closed is not used again: exclusive work
+// would be written off, as it may have run. The program must also learn from it how long other connections
+// may stay idle.
 func TestStaleConnection(t *testing.T) {
 	e := newTestEnv(t)
 	e.publish(memberList(1, true, memberEntry("w1", e.idleClosingWorker(20*time.Millisecond), "in_service")))
@@ -1277,12 +1291,13 @@
 	}
 	e.checkSeen(strings.Repeat("new\nclient: 200\nclosed\n", 3))
 	if !strings.Contains(e.output.String(), " idle=") {
-		t.Error("it did not learn how long the worker lets connections idle")
+		t.Error("the program did not learn the worker's idle timeout")
 	}
 }
 
-// TestForgotten: a connection that was idle breaks under its next request, though nothing showed and the settings
-// promise it for long; from then on none is used that was idle for half as long.
+// TestBrokenIdleConnection covers an idle connection that breaks at its next request, though nothing
+// indicated it and the settings allow a longer idle time. Afterwards no connection that was idle for half as
+// long may be used.
 func TestBrokenIdleConnection(t *testing.T) {
 	e := newTestEnv(t)
 	forgetful := func(name string) string {
@@ -1320,11 +1335,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if seen := e.seen.String(); strings.Count(seen, "broke\n") != 1 || strings.Count(seen, "200\n") != 10 {
-		t.Errorf("wanted one break and ten answers:\n%s", seen)
+		t.Errorf("want one broken connection and ten answers:\n%s", seen)
 	}
 }
 
-// TestDied: connections that ended with their worker teach nothing of how long others may idle.
+// TestWorkerDied checks that connections that ended with their worker don't change how long others may stay
+// idle.
 func TestWorkerDied(t *testing.T) {
 	e := newTestEnv(t)
 	l := e.listenPort()
@@ -1341,11 +1357,11 @@
 	e.record("client: %s", c.ask(request("b", "/plan/x", "")))
 	e.checkSeen("client: 200\nclient: 503 Retry-After")
 	if log := e.output.String(); strings.Contains(log, " idle=") || !strings.Contains(log, "refused") {
-		t.Error("it learned from a worker that died")
+		t.Error("the program learned an idle timeout from a worker that died")
 	}
 }
 
-// TestBadConfig: the start ends, and names the key.
+// TestBadConfig checks that the program doesn't start with a faulty configuration and names the key at fault.
 func TestBadConfig(t *testing.T) {
 	var all strings.Builder
 	for _, c := range []struct{ name, old, new string }{
--- a/cmd/weldmast/migrate_test.go
+++ b/cmd/weldmast/migrate_test.go
@@ -70,11 +70,11 @@
 	}
 	after := readFolder(t, dir)
 	if !strings.HasSuffix(dry, after["new.json"]) || len(after["new.json"]) < 100 {
-		t.Errorf("the dry run shows otherwise:\n%s\nwritten:\n%s", dry, after["new.json"])
+		t.Errorf("the dry run printed another text:\n%s\nwritten:\n%s", dry, after["new.json"])
 	}
 	delete(after, "new.json")
 	if diff := cmp.Diff(before, after); diff != "" {
-		t.Errorf("beside the new file:\n%s", diff)
+		t.Errorf("other files changed:\n%s", diff)
 	}
 
 	t.Setenv("ROUTER_CONFIG", to)
@@ -169,12 +169,12 @@
 
 	code, text := runMigrate(e.configPath, "--to", to)
 	if code != 0 || !strings.Contains(text, "to be filled in: 3") || !strings.Contains(text, "settings.weights is missing") {
-		t.Errorf("nothing told: exit %d\n%s", code, text)
+		t.Errorf("without values for the missing keys: exit %d\n%s", code, text)
 	}
 	cmd := exec.Command(binary)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+to)
 	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), "settings.weights is missing") {
-		t.Errorf("started with open keys: %v\n%s", err, out)
+		t.Errorf("started with missing keys: %v\n%s", err, out)
 	}
 	if os.Getuid() != 0 { // root may write to any folder
 		e.must(os.Chmod(dir, 0o500))
--- a/cmd/weldmast/takeover_test.go
+++ b/cmd/weldmast/takeover_test.go
@@ -127,13 +127,13 @@
 		e.awaitLog("handed over", k+1)
 		time.Sleep(50 * time.Millisecond)
 		if got := waiting[3].ask(half[40:]); !strings.HasPrefix(got, "200") {
-			t.Errorf("half said: %s", got)
+			t.Errorf("client with half a request: %s", got)
 		}
 		for n, c := range waiting[:3] {
 			serveOne(c, fmt.Sprintf("waited-%d-%d", k, n))
 		}
 		if err := older.Wait(); err != nil {
-			t.Errorf("older: %v", err)
+			t.Errorf("exit of the older process: %v", err)
 		}
 		for _, c := range waiting {
 			c.Close()
@@ -143,7 +143,7 @@
 	close(done)
 	clients.Wait()
 	if n := broken.Load(); n > 0 || served.Load() < 100 {
-		t.Errorf("%d broken, %d served", n, served.Load())
+		t.Errorf("%d failed, %d served", n, served.Load())
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -156,7 +156,7 @@
 		t.Error(e.seen.String())
 	}
 	if entries, err := os.ReadDir(e.tempDir); err != nil || len(entries) != 1 {
-		t.Errorf("left in the folder: %v %v", entries, err)
+		t.Errorf("files in the folder: %v %v, want one", entries, err)
 	}
 }
 
@@ -255,7 +255,7 @@
 	awaitExit := func(e *testEnv, p *exec.Cmd) {
 		e.t.Helper()
 		if err := p.Wait(); err != nil {
-			e.t.Errorf("the older ended: %v", err)
+			e.t.Errorf("exit of the older process: %v", err)
 		}
 	}
 	t.Run("newer dies early", func(t *testing.T) {
@@ -306,7 +306,7 @@
 		newer := e.cmd
 		e.launch()
 		if err := e.cmd.Wait(); err == nil || !strings.Contains(e.output.String(), "another process is taking over") {
-			t.Errorf("the second one: %v", err)
+			t.Errorf("exit of the second successor: %v", err)
 		}
 		e.cmd = newer
 		terminate(e, older)
@@ -434,7 +434,7 @@
 	io.WriteString(clients["next"], "G") // the first byte of the next request
 	// the race detector waits one second at the exit
 	if err := older.Wait(); err != nil || time.Since(begun) > 3700*time.Millisecond && !raceEnabled() {
-		t.Errorf("the older one ended after %s: %v", time.Since(begun), err)
+		t.Errorf("the older process ended after %s: %v", time.Since(begun), err)
 	}
 	e.awaitLog("job handed over", 3)
 	clients["leaves"].Close()
@@ -448,10 +448,10 @@
 		}
 	}
 	if got := clients["next"].ask("ET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); got != "200 serving" {
-		t.Errorf("the connection: %s", got)
+		t.Errorf("next request on the transferred connection: %s", got)
 	}
 	if _, body := e.control("counters"); !strings.Contains(body, "ok.order:2|c") || !strings.Contains(body, "active:0|g") {
-		t.Errorf("figures:\n%s", body)
+		t.Errorf("counters:\n%s", body)
 	}
 }
 
@@ -477,7 +477,7 @@
 	flood()
 	time.Sleep(100 * time.Millisecond) // by then the excess connections are closed
 	if a, b := used(older), used(e.cmd); a > 128 || a < 64 || b > 128 {
-		t.Errorf("%d and %d descriptors of 256", a, b)
+		t.Errorf("two processes use %d and %d descriptors, limit 128 each", a, b)
 	}
 	e.must(e.cmd.Process.Kill())
 	e.cmd.Wait()
@@ -485,7 +485,7 @@
 	flood()
 	time.Sleep(100 * time.Millisecond)
 	if n := used(older); n <= 128 || n > 256 {
-		t.Errorf("%d descriptors of 256 once it is alone", n)
+		t.Errorf("the remaining process uses %d descriptors, want 129 to 256", n)
 	}
 	e.cmd = older
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -69,7 +69,7 @@
 // writeError answers an invalid request. It first reads the rest of a header that is too long: closing the
 // connection with unread data would reset it, and the answer would be lost.
 func writeError(ctx *fasthttp.RequestCtx, err error) {
-	status := platform.UnreadStatus(err)
+	status := transport.ErrorStatus(err)
 	if status == fasthttp.StatusRequestHeaderFieldsTooLarge {
 		ctx.Conn().SetReadDeadline(time.Now().Add(callTimeout / 20))
 		io.CopyN(io.Discard, ctx.Conn(), 16*maxHeader)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,7 +33,7 @@
 	Known      json.RawMessage
 	Settings   dispatch.Settings
 	Names      settings.Names
-	Links      settings.Links
+	Links      settings.ConnectionSettings
 	Unserved   []string // settings for which the protocol on sockets has no message
 	Cores      int      // number of CPUs to use at once
 	MemoryMB   int
@@ -239,19 +239,19 @@
 	}
 	c.Unserved = settings.Unsupported(values)
 	l := &c.Links
-	if l.Idle <= 0 {
-		l.Idle = defaultIdle
+	if l.IdleTimeout <= 0 {
+		l.IdleTimeout = defaultIdle
 	}
-	if l.Connect <= 0 {
-		l.Connect = defaultConnect
+	if l.ConnectTimeout <= 0 {
+		l.ConnectTimeout = defaultConnect
 	}
 	if maxOpen := c.Sockets / 2; l.MaxOpen <= 0 || l.MaxOpen > maxOpen { // a waiting client uses a socket
 		l.MaxOpen = maxOpen
 	}
 	if s := &c.Settings; len(c.Peers) == 0 || !c.PeerListen.IsValid() {
-		s.MayTell = false // there is no address to send to
-	} else if len(c.Peers) != s.Siblings {
-		return c, fmt.Errorf("peers: %d addresses for %d siblings", len(c.Peers), s.Siblings)
+		s.MayNotifyPeers = false // there is no address to send to
+	} else if len(c.Peers) != s.Dispatchers {
+		return c, fmt.Errorf("peers: %d addresses for %d siblings", len(c.Peers), s.Dispatchers)
 	}
 	return c, nil
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -45,8 +45,8 @@
 	IsVoter      bool // whether the file lists this member as a voter
 	Voters       []fleet.Voter
 	Folder       string
-	WhenIsolated fleet.Alone
-	Timing       fleet.Figures
+	WhenIsolated fleet.IsolationPolicy
+	Timing       fleet.Timing
 	// from a published address to the one that this process uses; all others are used as published
 	AddressMap map[string]string
 }
@@ -179,11 +179,11 @@
 		return c, nil, err
 	}
 	if len(patch["settings"]) > 0 {
-		values, err := settings.Nested(patch["settings"])
+		values, err := settings.ParseJSON(patch["settings"])
 		if err != nil {
 			return c, nil, fmt.Errorf("settings: %w", err)
 		}
-		for _, key := range settings.Unread(values) {
+		for _, key := range settings.UnknownKeys(values) {
 			return c, nil, fmt.Errorf("settings.%s is not known to this program", key)
 		}
 	}
@@ -194,8 +194,8 @@
 // needsRestart names the settings that differ from those of the running program and take effect only after a
 // restart.
 func (c Config) needsRestart(running Config) []string {
-	_, keys := settings.InFlight(running.Settings, c.Settings, running.Names.Same(c.Names))
-	if c.Links.Idle != running.Links.Idle || c.Links.Connect != running.Links.Connect {
+	_, keys := settings.MergeReloadable(running.Settings, c.Settings, running.Names.Equal(c.Names))
+	if c.Links.IdleTimeout != running.Links.IdleTimeout || c.Links.ConnectTimeout != running.Links.ConnectTimeout {
 		keys = append(keys, "allowed.conn_idle", "allowed.connect_timeout")
 	}
 	for k := range keys {
--- a/internal/program/fleet_commands.go
+++ b/internal/program/fleet_commands.go
@@ -113,10 +113,10 @@
 }
 
 // query asks the members in turn until one answers and can reach the leader of the voters.
-func (x *fleetClient) query(q fleetlink.Ask) (a fleetlink.Answer, err error) {
+func (x *fleetClient) query(q fleetrpc.AdminRequest) (a fleetrpc.AdminReply, err error) {
 	err = errNoAnswer
 	for _, addr := range x.addrs {
-		got, e := x.client.Ask(addr, q, queryTimeout)
+		got, e := x.client.Admin(addr, q, queryTimeout)
 		if e != nil {
 			err = e
 			continue
@@ -129,20 +129,20 @@
 }
 
 // submit adds a command to the fleet's history.
-func (x *fleetClient) submit(c fleet.Command) (fleetlink.Answer, error) {
-	c.Request, c.At = x.Request, float64(time.Now().UnixMicro())/1000
-	c.By = "unknown"
+func (x *fleetClient) submit(c fleet.Command) (fleetrpc.AdminReply, error) {
+	c.RequestID, c.IssuedAt = x.Request, float64(time.Now().UnixMicro())/1000
+	c.RequestedBy = "unknown"
 	if u, err := user.Current(); err == nil {
 		c.RequestedBy = u.Username
 	}
-	a, err := x.query(fleetlink.Ask{Command: c})
+	a, err := x.query(fleetrpc.AdminRequest{Command: c})
 	switch {
 	case err != nil:
 		return a, fmt.Errorf("%w; it is not known whether the command was accepted: repeating it with --request %s carries it out once", err, x.Request)
 	case a.NoLeader:
 		return a, fmt.Errorf("no leader of the voters can be reached; it is not known whether the command was accepted: repeating it with --request %s carries it out once", x.Request)
-	case a.Fault != "":
-		return a, fmt.Errorf("%s", a.Fault)
+	case a.Error != "":
+		return a, fmt.Errorf("%s", a.Error)
 	}
 	return a, nil
 }
@@ -166,7 +166,7 @@
 var errUsage = fmt.Errorf("unknown command")
 
 func (c *fleetCommand) execute(out io.Writer) error {
-	memberCommand := func(kind fleet.Kind, n *fleetMemberCommand) error {
+	memberCommand := func(kind fleet.CommandKind, n *fleetMemberCommand) error {
 		x, err := n.newClient()
 		if err != nil {
 			return err
@@ -175,7 +175,7 @@
 		if err != nil {
 			return err
 		}
-		return x.print(out, a.Result, fmt.Sprintf("%s: %s, entry %d\n", n.Member, kind, a.Result.Entry))
+		return x.print(out, a.Result, fmt.Sprintf("%s: %s, entry %d\n", n.Member, kind, a.Result.EntrySeq))
 	}
 	switch {
 	case c.Status != nil:
@@ -185,11 +185,11 @@
 	case c.Publish != nil:
 		return c.Publish.execute(out)
 	case c.ShutOut != nil:
-		return memberCommand(fleet.ShutOut, c.ShutOut)
+		return memberCommand(fleet.ExcludeMember, c.ShutOut)
 	case c.Admit != nil:
-		return memberCommand(fleet.Admitted, c.Admit)
+		return memberCommand(fleet.AdmitMember, c.Admit)
 	case c.Remove != nil:
-		return memberCommand(fleet.Removed, c.Remove)
+		return memberCommand(fleet.RemoveMember, c.Remove)
 	case c.Voters != nil:
 		return c.Voters.execute(out)
 	}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return err
 	}
-	a, err := x.query(fleetlink.Ask{})
+	a, err := x.query(fleetrpc.AdminRequest{})
 	if err != nil {
 		return err
 	}
@@ -220,7 +220,7 @@
 	if a.Status == nil {
 		fmt.Fprintln(&b, "no leader can be reached; this is what the member itself knows")
 		if l := a.Local; l != nil {
-			fmt.Fprintf(&b, "%s: version %d in force, %d is the newest it knows; lease %s; takes work: %v; voter: %s\n", l.Member, l.InForce, l.Newest, formatInterval(l.Lease), l.Open, cmp.Or(l.Voter, "none"))
+			fmt.Fprintf(&b, "%s: version %d in force, %d is the newest it knows; lease %s; takes work: %v; voter: %s\n", l.Member, l.ActiveVersion, l.NewestVersion, formatInterval(l.LeaseRemaining), l.AcceptsWork, cmp.Or(l.VoterState, "none"))
 		}
 		if err := x.print(out, a.Local, b.String()); err != nil {
 			return err
@@ -230,20 +230,20 @@
 	st := a.Status
 	fmt.Fprintf(&b, "fleet %s: %d entries, digest %s, newest version %d, led by %s\n", st.Fleet, st.LastSeq, st.Digest, st.NewestVersion, st.Leader)
 	switch {
-	case st.Fenced > 0 && st.Fence > 0:
-		fmt.Fprintf(&b, "fence %d: complete since %s; nobody acts on an older version\n", st.Fenced, formatTime(st.Fence))
-	case st.Fenced > 0:
-		fmt.Fprintf(&b, "fence %d: not complete\n", st.Fenced)
-		for _, w := range st.Waits {
-			fmt.Fprintf(&b, "  waits for %s: %s%s\n", w.Member, w.Why, formatRemaining(w.Until))
+	case st.FencedVersion > 0 && st.FenceCompleteAt > 0:
+		fmt.Fprintf(&b, "fence %d: complete since %s; nobody acts on an older version\n", st.FencedVersion, formatTime(st.FenceCompleteAt))
+	case st.FencedVersion > 0:
+		fmt.Fprintf(&b, "fence %d: not complete\n", st.FencedVersion)
+		for _, w := range st.FenceWaits {
+			fmt.Fprintf(&b, "  waits for %s: %s%s\n", w.Member, w.Reason, formatRemaining(w.Remaining))
 		}
 	}
 	for _, v := range st.Voters {
-		fmt.Fprintf(&b, "voter %s: last contact %s\n", v.Name, formatAgo(v.Heard))
+		fmt.Fprintf(&b, "voter %s: last contact %s\n", v.Name, formatAgo(v.SinceContact))
 	}
 	for _, m := range st.Members {
-		fmt.Fprintf(&b, "%-12s %-10s version %-4d lease %-8s last contact %-16s %s\n", m.Member, m.Standing, m.InForce, formatInterval(m.Lease), formatAgo(m.Heard), m.Cause)
-		for _, more := range []string{withPrefix("waits for a restart: ", m.Waits), withPrefix("voter: ", m.Voter)} {
+		fmt.Fprintf(&b, "%-12s %-10s version %-4d lease %-8s last contact %-16s %s\n", m.Member, m.State, m.ActiveVersion, formatInterval(m.LeaseRemaining), formatAgo(m.SinceContact), m.Cause)
+		for _, more := range []string{withPrefix("waits for a restart: ", m.PendingRestart), withPrefix("voter: ", m.VoterState)} {
 			if more != "" {
 				fmt.Fprintf(&b, "%-12s %s\n", "", more)
 			}
@@ -315,22 +315,22 @@
 		switch {
 		case v.Version == 0:
 			fmt.Fprintln(&b, "version 0: each member's own files")
-		case v.Complete > 0:
-			fmt.Fprintf(&b, "version %d %s: published %s by %s; fence complete %s\n", v.Version, v.Sum, formatTime(v.Published), v.By, formatTime(v.Complete))
+		case v.FenceCompleteAt > 0:
+			fmt.Fprintf(&b, "version %d %s: published %s by %s; fence complete %s\n", v.Version, v.TextDigest, formatTime(v.PublishedAt), v.PublishedBy, formatTime(v.FenceCompleteAt))
 		default:
-			fmt.Fprintf(&b, "version %d %s: published %s by %s%s\n", v.Version, v.Sum, formatTime(v.Published), v.By, map[bool]string{true: "; fence not complete"}[v.Fence])
+			fmt.Fprintf(&b, "version %d %s: published %s by %s%s\n", v.Version, v.TextDigest, formatTime(v.PublishedAt), v.PublishedBy, map[bool]string{true: "; fence not complete"}[v.Fence])
 		}
-		for _, w := range v.Waits {
-			fmt.Fprintf(&b, "  waits for %s: %s%s\n", w.Member, w.Why, formatRemaining(w.Until))
+		for _, w := range v.FenceWaits {
+			fmt.Fprintf(&b, "  waits for %s: %s%s\n", w.Member, w.Reason, formatRemaining(w.Remaining))
 		}
-		if v.LastOlder > 0 {
-			fmt.Fprintf(&b, "  last act on an older one: %s by %s, as far as is known\n", formatTime(v.LastOlder), v.OlderBy)
+		if v.LastOlderAction > 0 {
+			fmt.Fprintf(&b, "  last act on an older one: %s by %s, as far as is known\n", formatTime(v.LastOlderAction), v.LastOlderMember)
 		}
 		for _, l := range v.Lines {
-			fmt.Fprintf(&b, "  %-12s run %.8s in force %s", l.Member, l.Run, formatTime(l.Acts.Since))
-			for k, t := range l.Acts.Kinds {
+			fmt.Fprintf(&b, "  %-12s run %.8s in force %s", l.Member, l.RunID, formatTime(l.Actions.ActiveSince))
+			for k, t := range l.Actions.Counts {
 				if t.Count > 0 {
-					fmt.Fprintf(&b, "; %s %d, %s to %s", fleet.Act(k), t.Count, formatTime(t.First), formatTime(t.Last))
+					fmt.Fprintf(&b, "; %s %d, %s to %s", fleet.Action(k), t.Count, formatTime(t.First), formatTime(t.Last))
 				}
 			}
 			fmt.Fprintf(&b, " (%s)\n", l.Evidence)
@@ -338,10 +338,10 @@
 	}
 	for _, g := range a.Audit.Gaps {
 		to := "now"
-		if g.Span.To > 0 {
-			to = formatTime(g.Span.To)
+		if g.Interval.To > 0 {
+			to = formatTime(g.Interval.To)
 		}
-		fmt.Fprintf(&b, "unknown: %s from %s to %s\n", g.Member, formatTime(g.Span.From), to)
+		fmt.Fprintf(&b, "unknown: %s from %s to %s\n", g.Member, formatTime(g.Interval.From), to)
 	}
 	for _, m := range a.Audit.Members {
 		if m.State != fleet.MemberCurrent {
@@ -368,32 +368,32 @@
 	if err != nil {
 		return err
 	}
-	message := fmt.Sprintf("version %d, entry %d%s\n", a.Result.Version, a.Result.Entry, map[bool]string{true: ", as before"}[a.Result.Again])
+	message := fmt.Sprintf("version %d, entry %d%s\n", a.Result.Version, a.Result.EntrySeq, map[bool]string{true: ", as before"}[a.Result.Duplicate])
 	if !s.Wait {
 		return x.print(out, a.Result, message)
 	}
 	waitsFor := ""
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(waitInterval) {
-		st, err := x.query(fleetlink.Ask{})
+		st, err := x.query(fleetrpc.AdminRequest{})
 		if err != nil || st.Status == nil {
 			waitsFor = "no leader of the voters can be reached"
 			continue
 		}
 		var pending []string
 		if s.Fence {
-			for _, w := range st.Status.Waits {
-				pending = append(pending, w.Member+" ("+w.Why+")")
+			for _, w := range st.Status.FenceWaits {
+				pending = append(pending, w.Member+" ("+w.Reason+")")
 			}
 		} else {
 			for _, m := range st.Status.Members {
-				if m.InForce < a.Result.Version && slices.Contains([]fleet.Standing{fleet.Current, fleet.Behind, fleet.Straggler}, m.Standing) {
-					pending = append(pending, m.Member+" ("+string(m.Standing)+": "+m.Cause+")")
+				if m.ActiveVersion < a.Result.Version && slices.Contains([]fleet.MemberState{fleet.MemberCurrent, fleet.MemberBehind, fleet.MemberStraggler}, m.State) {
+					pending = append(pending, m.Member+" ("+string(m.State)+": "+m.Cause+")")
 				}
 			}
 		}
-		if waitsFor = strings.Join(pending, ", "); waitsFor == "" && (!s.Fence || st.Status.Fence > 0) {
+		if waitsFor = strings.Join(pending, ", "); waitsFor == "" && (!s.Fence || st.Status.FenceCompleteAt > 0) {
 			if s.Fence {
-				message += fmt.Sprintf("fence complete since %s\n", formatTime(st.Status.Fence))
+				message += fmt.Sprintf("fence complete since %s\n", formatTime(st.Status.FenceCompleteAt))
 			} else {
 				message += "in force at all members that are in contact\n"
 			}
@@ -409,13 +409,13 @@
 		return err
 	}
 	if s.Replace != "" {
-		a, err := x.submit(fleet.Command{Kind: fleet.Seated, Member: s.Replace})
+		a, err := x.submit(fleet.Command{Kind: fleet.AddVoter, Member: s.Replace})
 		if err != nil {
 			return err
 		}
-		return x.print(out, a.Result, fmt.Sprintf("%s: voter replaced, entry %d\n", s.Replace, a.Result.Entry))
+		return x.print(out, a.Result, fmt.Sprintf("%s: voter replaced, entry %d\n", s.Replace, a.Result.EntrySeq))
 	}
-	a, err := x.query(fleetlink.Ask{})
+	a, err := x.query(fleetrpc.AdminRequest{})
 	if err != nil {
 		return err
 	}
@@ -424,7 +424,7 @@
 	}
 	var b bytes.Buffer
 	for _, v := range a.Status.Voters {
-		fmt.Fprintf(&b, "%s: last contact %s\n", v.Name, formatAgo(v.Heard))
+		fmt.Fprintf(&b, "%s: last contact %s\n", v.Name, formatAgo(v.SinceContact))
 	}
 	return x.print(out, a.Status.Voters, b.String())
 }
--- a/internal/program/fleet_member.go
+++ b/internal/program/fleet_member.go
@@ -56,7 +56,7 @@
 	defer f.mu.Unlock()
 	updated := f.own
 	updated.Text, updated.Mark, updated.Discovery, updated.Known = next.Text, next.Mark, next.Discovery, next.Known
-	s, _ := settings.InFlight(updated.Settings, next.Settings, updated.Names.Same(next.Names))
+	s, _ := settings.MergeReloadable(updated.Settings, next.Settings, updated.Names.Equal(next.Names))
 	changed := !reflect.DeepEqual(s, updated.Settings) || updated.Links.MaxOpen != next.Links.MaxOpen || updated.Mark != f.own.Mark
 	updated.Settings, updated.Links.MaxOpen = s, next.Links.MaxOpen
 	f.own = updated
@@ -70,9 +70,9 @@
 		return
 	}
 	if changed {
-		f.node.Queue(node.Changed{Settings: updated.Settings, MaxOpen: f.limitClients(updated.Links.MaxOpen), Mark: updated.Mark})
+		f.node.Enqueue(node.ConfigChanged{Settings: updated.Settings, MaxOpen: f.limitClients(updated.Links.MaxOpen), Mark: updated.Mark})
 	}
-	f.node.Queue(node.Moved{Discovery: updated.Discovery.String()}) // an unchanged address is queried again as well
+	f.node.Enqueue(node.DiscoveryMoved{Discovery: updated.Discovery.String()}) // an unchanged address is queried again as well
 }
 
 // applyVersion brings a version of the fleet into force.
@@ -101,13 +101,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s, _ := settings.InFlight(f.own.Settings, c.Settings, f.own.Names.Same(c.Names))
-	change := node.Changed{Version: version.Number, Settings: s, MaxOpen: f.limitClients(c.Links.MaxOpen), Mark: c.Mark, Discovery: c.Discovery.String()}
+	s, _ := settings.MergeReloadable(f.own.Settings, c.Settings, f.own.Names.Equal(c.Names))
+	change := node.ConfigChanged{Version: version.Number, Settings: s, MaxOpen: f.limitClients(c.Links.MaxOpen), Mark: c.Mark, Discovery: c.Discovery.String()}
 	if applied != nil {
 		// in a goroutine, as the event loop must not block
-		change.Applied = func() { go applied(strings.Join(needsRestart, ", ")) }
+		change.OnApplied = func() { go applied(strings.Join(needsRestart, ", ")) }
 	}
-	f.node.Queue(change)
+	f.node.Enqueue(change)
 	return needsRestart, nil
 }
 
@@ -116,8 +116,8 @@
 	membership config.Membership
 	ownConfig  config.Config
 	active     *activeConfig
-	clock      member.Clock
-	gate       *member.Gate
+	clock      fleetagent.Clock
+	gate       *fleetagent.LeaseGuard
 	runID      string
 	seed       uint64
 	startVoter StartVoter
@@ -126,9 +126,9 @@
 
 	addressBound atomic.Bool // whether this process listens at the member's address
 	mu           sync.Mutex
-	voter        fleetlink.Council
-	member       *member.Member
-	server       *fleetlink.Server
+	voter        fleetrpc.VoterService
+	member       *fleetagent.Agent
+	server       *fleetrpc.Server
 }
 
 // joinFleet prepares the membership; start starts it.
@@ -148,16 +148,16 @@
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	p := &fleetMember{membership: m, ownConfig: own, active: active, clock: member.NewClock(), runID: hex.EncodeToString(random[:8]), startVoter: startVoter, stop: make(chan struct{}),
+	p := &fleetMember{membership: m, ownConfig: own, active: active, clock: fleetagent.NewClock(), runID: hex.EncodeToString(random[:8]), startVoter: startVoter, stop: make(chan struct{}),
 		seed: binary.BigEndian.Uint64(random[8:])}
-	p.gate = member.NewGate(p.clock, p.runID)
+	p.gate = fleetagent.NewLeaseGuard(p.clock, p.runID)
 	return p, nil
 }
 
 // maxDescriptors is how many file descriptors the fleet's components may use, out of the process's limit.
 func (p *fleetMember) maxDescriptors() int {
 	if p.membership.IsVoter {
-		return max(fleetlink.Descriptors, p.ownConfig.Sockets/2)
+		return max(fleetrpc.ReservedDescriptors, p.ownConfig.Sockets/2)
 	}
 	return fleetrpc.ReservedDescriptors
 }
@@ -199,7 +199,7 @@
 func (p *fleetMember) serve(l net.Listener) {
 	p.addressBound.Store(true)
 	addr := l.Addr().String()
-	var voter fleetlink.Council
+	var voter fleetrpc.VoterService
 	if p.membership.IsVoter {
 		var err error
 		if voter, err = p.startVoter(VoterOptions{Membership: p.membership, Address: addr, Run: p.runID, Seed: p.seed, Clock: p.clock}); err != nil {
@@ -215,20 +215,20 @@
 	case <-p.stop:
 		l.Close()
 	default:
-		p.server = fleetlink.Serve(l, p.membership.Fleet, p.maxDescriptors(), voter, p.member)
+		p.server = fleetrpc.Serve(l, p.membership.Fleet, p.maxDescriptors(), voter, p.member)
 	}
 }
 
 // startMember starts following the fleet. If it already does, it only sets the voter.
-func (p *fleetMember) startMember(addr string, voter fleetlink.Council) {
+func (p *fleetMember) startMember(addr string, voter fleetrpc.VoterService) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.member != nil {
-		p.member.Vote(voter)
+		p.member.SetVoter(voter)
 		return
 	}
-	p.member = member.Start(member.Options{Fleet: p.membership.Fleet, Name: p.membership.Name, Address: addr, Alone: p.membership.WhenIsolated, Voters: p.membership.Voters, Via: p.membership.AddressMap, Folder: p.membership.Folder,
-		Figures: p.membership.Timing, Program: release, Run: p.runID, Seed: p.seed, Clock: p.clock, Council: voter, Bound: p.addressBound.Load, Bring: p.active.applyVersion, Check: p.active.checkVersion}, p.gate)
+	p.member = fleetagent.Start(fleetagent.Options{Fleet: p.membership.Fleet, Name: p.membership.Name, Address: addr, IsolationPolicy: p.membership.WhenIsolated, Voters: p.membership.Voters, AddressMap: p.membership.AddressMap, Dir: p.membership.Folder,
+		Timing: p.membership.Timing, ProgramVersion: release, RunID: p.runID, Seed: p.seed, Clock: p.clock, Voter: voter, OwnsAddress: p.addressBound.Load, ApplyVersion: p.active.applyVersion, CheckVersion: p.active.checkVersion}, p.gate)
 }
 
 // close stops the fleet's components, after the dispatcher has ended.
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -58,7 +58,7 @@
 Ends with 0 when all is well, 1 for a fault, 2 for arguments that it does not know.`
 
 // StartVoter starts a voter of the fleet in this process. It is nil in a build that cannot vote.
-type StartVoter func(o VoterOptions) (fleetlink.Council, error)
+type StartVoter func(o VoterOptions) (fleetrpc.VoterService, error)
 
 // VoterOptions identify the voter and its fleet.
 type VoterOptions struct {
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -29,7 +29,7 @@
 // loaded is a checked configuration with its decoded list of workers.
 type loaded struct {
 	config.Config
-	workers node.Listing
+	workers node.DiscoveryUpdate
 }
 
 func load() (l loaded, err error) {
@@ -37,7 +37,7 @@
 		return l, err
 	}
 	if len(l.Known) > 0 && string(l.Known) != "null" {
-		if l.workers, err = platform.DecodeListing(l.Known, l.Names); err != nil {
+		if l.workers, err = transport.DecodeDiscoveryUpdate(l.Known, l.Names); err != nil {
 			return l, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -111,25 +111,25 @@
 		c.Sockets = system
 	}
 	c.Links.MaxOpen = min(c.Links.MaxOpen, c.Sockets/2)
-	options := platform.Options{Listen: c.Listen, PeerListen: c.PeerListen, Peers: c.Peers,
-		PeersAll: c.PeersAll, Number: c.Settings.Number, Names: c.Names, Links: c.Links,
-		Copies: c.Settings.SecondCopies, Asked: c.Settings.MustAsk, Sockets: c.Sockets}
+	options := transport.Options{Listen: c.Listen, PeerListen: c.PeerListen, Peers: c.Peers,
+		PeersAll: c.PeersAll, PeerIndex: c.Settings.Position, Names: c.Names, Connections: c.Links,
+		SecondCopies: c.Settings.SecondCopies, DiscoveryOnRequest: c.Settings.DiscoveryOnRequest, MaxSockets: c.Sockets}
 	for _, category := range c.Settings.Categories {
 		options.Expiries = append(options.Expiries, category.Expiry)
 	}
 	if c.Ops.IsValid() {
-		options.Figures = metrics.New(c.Names.Categories)
-		options.Sockets -= admin.MaxDescriptors
+		options.Metrics = metrics.New(c.Names.Categories)
+		options.MaxSockets -= admin.MaxDescriptors
 	}
 	var exchange *takeover.Exchange
 	if c.Temp != "" {
 		exchange = takeover.New(takeover.Options{Dir: c.Temp, Name: c.Name, Listen: c.Listen.String()})
-		if options.Found, err = exchange.Find(); err != nil {
+		if options.InheritedSockets, err = exchange.Find(); err != nil {
 			return err
 		}
-		options.Exchange, options.Shared = exchange, func(half bool) { setMemoryLimit(c.MemoryMB, half) }
+		options.Exchange, options.OnShare = exchange, func(half bool) { setMemoryLimit(c.MemoryMB, half) }
 	}
-	nodeOptions := node.Options{Settings: c.Settings, MaxOpen: c.Links.MaxOpen, Discovery: c.Discovery.String(), Known: c.workers, Figures: options.Figures,
+	nodeOptions := node.Options{Settings: c.Settings, MaxOpen: c.Links.MaxOpen, Discovery: c.Discovery.String(), CachedList: c.workers, Metrics: options.Metrics,
 		Mark: c.Mark}
 	active := &activeConfig{own: c.Config}
 	var fleetMember *fleetMember
@@ -138,22 +138,22 @@
 			return err
 		}
 		defer fleetMember.close()
-		nodeOptions.Gate, options.Gate = fleetMember.gate, fleetMember.gate
-		options.Sockets -= fleetMember.maxDescriptors()
-		active.maxClients = options.Sockets / 2
+		nodeOptions.Guard, options.Guard = fleetMember.gate, fleetMember.gate
+		options.MaxSockets -= fleetMember.maxDescriptors()
+		active.maxClients = options.MaxSockets / 2
 		nodeOptions.MaxOpen = active.limitClients(nodeOptions.MaxOpen)
 	}
 	// descriptors reserved for other components; at most half of the available ones
-	reserved := c.Sockets - options.Sockets
-	options.Limit = func() int { now := descriptorLimit(c.Sockets); return max(now-reserved, now/2) }
+	reserved := c.Sockets - options.MaxSockets
+	options.SystemSocketLimit = func() int { now := descriptorLimit(c.Sockets); return max(now-reserved, now/2) }
 	n := node.New(nodeOptions)
 	active.node = n
-	p, err := platform.Start(options, n)
+	p, err := transport.Start(options, n)
 	if err != nil {
 		return err
 	}
 	if c.Ops.IsValid() {
-		adminServer, err := admin.Start(admin.Options{Listen: c.Ops, Metrics: options.Figures,
+		adminServer, err := admin.Start(admin.Options{Listen: c.Ops, Metrics: options.Metrics,
 			Ready: func() (string, bool) { return n.Phase().String(), n.Phase() == node.Serving }})
 		if err != nil {
 			return fmt.Errorf("ops: %w", err)
