--- a/cmd/weldmast/command_test.go
+++ b/cmd/weldmast/command_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"weldmast/internal/kept"
+	"weldmast/internal/golden"
 )
 
 // TestCommands compares the output and exit code of each command line with the recorded ones. All faults of a
@@ -51,7 +51,7 @@
 	runCommand("no argument at all")
 	t.Setenv("ROUTER_CONFIG", write("config.json", `{"listen":"here"}`))
 	runCommand("faults in both", "check")
-	kept.Check(t, "commands", all.String())
+	golden.Check(t, "commands", all.String())
 }
 
 // TestExample checks that the example operator's file has no faults.
--- a/cmd/weldmast/main_test.go
+++ b/cmd/weldmast/main_test.go
@@ -25,7 +25,7 @@
 	"github.com/google/go-cmp/cmp"
 	"golang.org/x/sys/unix"
 
-	"weldmast/internal/kept"
+	"weldmast/internal/golden"
 )
 
 // These tests start the built program and talk to it over loopback sockets. Each compares what its workers
@@ -614,7 +614,7 @@
 			fmt.Fprintf(&all, "%s, %s: %s\n", x.name, category, strings.ReplaceAll(strings.TrimSpace(e.seen.String()), "\n", ", "))
 		}
 	}
-	kept.Check(t, "outcomes", all.String())
+	golden.Check(t, "outcomes", all.String())
 }
 
 // TestCallbacks checks the answers to callbacks that are repeated, that come before the 202, from the wrong
@@ -1400,5 +1400,5 @@
 		}
 		fmt.Fprintf(&all, "%s: %v: %s\n", c.name, err, strings.TrimSpace(text))
 	}
-	kept.Check(t, "badconfig", all.String())
+	golden.Check(t, "badconfig", all.String())
 }
--- a/internal/consensus/disk_store.go
+++ b/internal/consensus/disk_store.go
@@ -18,7 +18,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"weldmast/internal/ledger"
+	"weldmast/internal/wal"
 )
 
 // Record types, the first byte of a record.
@@ -72,7 +72,7 @@
 
 // DiskStore is a voter's directory. It is locked by this process until closed.
 type DiskStore struct {
-	log *ledger.Ledger
+	log *wal.Log
 	dirState
 }
 
@@ -88,8 +88,8 @@
 	}
 	d = &DiskStore{dirState: emptyDirState()}
 	r := replay{state: &d.dirState}
-	d.log, err = ledger.Open(ledger.Disk{}, dir, ledger.Options{SegmentBytes: segmentBytes, MostSegments: maxSegments}, r.record)
-	if errors.Is(err, ledger.ErrDamage) {
+	d.log, err = wal.Open(wal.Disk{}, dir, wal.Options{SegmentBytes: segmentBytes, MaxSegments: maxSegments}, r.record)
+	if errors.Is(err, wal.ErrCorrupt) {
 		err = fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if err != nil {
@@ -126,7 +126,7 @@
 	complete   bool
 }
 
-func (r *replay) record(rec ledger.Record) error {
+func (r *replay) record(rec wal.Record) error {
 	if len(rec.Content) == 0 {
 		return fmt.Errorf("%w: an empty record", ErrCorrupt)
 	}
@@ -212,7 +212,7 @@
 		}
 		return s.appendEntry(e)
 	default:
-		err = fmt.Errorf("a record of kind %q: %w", kind, ledger.ErrNewer)
+		err = fmt.Errorf("a record of kind %q: %w", kind, wal.ErrNewerVersion)
 	}
 	return err
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"weldmast/internal/kept"
+	"weldmast/internal/golden"
 )
 
 // trace drives one dispatcher and records its decisions as text, except for timers.
@@ -85,7 +85,7 @@
 // checkGolden compares the trace with the stored one.
 func (tr *trace) checkGolden(name string) {
 	tr.t.Helper()
-	kept.Check(tr.t, name, tr.log.String())
+	golden.Check(tr.t, name, tr.log.String())
 }
 
 func (tr *trace) Deliver(d EventHandler) { tr.inbox(d.(*Dispatcher)) }
@@ -547,7 +547,7 @@
 			lines = append(lines, l)
 		}
 	}
-	kept.Check(t, "suspicion", strings.Join(lines, "\n"))
+	golden.Check(t, "suspicion", strings.Join(lines, "\n"))
 }
 
 func TestNoticeBudgetAndTagCollision(t *testing.T) {
--- a/internal/dispatch/learned_test.go
+++ b/internal/dispatch/learned_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"weldmast/internal/kept"
+	"weldmast/internal/golden"
 )
 
 // successor returns the new process's dispatcher with the same list. It imports what the old one learned, as
@@ -97,7 +97,7 @@
 	adopter.at(at+4000, func(*Dispatcher) {})
 	adopter.at(at+4010, func(d *Dispatcher) { adopter.end(2, 1, Cancelled) })
 	adopter.at(at+4020, func(d *Dispatcher) { adopter.end(1, 1, Finished) })
-	kept.Check(t, "succeeded", tr.log.String()+adopter.log.String())
+	golden.Check(t, "succeeded", tr.log.String()+adopter.log.String())
 }
 
 // TestLearnedConcurrency: a worker that starts all work at once is found to take up to MaxConcurrency items,
--- a/internal/kept/kept.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
 // Package kept compares what a test printed with what is kept in its testdata. It is for tests only, and must
 // never change what it compares.
-package kept
+package golden
 
 import (
 	"flag"
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"weldmast/internal/kept"
+	"weldmast/internal/golden"
 )
 
 const oldConfig = `{"name":"n0","listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"0000000000000001","colour":"red",
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept.Check(t, "plan", "== nothing told\n"+first.String()+"== all told\n"+filled.String())
+	golden.Check(t, "plan", "== nothing told\n"+first.String()+"== all told\n"+filled.String())
 	for range 20 {
 		if again, err := Plan([]byte(oldConfig), OperatorValues{}); err != nil || again.String() != first.String() {
 			t.Fatalf("a repeated run gives another result: %v\n%s", err, again)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"weldmast/internal/dispatch"
-	"weldmast/internal/kept"
+	"weldmast/internal/golden"
 )
 
 // script drives an event loop step by step, at given times, and prints what it requests from its transport.
@@ -259,7 +259,7 @@
 	s.at(7400, WatchEnded{s.newestWatch})
 	s.at(14000)
 	fmt.Fprintf(&all, "asked for, a watch that breaks is told to the dispatcher, which asks again\n%s", s.log.String())
-	kept.Check(t, "reducer", all.String())
+	golden.Check(t, "reducer", all.String())
 }
 
 // secondWorker lists a second worker.
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"weldmast/internal/dispatch"
-	"weldmast/internal/kept"
+	"weldmast/internal/golden"
 )
 
 // TestStopAnswersAll guards against work that is still open, and so lost, when a stopped process is killed.
@@ -132,7 +132,7 @@
 	})
 	run("a watch breaks and discovery moves", func(*Request) values { return values{WatchEnded{1}, DiscoveryMoved{"there"}} })
 	run("told to stop and discovery moves", func(*Request) values { return values{Stop{}, DiscoveryMoved{"there"}} })
-	kept.Check(t, "crossings", all.String())
+	golden.Check(t, "crossings", all.String())
 }
 
 // TestStopBeforeReady: a process is told to stop twice, before any list arrived and while discovery moves.
--- a/internal/ledger/disk.go
+++ b/internal/wal/disk.go
@@ -1,6 +1,6 @@
 // This file owns the real file system. It must never do more than one call for each that it is asked for.
 
-package ledger
+package wal
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 type Disk struct{}
 
 // ErrHeld says that another process has the folder.
-var ErrHeld = errors.New("held by another process")
+var ErrLocked = errors.New("held by another process")
 
 // Create makes a file for reading and appending.
 func (Disk) Create(name string) (File, error) {
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("lock: %w", err)
 	}
 	if !got {
-		return nil, ErrHeld
+		return nil, ErrLocked
 	}
 	return l, nil
 }
--- a/internal/ledger/ledger.go
+++ b/internal/wal/wal.go
@@ -5,7 +5,7 @@
 // A folder holds segments NNNNNNNNNN.seg and a file LOCK. A segment is a head (magic, version, its number) and records:
 // length, CRC-32C of number and content, number, content; all numbers little endian. Only the last segment may end in
 // the midst of a record, by a crash; what follows a whole record there was never told to be durable, and is cut off.
-package ledger
+package wal
 
 import (
 	"encoding/binary"
@@ -50,22 +50,22 @@
 	headSize   = 16
 	recordHead = 16
 	// MostRecord is how long one record's content may be, in bytes.
-	MostRecord = 1 << 20
+	MaxRecordBytes = 1 << 20
 )
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 // What opening or reading may end with.
 var (
-	ErrNewer  = errors.New("written by a newer version")
-	ErrDamage = errors.New("damaged")
-	ErrClosed = errors.New("ledger closed")
+	ErrNewerVersion = errors.New("written by a newer version")
+	ErrCorrupt      = errors.New("damaged")
+	ErrClosed       = errors.New("ledger closed")
 )
 
 // Options say how large a ledger may grow.
 type Options struct {
 	SegmentBytes int64 // a segment is ended beyond it; 0: 16 MiB
-	MostSegments int   // the oldest go beyond so many; 0: 64
+	MaxSegments  int   // the oldest go beyond so many; 0: 64
 }
 
 // Record is one, with its number from 1 on; numbers have no gaps but where the oldest are forgotten.
@@ -75,7 +75,7 @@
 }
 
 // Ledger takes records. Its methods may be called from any goroutine.
-type Ledger struct {
+type Log struct {
 	fs    FS
 	dir   string
 	o     Options
@@ -103,18 +103,18 @@
 
 // Open takes the folder for this process and reads all that is whole, in order. A torn end is cut off; damage in front
 // of whole records, a newer version or another process's hold is an error, and changes nothing.
-func Open(disk FS, dir string, o Options, each func(Record) error) (*Ledger, error) {
+func Open(disk FS, dir string, o Options, each func(Record) error) (*Log, error) {
 	if o.SegmentBytes <= 0 {
 		o.SegmentBytes = 16 << 20
 	}
-	if o.MostSegments <= 0 {
-		o.MostSegments = 64
+	if o.MaxSegments <= 0 {
+		o.MaxSegments = 64
 	}
 	lock, err := disk.Lock(path.Join(dir, "LOCK"))
 	if err != nil {
 		return nil, fmt.Errorf("ledger %s: %w", dir, err)
 	}
-	l := &Ledger{fs: disk, dir: dir, o: o, lock: lock, next: 1}
+	l := &Log{fs: disk, dir: dir, o: o, lock: lock, next: 1}
 	if err := l.read(each); err != nil {
 		lock.Close()
 		return nil, fmt.Errorf("ledger %s: %w", dir, err)
@@ -137,7 +137,7 @@
 		}
 		first, err := strconv.ParseUint(digits, 10, 64)
 		if err != nil || name(first) != n {
-			return nil, fmt.Errorf("%s: %w: it is no name of ours", n, ErrDamage)
+			return nil, fmt.Errorf("%s: %w: it is no name of ours", n, ErrCorrupt)
 		}
 		firsts = append(firsts, first)
 	}
@@ -146,14 +146,14 @@
 }
 
 // read goes through all segments and leaves the last one open to write.
-func (l *Ledger) read(each func(Record) error) error {
+func (l *Log) read(each func(Record) error) error {
 	firsts, err := list(l.fs, l.dir)
 	if err != nil {
 		return err
 	}
 	for k, first := range firsts {
 		if k > 0 && first != l.next {
-			return fmt.Errorf("%s: %w: %d comes after %d", name(first), ErrDamage, first, l.next-1)
+			return fmt.Errorf("%s: %w: %d comes after %d", name(first), ErrCorrupt, first, l.next-1)
 		}
 		l.next = first
 		f, err := l.fs.Open(path.Join(l.dir, name(first)))
@@ -165,14 +165,14 @@
 			f.Close()
 			return err
 		}
-		whole, err := Scan(text, first, func(r Record) error {
+		whole, err := ScanSegment(text, first, func(r Record) error {
 			l.next = r.Number + 1
 			return each(r)
 		})
 		last := k == len(firsts)-1
 		torn := errors.Is(err, errTorn)
 		if torn && !last {
-			err = fmt.Errorf("%w: it ends early, others follow", ErrDamage)
+			err = fmt.Errorf("%w: it ends early, others follow", ErrCorrupt)
 		}
 		if err != nil && !torn || torn && !last {
 			f.Close()
@@ -208,7 +208,7 @@
 
 // Scan reads one segment's text: it calls each for every whole record and returns how many bytes are whole. What
 // follows them is torn (a crash's doing) or, if a whole record stands behind, damage.
-func Scan(text []byte, first uint64, each func(Record) error) (whole int64, err error) {
+func ScanSegment(text []byte, first uint64, each func(Record) error) (whole int64, err error) {
 	if len(text) < headSize {
 		return 0, errTorn
 	}
@@ -216,23 +216,23 @@
 		if allZero(text) { // its blocks were never written
 			return 0, errTorn
 		}
-		return 0, fmt.Errorf("%w: it is no segment", ErrDamage)
+		return 0, fmt.Errorf("%w: it is no segment", ErrCorrupt)
 	}
 	if v := binary.LittleEndian.Uint32(text[4:]); v != version {
 		if v > version {
-			return 0, fmt.Errorf("version %d: %w", v, ErrNewer)
+			return 0, fmt.Errorf("version %d: %w", v, ErrNewerVersion)
 		}
-		return 0, fmt.Errorf("%w: version %d", ErrDamage, v)
+		return 0, fmt.Errorf("%w: version %d", ErrCorrupt, v)
 	}
 	if n := binary.LittleEndian.Uint64(text[8:]); n != first {
-		return 0, fmt.Errorf("%w: its head says %d", ErrDamage, n)
+		return 0, fmt.Errorf("%w: its head says %d", ErrCorrupt, n)
 	}
 	at := headSize
 	for number := first; at < len(text); number++ {
 		content, next := parse(text, at, number)
 		if next == 0 {
 			if found := wholeAfter(text, at+1, number); found > 0 {
-				return int64(at), fmt.Errorf("%w at byte %d: record %d is not whole, record %d behind it is", ErrDamage, at, number, found)
+				return int64(at), fmt.Errorf("%w at byte %d: record %d is not whole, record %d behind it is", ErrCorrupt, at, number, found)
 			}
 			return int64(at), errTorn
 		}
@@ -254,7 +254,7 @@
 		return nil, 0
 	}
 	size := binary.LittleEndian.Uint32(text[at:])
-	if size > MostRecord || len(text)-at-recordHead < int(size) || binary.LittleEndian.Uint64(text[at+8:]) != number {
+	if size > MaxRecordBytes || len(text)-at-recordHead < int(size) || binary.LittleEndian.Uint64(text[at+8:]) != number {
 		return nil, 0
 	}
 	next = at + recordHead + int(size)
@@ -282,10 +282,10 @@
 // Append makes records durable, in order and together with those of other callers that wait: it returns once they are,
 // or with what kept them from it. After an error none of them may come back at the next start, or some: whoever asked
 // must take them for neither. The ledger tries again with the next call.
-func (l *Ledger) Append(contents ...[]byte) (first uint64, err error) {
+func (l *Log) Append(contents ...[]byte) (first uint64, err error) {
 	for _, c := range contents {
-		if len(c) > MostRecord {
-			return 0, fmt.Errorf("a record of %d bytes: at most %d", len(c), MostRecord)
+		if len(c) > MaxRecordBytes {
+			return 0, fmt.Errorf("a record of %d bytes: at most %d", len(c), MaxRecordBytes)
 		}
 	}
 	g := &group{contents: contents, done: make(chan struct{})}
@@ -307,7 +307,7 @@
 }
 
 // commit writes all that waits with one sync.
-func (l *Ledger) commit() {
+func (l *Log) commit() {
 	l.mu.Lock()
 	all := l.waiting
 	l.waiting = nil
@@ -347,7 +347,7 @@
 // spoilt gives up a segment whose write or sync failed: what it holds behind the last durable record is not known, and
 // a sync that failed once may tell nothing true the next time. It is cut there if the disk still lets us, and no longer
 // written to in either case.
-func (l *Ledger) spoilt() {
+func (l *Log) spoilt() {
 	_ = l.file.Truncate(l.size) // if not, room makes sure before anything else is written
 	_ = l.file.Sync()
 	l.file.Close()
@@ -355,7 +355,7 @@
 }
 
 // room opens a segment to write to: the next one where the last is full or was given up.
-func (l *Ledger) room() error {
+func (l *Log) room() error {
 	if l.file != nil && l.size < l.o.SegmentBytes {
 		return nil
 	}
@@ -403,7 +403,7 @@
 	}
 	l.file, l.size = f, headSize
 	l.segments = append(l.segments, l.next)
-	for len(l.segments) > l.o.MostSegments {
+	for len(l.segments) > l.o.MaxSegments {
 		if err := l.fs.Remove(path.Join(l.dir, name(l.segments[0]))); err != nil {
 			return err
 		}
@@ -423,14 +423,14 @@
 }
 
 // Err is why the last commit failed; nil: the disk works.
-func (l *Ledger) Err() error {
+func (l *Log) LastError() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failed
 }
 
 // Close lets the folder go. What waits is written first.
-func (l *Ledger) Close() error {
+func (l *Log) Close() error {
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
--- a/internal/ledger/ledger_test.go
+++ b/internal/wal/wal_test.go
@@ -1,4 +1,4 @@
-package ledger
+package wal
 
 import (
 	"errors"
@@ -110,7 +110,7 @@
 }
 func (m *memory) Lock(string) (io.Closer, error) {
 	if m.held {
-		return nil, ErrHeld
+		return nil, ErrLocked
 	}
 	m.held = true
 	return &unlock{m}, nil
@@ -154,7 +154,7 @@
 func (h *handle) Close() error { return nil }
 
 // read opens a ledger and gives what it holds.
-func read(t *testing.T, disk FS, o Options) (*Ledger, []string) {
+func read(t *testing.T, disk FS, o Options) (*Log, []string) {
 	t.Helper()
 	var all []string
 	l, err := Open(disk, "d", o, func(r Record) error {
@@ -167,10 +167,10 @@
 	return l, all
 }
 
-var small = Options{SegmentBytes: 120, MostSegments: 100}
+var small = Options{SegmentBytes: 120, MaxSegments: 100}
 
 // script appends until it has made a number of groups, and gives what was told durable.
-func script(l *Ledger, from int) (told []string) {
+func script(l *Log, from int) (told []string) {
 	for k := from; k < from+8; k++ {
 		a, b := fmt.Sprintf("a%d", k), fmt.Sprintf("b%d", k)
 		if first, err := l.Append([]byte(a), []byte(b)); err == nil {
@@ -260,8 +260,8 @@
 			if err != nil || n != 15 {
 				t.Errorf("byte %d: %d records, %v", at, n, err)
 			}
-		case at >= 4 && at < 8 && errors.Is(err, ErrNewer):
-		case !errors.Is(err, ErrDamage):
+		case at >= 4 && at < 8 && errors.Is(err, ErrNewerVersion):
+		case !errors.Is(err, ErrCorrupt):
 			t.Errorf("byte %d: %v", at, err)
 		case cmp.Diff(text, m.files[file].now) != "":
 			t.Errorf("byte %d: the file was changed", at)
@@ -272,7 +272,7 @@
 // TestForgets: the oldest segments go, numbers go on.
 func TestForgets(t *testing.T) {
 	m := newMemory()
-	o := Options{SegmentBytes: 100, MostSegments: 3}
+	o := Options{SegmentBytes: 100, MaxSegments: 3}
 	l, _ := read(t, m, o)
 	for k := range 100 {
 		if _, err := l.Append([]byte(fmt.Sprint(k))); err != nil {
@@ -298,7 +298,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(Disk{}, dir, Options{}, func(Record) error { return nil }); !errors.Is(err, ErrHeld) {
+	if _, err := Open(Disk{}, dir, Options{}, func(Record) error { return nil }); !errors.Is(err, ErrLocked) {
 		t.Errorf("a second hold: %v", err)
 	}
 	var wait sync.WaitGroup
@@ -334,7 +334,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "odd.seg"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(Disk{}, dir, Options{}, func(Record) error { return nil }); !errors.Is(err, ErrDamage) {
+	if _, err := Open(Disk{}, dir, Options{}, func(Record) error { return nil }); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("a stranger's file: %v", err)
 	}
 }
@@ -345,13 +345,13 @@
 	f.Add(append([]byte("WLDL\x01\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00"), text...))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		n := 0
-		whole, err := Scan(text, 1, func(Record) error { n++; return nil })
-		if err != nil && !errors.Is(err, errTorn) && !errors.Is(err, ErrDamage) && !errors.Is(err, ErrNewer) || whole > int64(len(text)) {
+		whole, err := ScanSegment(text, 1, func(Record) error { n++; return nil })
+		if err != nil && !errors.Is(err, errTorn) && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNewerVersion) || whole > int64(len(text)) {
 			t.Fatalf("%d of %d: %v", whole, len(text), err)
 		}
 		if whole >= headSize {
 			again := 0
-			if _, err := Scan(text[:whole], 1, func(Record) error { again++; return nil }); err != nil || again != n {
+			if _, err := ScanSegment(text[:whole], 1, func(Record) error { again++; return nil }); err != nil || again != n {
 				t.Fatalf("%d, then %d: %v", n, again, err)
 			}
 		}
