--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -19,26 +19,26 @@
 // job waits for its turn at a worker.
 type job struct {
 	id, path string
-	span     time.Duration
+	duration time.Duration
 }
 
 type worker struct {
-	name  string
-	speed float64
-	back  string
-	jobs  chan job
-	mu    sync.Mutex
-	off   map[string]bool // called off
+	name        string
+	speed       float64
+	callbackURL string
+	jobs        chan job
+	mu          sync.Mutex
+	cancelled   map[string]bool // called off
 }
 
 func main() {
 	discovery := flag.String("discovery", "127.0.0.1:8500", "where discovery listens")
 	dispatcher := flag.String("dispatcher", "127.0.0.1:8000", "where the dispatcher listens for callbacks")
 	flag.Parse()
-	var members []string
+	var workers []string
 	for name, speed := range map[string]float64{"fast-1": 2, "fast-2": 2, "slow-1": 1, "slow-2": 1} {
-		w := &worker{name: name, speed: speed, back: "http://" + *dispatcher + "/callback",
-			jobs: make(chan job, 8), off: map[string]bool{}}
+		w := &worker{name: name, speed: speed, callbackURL: "http://" + *dispatcher + "/callback",
+			jobs: make(chan job, 8), cancelled: map[string]bool{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			log.Fatal(err)
@@ -46,11 +46,11 @@
 		go w.run()
 		go func() { log.Fatal(http.Serve(l, w)) }()
 		kind, _, _ := strings.Cut(name, "-")
-		members = append(members, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"here","flavor":%q,"cell":0,`+
+		workers = append(workers, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"here","flavor":%q,"cell":0,`+
 			`"phase":"in_service","size":1.0,"up_since_ms":0}`, name, l.Addr(), kind))
 		log.Printf("worker=%s addr=%s", name, l.Addr())
 	}
-	list := fmt.Sprintf(`{"revision":1,"complete":true,"members":[%s]}`, strings.Join(members, ","))
+	list := fmt.Sprintf(`{"revision":1,"complete":true,"members":[%s]}`, strings.Join(workers, ","))
 	http.HandleFunc("GET /v1/endpoints", func(out http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(out, list)
 		for r.FormValue("watch") != "" && r.Context().Err() == nil {
@@ -66,15 +66,15 @@
 func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	if id, ok := strings.CutPrefix(r.URL.Path, "/jobs/"); ok && r.Method == http.MethodDelete {
 		w.mu.Lock()
-		w.off[id] = true
+		w.cancelled[id] = true
 		w.mu.Unlock()
 		return
 	}
-	span := 100 * time.Millisecond
+	duration := 100 * time.Millisecond
 	if hint, err := strconv.ParseFloat(r.Header.Get("X-Cost-Hint"), 64); err == nil {
-		span = time.Duration(hint) * time.Microsecond
+		duration = time.Duration(hint) * time.Microsecond
 	}
-	j := job{r.Header.Get("X-Request-Id"), r.URL.Path, time.Duration(float64(span) / w.speed)}
+	j := job{r.Header.Get("X-Request-Id"), r.URL.Path, time.Duration(float64(duration) / w.speed)}
 	select {
 	case w.jobs <- j:
 		out.WriteHeader(http.StatusAccepted)
@@ -87,23 +87,23 @@
 func (w *worker) run() {
 	for j := range w.jobs {
 		w.mu.Lock()
-		off := w.off[j.id]
-		delete(w.off, j.id)
+		cancelled := w.cancelled[j.id]
+		delete(w.cancelled, j.id)
 		w.mu.Unlock()
-		if off {
+		if cancelled {
 			continue
 		}
-		w.tell(map[string]any{"id": j.id, "from": w.name, "state": "started"})
-		time.Sleep(j.span)
-		w.tell(map[string]any{"id": j.id, "from": w.name, "state": "done", "result": j.path + " done by " + w.name + "\n"})
+		w.sendCallback(map[string]any{"id": j.id, "from": w.name, "state": "started"})
+		time.Sleep(j.duration)
+		w.sendCallback(map[string]any{"id": j.id, "from": w.name, "state": "done", "result": j.path + " done by " + w.name + "\n"})
 	}
 }
 
 // tell calls back until it is answered, ten times at most.
-func (w *worker) tell(what map[string]any) {
-	body, _ := json.Marshal(what)
+func (w *worker) sendCallback(update map[string]any) {
+	body, _ := json.Marshal(update)
 	for range 10 {
-		if r, err := http.Post(w.back, "application/json", bytes.NewReader(body)); err == nil {
+		if r, err := http.Post(w.callbackURL, "application/json", bytes.NewReader(body)); err == nil {
 			r.Body.Close()
 			if r.StatusCode < 300 {
 				return
@@ -111,5 +111,5 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	log.Printf("worker=%s untold=%v", w.name, what)
+	log.Printf("worker=%s untold=%v", w.name, update)
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -14,11 +14,11 @@
 var update = flag.Bool("update", false, "write what is kept anew")
 
 // Check fails the test where the text differs from testdata/NAME.txt.
-func Check(t *testing.T, name, now string) {
+func Check(t *testing.T, name, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", name+".txt")
 	if *update {
-		if err := os.WriteFile(file, []byte(now), 0o644); err != nil {
+		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(string(want), now); diff != "" {
+	if diff := cmp.Diff(string(want), got); diff != "" {
 		t.Errorf("%s differs (-kept +now):\n%s", file, diff)
 	}
 }
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -12,35 +12,35 @@
 )
 
 // fields is one line, split in place. The first thing wrong with it stays in err.
-type fields struct {
-	head  []byte
-	parts [][]byte
-	err   error
-	bytes []byte
+type message struct {
+	rawName []byte
+	fields  [][]byte
+	err     error
+	hexBuf  []byte
 }
 
-func (f *fields) split(line []byte) {
-	f.parts, f.err = f.parts[:0], nil
+func (f *message) split(line []byte) {
+	f.fields, f.err = f.fields[:0], nil
 	head, rest, more := bytes.Cut(line, []byte{'\t'})
-	f.head = head
+	f.rawName = head
 	for more {
 		var part []byte
 		part, rest, more = bytes.Cut(rest, []byte{'\t'})
-		f.parts = append(f.parts, part)
+		f.fields = append(f.fields, part)
 	}
 }
 
-func (f *fields) name() string { return string(f.head) }
+func (f *message) name() string { return string(f.rawName) }
 
-func (f *fields) fail(key, what string) {
+func (f *message) fail(key, problem string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s %s", f.head, key, what)
+		f.err = fmt.Errorf("%s: %s %s", f.rawName, key, problem)
 	}
 }
 
 // opt is the field's value, nil when it is absent.
-func (f *fields) opt(key string) []byte {
-	for _, p := range f.parts {
+func (f *message) optional(key string) []byte {
+	for _, p := range f.fields {
 		if len(p) > len(key) && p[len(key)] == '=' && string(p[:len(key)]) == key {
 			return p[len(key)+1:]
 		}
@@ -48,18 +48,18 @@
 	return nil
 }
 
-func (f *fields) has(key string) bool { return f.opt(key) != nil }
+func (f *message) has(key string) bool { return f.optional(key) != nil }
 
-func (f *fields) text(key string) []byte {
-	v := f.opt(key)
+func (f *message) required(key string) []byte {
+	v := f.optional(key)
 	if len(v) == 0 {
 		f.fail(key, "is missing")
 	}
 	return v
 }
 
-func (f *fields) int(key string) int64 {
-	v := f.text(key)
+func (f *message) int(key string) int64 {
+	v := f.required(key)
 	if len(v) == 0 {
 		return 0
 	}
@@ -84,14 +84,14 @@
 	return n
 }
 
-func (f *fields) intOr(key string, absent int64) int64 {
+func (f *message) intOr(key string, fallback int64) int64 {
 	if !f.has(key) {
-		return absent
+		return fallback
 	}
 	return f.int(key)
 }
 
-func (f *fields) id(key string) uint64 {
+func (f *message) id(key string) uint64 {
 	n := f.int(key)
 	if n < 0 {
 		f.fail(key, "is below zero")
@@ -100,24 +100,24 @@
 }
 
 // time is a field in microseconds, as milliseconds.
-func (f *fields) time(key string) float64 { return float64(f.int(key)) / 1000 }
+func (f *message) time(key string) float64 { return float64(f.int(key)) / 1000 }
 
-func (f *fields) timeOr(key string, absent float64) float64 {
+func (f *message) timeOr(key string, fallback float64) float64 {
 	if !f.has(key) {
-		return absent
+		return fallback
 	}
 	return f.time(key)
 }
 
-func (f *fields) numOr(key string, absent float64) float64 {
-	v := f.opt(key)
+func (f *message) numOr(key string, fallback float64) float64 {
+	v := f.optional(key)
 	if v == nil {
-		return absent
+		return fallback
 	}
 	return f.num(key, v)
 }
 
-func (f *fields) num(key string, v []byte) float64 {
+func (f *message) num(key string, v []byte) float64 {
 	x, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
 		f.fail(key, "is not a number")
@@ -127,23 +127,23 @@
 }
 
 // hex decodes into a buffer that the next call uses again.
-func (f *fields) hex(key string) []byte {
-	v := f.opt(key)
+func (f *message) hex(key string) []byte {
+	v := f.optional(key)
 	if len(v) == 0 || (len(v) == 1 && v[0] == '-') {
 		return nil
 	}
-	data, err := hex.AppendDecode(f.bytes[:0], v)
+	data, err := hex.AppendDecode(f.hexBuf[:0], v)
 	if err != nil {
 		f.fail(key, "is not hex")
 	}
-	f.bytes = data
+	f.hexBuf = data
 	return data
 }
 
 // names are the settings' lists, in which lines name their things.
-type names struct{ settings.Names }
+type nameLists struct{ settings.Names }
 
-func find(list []string, name []byte) int {
+func indexOf(list []string, name []byte) int {
 	for k, s := range list {
 		if s == string(name) {
 			return k
@@ -152,18 +152,18 @@
 	return -1
 }
 
-func (n *names) category(f *fields) int {
-	v := f.text("lane")
-	k := find(n.Categories, v)
+func (n *nameLists) category(f *message) int {
+	v := f.required("lane")
+	k := indexOf(n.Categories, v)
 	if k < 0 && len(v) > 0 {
 		f.fail("lane", "is not a known category")
 	}
 	return k
 }
 
-func (n *names) load(f *fields) dispatch.LoadReport {
+func (n *nameLists) loadReport(f *message) dispatch.LoadReport {
 	l := dispatch.UnknownLoad
-	rest, more := f.opt("stats"), true
+	rest, more := f.optional("stats"), true
 	for more && len(rest) > 0 {
 		var pair []byte
 		pair, rest, more = bytes.Cut(rest, []byte{','})
@@ -178,8 +178,8 @@
 	return l
 }
 
-func outcome(f *fields) dispatch.Outcome {
-	switch string(f.text("status")) {
+func outcome(f *message) dispatch.Outcome {
+	switch string(f.required("status")) {
 	case "Ok":
 		return dispatch.Finished
 	case "Failed":
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -16,47 +16,47 @@
 type event struct {
 	start, end int // in the batch's text
 	line       int
-	list       []record
+	workers    []listEntry
 }
 
 // record is one entry of a numbered list, its names not yet resolved.
-type record struct {
+type listEntry struct {
 	worker, zone, kind string
 	entry              dispatch.Entry
 }
 
 // instance is one dispatcher with the names its settings gave and its part of the batch.
 type instance struct {
-	num    int64
-	d      *dispatch.Dispatcher
-	names  names
-	host   *host
-	events []event
-	queued bool
-	err    error
+	id         int64
+	dispatcher *dispatch.Dispatcher
+	names      nameLists
+	host       *host
+	events     []event
+	queued     bool
+	err        error
 }
 
 type host struct {
-	in      *bufio.Reader
-	out     *bufio.Writer
-	line    int
-	text    []byte // the lines of the batch that instances will read
-	lists   [16][]record
-	insts   map[int64]*instance
-	turn    []*instance // those with something in this batch, in order of arrival
-	f       fields
-	scratch []byte
-	entries []dispatch.Entry
+	in          *bufio.Reader
+	out         *bufio.Writer
+	lineNumber  int
+	batchText   []byte // the lines of the batch that instances will read
+	workerLists [16][]listEntry
+	instances   map[int64]*instance
+	active      []*instance // those with something in this batch, in order of arrival
+	msg         message
+	longLine    []byte
+	entries     []dispatch.Entry
 }
 
 // Serve answers batches until the input ends. An error names the line and what is wrong with it.
 func Serve(in io.Reader, out io.Writer) error {
 	h := &host{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18),
-		insts: map[int64]*instance{}}
+		instances: map[int64]*instance{}}
 	for {
-		more, err := h.batch()
+		more, err := h.runBatch()
 		if err != nil {
-			return fmt.Errorf("line %d: %w", h.line, err)
+			return fmt.Errorf("line %d: %w", h.lineNumber, err)
 		}
 		if !more {
 			return nil
@@ -65,20 +65,20 @@
 }
 
 // next reads one line without its end; io.EOF only at a clean end.
-func (h *host) next() ([]byte, error) {
+func (h *host) readLine() ([]byte, error) {
 	line, err := h.in.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
-		h.scratch = append(h.scratch[:0], line...)
+		h.longLine = append(h.longLine[:0], line...)
 		for err == bufio.ErrBufferFull {
 			line, err = h.in.ReadSlice('\n')
-			h.scratch = append(h.scratch, line...)
+			h.longLine = append(h.longLine, line...)
 		}
-		line = h.scratch
+		line = h.longLine
 	}
 	if err == io.EOF && len(line) == 0 {
 		return nil, io.EOF
 	}
-	h.line++
+	h.lineNumber++
 	if err == io.EOF {
 		return nil, fmt.Errorf("input ends inside a line")
 	}
@@ -88,8 +88,8 @@
 	return bytes.TrimSuffix(line[:len(line)-1], []byte{'\r'}), nil
 }
 
-func (h *host) batch() (bool, error) {
-	line, err := h.next()
+func (h *host) runBatch() (bool, error) {
+	line, err := h.readLine()
 	if err == io.EOF {
 		return false, nil
 	}
@@ -99,7 +99,7 @@
 	if len(line) == 0 {
 		return true, nil
 	}
-	f := &h.f
+	f := &h.msg
 	f.split(line)
 	if f.name() != "clock" {
 		return false, fmt.Errorf("want clock, got %q", f.name())
@@ -108,9 +108,9 @@
 	if f.err != nil {
 		return false, f.err
 	}
-	h.text = h.text[:0]
+	h.batchText = h.batchText[:0]
 	for {
-		if line, err = h.next(); err == io.EOF {
+		if line, err = h.readLine(); err == io.EOF {
 			return false, fmt.Errorf("input ends inside a batch")
 		}
 		if err != nil {
@@ -120,120 +120,120 @@
 		if f.name() == "commit" {
 			break
 		}
-		if err = h.sort(line); err != nil {
+		if err = h.enqueue(line); err != nil {
 			return false, err
 		}
 	}
-	for _, n := range h.turn {
+	for _, n := range h.active {
 		n.queued = false
-		if n.d == nil {
+		if n.dispatcher == nil {
 			continue
 		}
-		n.round(now)
+		n.runRound(now)
 		if n.err != nil {
 			return false, n.err
 		}
 	}
-	h.turn = h.turn[:0]
+	h.active = h.active[:0]
 	h.out.WriteString("done\tbatch=")
-	h.int(seq)
+	h.putInt(seq)
 	h.out.WriteByte('\n')
 	return true, h.out.Flush()
 }
 
 // sort files one line of a batch under its instance. Lists are resolved here, in event order: a
 // number may be given anew later in the same batch.
-func (h *host) sort(line []byte) error {
-	f := &h.f
+func (h *host) enqueue(line []byte) error {
+	f := &h.msg
 	if f.name() == "inventory" {
-		return h.inventory()
+		return h.readInventory()
 	}
-	num := f.int("i")
+	id := f.int("i")
 	if f.err != nil {
 		return f.err
 	}
-	n := h.insts[num]
+	n := h.instances[id]
 	switch f.name() {
 	case "configure":
-		n = &instance{num: num, host: h}
+		n = &instance{id: id, host: h}
 		settings, err := n.configure(f)
 		if err != nil {
 			return err
 		}
-		n.d = dispatch.New(settings)
-		if old := h.insts[num]; old != nil && old.queued {
-			old.d = nil
+		n.dispatcher = dispatch.New(settings)
+		if old := h.instances[id]; old != nil && old.queued {
+			old.dispatcher = nil
 		}
-		h.insts[num] = n
-		n.wake()
+		h.instances[id] = n
+		n.activate()
 		return nil
 	case "power_off":
 		if n == nil {
-			return fmt.Errorf("instance %d was never configured", num)
+			return fmt.Errorf("instance %d was never configured", id)
 		}
-		n.d, n.events = nil, n.events[:0]
+		n.dispatcher, n.events = nil, n.events[:0]
 		return nil
 	}
-	if n == nil || n.d == nil {
-		return fmt.Errorf("instance %d is not configured", num)
+	if n == nil || n.dispatcher == nil {
+		return fmt.Errorf("instance %d is not configured", id)
 	}
-	ev := event{start: len(h.text), line: h.line}
+	ev := event{start: len(h.batchText), line: h.lineNumber}
 	if f.name() == "discovery" && f.has("set_id") {
 		set := f.int("set_id")
-		if f.err == nil && (set < 0 || set >= int64(len(h.lists))) {
+		if f.err == nil && (set < 0 || set >= int64(len(h.workerLists))) {
 			f.fail("set_id", "is not 0 to 15")
 		}
 		if f.err != nil {
 			return f.err
 		}
-		ev.list = h.lists[set]
+		ev.workers = h.workerLists[set]
 	}
-	h.text = append(h.text, line...)
-	ev.end = len(h.text)
+	h.batchText = append(h.batchText, line...)
+	ev.end = len(h.batchText)
 	n.events = append(n.events, ev)
-	n.wake()
+	n.activate()
 	return nil
 }
 
 // configure reads the pairs that follow the line's own fields.
-func (n *instance) configure(f *fields) (dispatch.Settings, error) {
+func (n *instance) configure(f *message) (dispatch.Settings, error) {
 	seed := f.id("nonce64")
 	if f.err != nil {
 		return dispatch.Settings{}, f.err
 	}
-	values, err := settings.ParseFlat(f.parts)
+	values, err := settings.ParseFlat(f.fields)
 	if err != nil {
-		return dispatch.Settings{}, fmt.Errorf("%s: %w", f.head, err)
+		return dispatch.Settings{}, fmt.Errorf("%s: %w", f.rawName, err)
 	}
 	s, names, _, err := settings.Read(values, seed)
 	if err != nil {
-		return s, fmt.Errorf("%s: %w", f.head, err)
+		return s, fmt.Errorf("%s: %w", f.rawName, err)
 	}
 	n.names.Names = names
 	return s, nil
 }
 
-func (n *instance) wake() {
+func (n *instance) activate() {
 	if !n.queued {
 		n.queued = true
-		n.host.turn = append(n.host.turn, n)
+		n.host.active = append(n.host.active, n)
 	}
 }
 
 // inventory reads a numbered list; each new one is a list of its own, so that earlier
 // references to the number keep what they meant.
-func (h *host) inventory() error {
-	f := &h.f
+func (h *host) readInventory() error {
+	f := &h.msg
 	set, count := f.int("set_id"), f.int("records")
-	if f.err == nil && (set < 0 || set >= int64(len(h.lists)) || count < 0) {
+	if f.err == nil && (set < 0 || set >= int64(len(h.workerLists)) || count < 0) {
 		f.fail("set_id", "or records is out of range")
 	}
 	if f.err != nil {
 		return f.err
 	}
-	var list []record
+	var list []listEntry
 	for range count {
-		line, err := h.next()
+		line, err := h.readLine()
 		if err == io.EOF {
 			return fmt.Errorf("input ends inside a list")
 		}
@@ -244,11 +244,11 @@
 		if f.name() != "m" {
 			return fmt.Errorf("want a list entry m, got %q", f.name())
 		}
-		r := record{worker: string(f.text("worker")), zone: string(f.opt("locality")),
-			kind: string(f.opt("machine"))}
+		r := listEntry{worker: string(f.required("worker")), zone: string(f.optional("locality")),
+			kind: string(f.optional("machine"))}
 		r.entry = dispatch.Entry{Worker: r.worker, Cell: int(f.intOr("stripe", 0)),
 			Since: f.timeOr("up_since", 0), Weight: f.numOr("rating", 0)}
-		switch state := string(f.text("state")); state {
+		switch state := string(f.required("state")); state {
 		case "up":
 		case "draining":
 			r.entry.State = dispatch.Draining
@@ -262,15 +262,15 @@
 		}
 		list = append(list, r)
 	}
-	h.lists[set] = list
+	h.workerLists[set] = list
 	return nil
 }
 
 // round runs one round; a failure inside the module becomes a fault with its text.
-func (n *instance) round(now float64) {
+func (n *instance) runRound(now float64) {
 	defer func() {
 		if p := recover(); p != nil {
-			n.begin("fault")
+			n.beginLine("fault")
 			n.host.out.WriteString("\tmsg=")
 			for _, c := range []byte(fmt.Sprint(p)) {
 				if c < ' ' {
@@ -278,51 +278,51 @@
 				}
 				n.host.out.WriteByte(c)
 			}
-			n.end()
+			n.endLine()
 		}
 	}()
-	n.d.Round(now, n, n)
+	n.dispatcher.Round(now, n, n)
 	n.events = n.events[:0]
 }
 
 // Deliver calls the dispatcher for each line that came in.
 func (n *instance) Deliver(d dispatch.EventHandler) {
-	f := &n.host.f
+	f := &n.host.msg
 	for _, ev := range n.events {
-		n.host.line = ev.line
-		f.split(n.host.text[ev.start:ev.end])
-		if n.one(d, f, ev); f.err != nil {
+		n.host.lineNumber = ev.line
+		f.split(n.host.batchText[ev.start:ev.end])
+		if n.handle(d, f, ev); f.err != nil {
 			n.err = f.err
 			return
 		}
 	}
 }
 
-func (n *instance) one(d dispatch.EventHandler, f *fields, ev event) {
+func (n *instance) handle(d dispatch.EventHandler, f *message, ev event) {
 	switch f.name() {
 	case "req":
 		wi := dispatch.WorkItem{ID: f.id("job"), Category: n.names.category(f),
-			Tenant: find(n.names.Tenants, f.opt("realm")), TimeLeft: f.time("time_left"),
-			Hint: f.timeOr("predicted", 0), Key: string(f.opt("partition_key"))}
+			Tenant: indexOf(n.names.Tenants, f.optional("realm")), TimeLeft: f.time("time_left"),
+			Hint: f.timeOr("predicted", 0), Key: string(f.optional("partition_key"))}
 		if f.err == nil {
 			d.Arrived(wi)
 		}
 	case "reply":
 		a := dispatch.HandOffResult{WI: f.id("job"), HO: int(f.int("shot")), Elapsed: f.time("spent"),
-			Final: f.intOr("final", 0) == 1, Load: n.names.load(f), Outcome: outcome(f)}
-		f.text("worker")
+			Final: f.intOr("final", 0) == 1, Load: n.names.loadReport(f), Outcome: outcome(f)}
+		f.required("worker")
 		if f.err == nil {
 			d.HandOffEnded(a)
 		}
 	case "notice":
 		wi, ho, what, level := f.id("job"), f.int("shot"), f.int("what"), f.numOr("level", 0)
-		f.text("worker")
+		f.required("worker")
 		if f.err == nil && (what == 1 || what == 2) {
 			d.HandOffProgressed(wi, int(ho), what == 1, level)
 		}
 	case "ack_first":
 		wi, ho := f.id("job"), f.int("shot")
-		f.text("worker")
+		f.required("worker")
 		if f.err == nil {
 			d.ResponseStarted(wi, int(ho))
 		}
@@ -334,7 +334,7 @@
 		f.id("handle") // the round that it causes is all it is for
 	case "checked":
 		// No probe is ever sent; what would answer one is only read.
-		f.text("worker")
+		f.required("worker")
 		outcome(f)
 	case "heard":
 		from, data := f.int("src_peer"), f.hex("contents")
@@ -342,15 +342,15 @@
 			d.PeerMessageReceived(int(from), data)
 		}
 	case "discovery":
-		n.listed(d, f, ev.list)
+		n.handleDiscovery(d, f, ev.workers)
 	default:
 		f.err = fmt.Errorf("unknown message %q", f.name())
 	}
 }
 
-func (n *instance) listed(d dispatch.EventHandler, f *fields, list []record) {
+func (n *instance) handleDiscovery(d dispatch.EventHandler, f *message, list []listEntry) {
 	var form dispatch.ListType
-	switch kind := string(f.text("form")); kind {
+	switch kind := string(f.required("form")); kind {
 	case "update":
 		form = dispatch.ListChanges
 	case "replace":
@@ -363,7 +363,7 @@
 		f.fail("form", "is unknown")
 	}
 	if form != dispatch.ListUnavailable {
-		f.text("set_id")
+		f.required("set_id")
 	}
 	if f.err != nil {
 		return
@@ -371,7 +371,7 @@
 	entries := n.host.entries[:0]
 	for _, r := range list {
 		e := r.entry
-		e.Zone, e.Kind = find(n.names.Zones, []byte(r.zone)), find(n.names.Kinds, []byte(r.kind))
+		e.Zone, e.Kind = indexOf(n.names.Zones, []byte(r.zone)), indexOf(n.names.Kinds, []byte(r.kind))
 		entries = append(entries, e)
 	}
 	n.host.entries = entries
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const configure = "configure\ti=3\tnonce64=5\tgranularity=1000\tsiblings=1\tallowed.max_hand_offs=3\tallowed.may_cancel=true\t" +
+const configureLine = "configure\ti=3\tnonce64=5\tgranularity=1000\tsiblings=1\tallowed.max_hand_offs=3\tallowed.may_cancel=true\t" +
 	"allowed.retry_after=true\tallowed.max_retry_after=2000000\tcategories.count=1\tcategories.0.name=plan\t" +
 	"categories.0.semantics=repeatable\tcategories.0.due_time=300000\tcategories.0.expiry=5000000\tdiscovery=push\t" +
 	"family_info.tells_start=true\tlocalities=a,b\tlocality=a\tmachine_types=twin\tsafety.answer_slack=20000\t" +
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	if err := Serve(strings.NewReader(strings.ReplaceAll(string(in), "CONFIGURE\n", configure)), &out); err != nil {
+	if err := Serve(strings.NewReader(strings.ReplaceAll(string(in), "CONFIGURE\n", configureLine)), &out); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(want), out.String()); diff != "" {
@@ -45,12 +45,12 @@
 		{clock + "power_off\ti=4\n", "line 2: instance 4 was never configured"},
 		{clock + "client_left\ti=4\tjob=1\n", "line 2: instance 4 is not configured"},
 		{clock + "configure\ti=3\tnonce64=5\n", "line 2: configure: categories.count is missing"},
-		{clock + strings.TrimSuffix(configure, "\n") + "\tsafety.only_draining_binds=maybe\n", "line 2: configure: safety.only_draining_binds is neither true nor false"},
-		{clock + configure + "dance\ti=3\ncommit\n", `line 3: unknown message "dance"`},
-		{clock + configure + "req\ti=3\tjob=1\tlane=other\ttime_left=5\ncommit\n", "line 3: req: lane is not a known category"},
-		{clock + configure + "req\ti=3\tjob=1\tlane=plan\ncommit\n", "line 3: req: time_left is missing"},
-		{clock + configure + "reply\ti=3\tjob=1\tshot=0\tworker=w\tstatus=Odd\tspent=1\ncommit\n", "line 3: reply: status is unknown"},
-		{clock + configure + "heard\ti=3\tsrc_peer=0\tcontents=zz\ncommit\n", "line 3: heard: contents is not hex"},
+		{clock + strings.TrimSuffix(configureLine, "\n") + "\tsafety.only_draining_binds=maybe\n", "line 2: configure: safety.only_draining_binds is neither true nor false"},
+		{clock + configureLine + "dance\ti=3\ncommit\n", `line 3: unknown message "dance"`},
+		{clock + configureLine + "req\ti=3\tjob=1\tlane=other\ttime_left=5\ncommit\n", "line 3: req: lane is not a known category"},
+		{clock + configureLine + "req\ti=3\tjob=1\tlane=plan\ncommit\n", "line 3: req: time_left is missing"},
+		{clock + configureLine + "reply\ti=3\tjob=1\tshot=0\tworker=w\tstatus=Odd\tspent=1\ncommit\n", "line 3: reply: status is unknown"},
+		{clock + configureLine + "heard\ti=3\tsrc_peer=0\tcontents=zz\ncommit\n", "line 3: heard: contents is not hex"},
 		{clock + "inventory\tset_id=0\trecords=1\ncommit\n", `line 3: want a list entry m, got "commit"`},
 		{clock + "inventory\tset_id=16\trecords=0\n", "line 2: inventory: set_id or records is out of range"},
 	} {
--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -53,11 +53,11 @@
 // Lock holds a folder by a file in it; the hold ends with the process.
 func (Disk) Lock(name string) (io.Closer, error) {
 	l := flock.New(name)
-	got, err := l.TryLock()
+	acquired, err := l.TryLock()
 	if err != nil {
 		return nil, fmt.Errorf("lock: %w", err)
 	}
-	if !got {
+	if !acquired {
 		return nil, ErrLocked
 	}
 	return l, nil
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -45,15 +45,15 @@
 
 // The form of a segment.
 const (
-	magic      = 0x4c444c57 // WLDL
-	version    = 1
-	headSize   = 16
-	recordHead = 16
+	magic             = 0x4c444c57 // WLDL
+	formatVersion     = 1
+	segmentHeaderSize = 16
+	recordHeaderSize  = 16
 	// MostRecord is how long one record's content may be, in bytes.
 	MaxRecordBytes = 1 << 20
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // What opening or reading may end with.
 var (
@@ -76,25 +76,25 @@
 
 // Ledger takes records. Its methods may be called from any goroutine.
 type Log struct {
-	fs    FS
-	dir   string
-	o     Options
-	lock  io.Closer
-	write sync.Mutex // held by the one that writes
+	fs      FS
+	dir     string
+	opts    Options
+	dirLock io.Closer
+	writeMu sync.Mutex // held by the one that writes
 
-	mu       sync.Mutex
-	waiting  []*group
-	failed   error // the disk's last word; nil: it works
-	closed   bool
-	next     uint64
-	segments []uint64 // numbers of their first records, the last is written to
-	file     File
-	size     int64
-	buf      []byte
+	mu         sync.Mutex
+	pending    []*batch
+	lastErr    error // the disk's last word; nil: it works
+	closed     bool
+	nextNumber uint64
+	segments   []uint64 // numbers of their first records, the last is written to
+	file       File
+	fileSize   int64
+	buf        []byte
 }
 
 // group is what one caller wants durable together.
-type group struct {
+type batch struct {
 	contents [][]byte
 	first    uint64
 	done     chan struct{}
@@ -103,29 +103,29 @@
 
 // Open takes the folder for this process and reads all that is whole, in order. A torn end is cut off; damage in front
 // of whole records, a newer version or another process's hold is an error, and changes nothing.
-func Open(disk FS, dir string, o Options, each func(Record) error) (*Log, error) {
-	if o.SegmentBytes <= 0 {
-		o.SegmentBytes = 16 << 20
+func Open(disk FS, dir string, opts Options, visit func(Record) error) (*Log, error) {
+	if opts.SegmentBytes <= 0 {
+		opts.SegmentBytes = 16 << 20
 	}
-	if o.MaxSegments <= 0 {
-		o.MaxSegments = 64
+	if opts.MaxSegments <= 0 {
+		opts.MaxSegments = 64
 	}
 	lock, err := disk.Lock(path.Join(dir, "LOCK"))
 	if err != nil {
 		return nil, fmt.Errorf("ledger %s: %w", dir, err)
 	}
-	l := &Log{fs: disk, dir: dir, o: o, lock: lock, next: 1}
-	if err := l.read(each); err != nil {
+	l := &Log{fs: disk, dir: dir, opts: opts, dirLock: lock, nextNumber: 1}
+	if err := l.replay(visit); err != nil {
 		lock.Close()
 		return nil, fmt.Errorf("ledger %s: %w", dir, err)
 	}
 	return l, nil
 }
 
-func name(first uint64) string { return fmt.Sprintf("%010d.seg", first) }
+func segmentName(first uint64) string { return fmt.Sprintf("%010d.seg", first) }
 
 // list gives the first numbers of all segments, in order.
-func list(disk FS, dir string) (firsts []uint64, err error) {
+func listSegments(disk FS, dir string) (firsts []uint64, err error) {
 	names, err := disk.List(dir)
 	if err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 			continue
 		}
 		first, err := strconv.ParseUint(digits, 10, 64)
-		if err != nil || name(first) != n {
+		if err != nil || segmentName(first) != n {
 			return nil, fmt.Errorf("%s: %w: it is no name of ours", n, ErrCorrupt)
 		}
 		firsts = append(firsts, first)
@@ -146,133 +146,133 @@
 }
 
 // read goes through all segments and leaves the last one open to write.
-func (l *Log) read(each func(Record) error) error {
-	firsts, err := list(l.fs, l.dir)
+func (l *Log) replay(visit func(Record) error) error {
+	firsts, err := listSegments(l.fs, l.dir)
 	if err != nil {
 		return err
 	}
 	for k, first := range firsts {
-		if k > 0 && first != l.next {
-			return fmt.Errorf("%s: %w: %d comes after %d", name(first), ErrCorrupt, first, l.next-1)
+		if k > 0 && first != l.nextNumber {
+			return fmt.Errorf("%s: %w: %d comes after %d", segmentName(first), ErrCorrupt, first, l.nextNumber-1)
 		}
-		l.next = first
-		f, err := l.fs.Open(path.Join(l.dir, name(first)))
+		l.nextNumber = first
+		f, err := l.fs.Open(path.Join(l.dir, segmentName(first)))
 		if err != nil {
 			return err
 		}
-		text, err := io.ReadAll(f)
+		data, err := io.ReadAll(f)
 		if err != nil {
 			f.Close()
 			return err
 		}
-		whole, err := ScanSegment(text, first, func(r Record) error {
-			l.next = r.Number + 1
-			return each(r)
+		validSize, err := ScanSegment(data, first, func(r Record) error {
+			l.nextNumber = r.Number + 1
+			return visit(r)
 		})
 		last := k == len(firsts)-1
-		torn := errors.Is(err, errTorn)
+		torn := errors.Is(err, errTornTail)
 		if torn && !last {
 			err = fmt.Errorf("%w: it ends early, others follow", ErrCorrupt)
 		}
 		if err != nil && !torn || torn && !last {
 			f.Close()
-			return fmt.Errorf("%s: %w", name(first), err)
+			return fmt.Errorf("%s: %w", segmentName(first), err)
 		}
 		if !last {
 			f.Close()
 			l.segments = append(l.segments, first)
-			l.size = whole // where it ends, should the one behind it turn out to hold nothing
+			l.fileSize = validSize // where it ends, should the one behind it turn out to hold nothing
 			continue
 		}
-		if whole < headSize { // the crash came before its head was written: it holds nothing
+		if validSize < segmentHeaderSize { // the crash came before its head was written: it holds nothing
 			f.Close()
-			if err := l.fs.Remove(path.Join(l.dir, name(first))); err != nil {
+			if err := l.fs.Remove(path.Join(l.dir, segmentName(first))); err != nil {
 				return err
 			}
 			break
 		}
-		if whole < int64(len(text)) {
-			if err := errors.Join(f.Truncate(whole), f.Sync()); err != nil {
+		if validSize < int64(len(data)) {
+			if err := errors.Join(f.Truncate(validSize), f.Sync()); err != nil {
 				f.Close()
 				return err
 			}
 		}
 		l.segments = append(l.segments, first)
-		l.file, l.size = f, whole
+		l.file, l.fileSize = f, validSize
 	}
 	return nil
 }
 
 // errTorn is an end in the midst of a record, or of the head, with nothing whole after it.
-var errTorn = errors.New("torn")
+var errTornTail = errors.New("torn")
 
 // Scan reads one segment's text: it calls each for every whole record and returns how many bytes are whole. What
 // follows them is torn (a crash's doing) or, if a whole record stands behind, damage.
-func ScanSegment(text []byte, first uint64, each func(Record) error) (whole int64, err error) {
-	if len(text) < headSize {
-		return 0, errTorn
+func ScanSegment(data []byte, first uint64, visit func(Record) error) (validSize int64, err error) {
+	if len(data) < segmentHeaderSize {
+		return 0, errTornTail
 	}
-	if binary.LittleEndian.Uint32(text) != magic {
-		if allZero(text) { // its blocks were never written
-			return 0, errTorn
+	if binary.LittleEndian.Uint32(data) != magic {
+		if allZero(data) { // its blocks were never written
+			return 0, errTornTail
 		}
 		return 0, fmt.Errorf("%w: it is no segment", ErrCorrupt)
 	}
-	if v := binary.LittleEndian.Uint32(text[4:]); v != version {
-		if v > version {
+	if v := binary.LittleEndian.Uint32(data[4:]); v != formatVersion {
+		if v > formatVersion {
 			return 0, fmt.Errorf("version %d: %w", v, ErrNewerVersion)
 		}
 		return 0, fmt.Errorf("%w: version %d", ErrCorrupt, v)
 	}
-	if n := binary.LittleEndian.Uint64(text[8:]); n != first {
+	if n := binary.LittleEndian.Uint64(data[8:]); n != first {
 		return 0, fmt.Errorf("%w: its head says %d", ErrCorrupt, n)
 	}
-	at := headSize
-	for number := first; at < len(text); number++ {
-		content, next := parse(text, at, number)
+	offset := segmentHeaderSize
+	for number := first; offset < len(data); number++ {
+		content, next := parseRecord(data, offset, number)
 		if next == 0 {
-			if found := wholeAfter(text, at+1, number); found > 0 {
-				return int64(at), fmt.Errorf("%w at byte %d: record %d is not whole, record %d behind it is", ErrCorrupt, at, number, found)
+			if later := findValidRecordAfter(data, offset+1, number); later > 0 {
+				return int64(offset), fmt.Errorf("%w at byte %d: record %d is not whole, record %d behind it is", ErrCorrupt, offset, number, later)
 			}
-			return int64(at), errTorn
+			return int64(offset), errTornTail
 		}
-		if err := each(Record{number, content}); err != nil {
-			return int64(at), err
+		if err := visit(Record{number, content}); err != nil {
+			return int64(offset), err
 		}
-		at = next
+		offset = next
 	}
-	return int64(at), nil
+	return int64(offset), nil
 }
 
-func allZero(text []byte) bool {
-	return !slices.ContainsFunc(text, func(b byte) bool { return b != 0 })
+func allZero(data []byte) bool {
+	return !slices.ContainsFunc(data, func(b byte) bool { return b != 0 })
 }
 
 // parse reads the record at a place; next is 0 if none of that number is whole there.
-func parse(text []byte, at int, number uint64) (content []byte, next int) {
-	if len(text)-at < recordHead {
+func parseRecord(data []byte, offset int, number uint64) (content []byte, end int) {
+	if len(data)-offset < recordHeaderSize {
 		return nil, 0
 	}
-	size := binary.LittleEndian.Uint32(text[at:])
-	if size > MaxRecordBytes || len(text)-at-recordHead < int(size) || binary.LittleEndian.Uint64(text[at+8:]) != number {
+	size := binary.LittleEndian.Uint32(data[offset:])
+	if size > MaxRecordBytes || len(data)-offset-recordHeaderSize < int(size) || binary.LittleEndian.Uint64(data[offset+8:]) != number {
 		return nil, 0
 	}
-	next = at + recordHead + int(size)
-	if crc32.Checksum(text[at+8:next], table) != binary.LittleEndian.Uint32(text[at+4:]) {
+	end = offset + recordHeaderSize + int(size)
+	if crc32.Checksum(data[offset+8:end], crcTable) != binary.LittleEndian.Uint32(data[offset+4:]) {
 		return nil, 0
 	}
-	return text[at+recordHead : next], next
+	return data[offset+recordHeaderSize : end], end
 }
 
 // wholeAfter looks for any whole record of a later number; 0: none. A group that was torn in the midst can leave none:
 // its records come after the tear only if the disk wrote them out of order, and then none of it was told durable.
-func wholeAfter(text []byte, from int, number uint64) uint64 {
-	for at := from; at+recordHead <= len(text); at++ {
-		n := binary.LittleEndian.Uint64(text[at+8:])
-		if n <= number || n > number+uint64(len(text)/recordHead) {
+func findValidRecordAfter(data []byte, from int, number uint64) uint64 {
+	for offset := from; offset+recordHeaderSize <= len(data); offset++ {
+		n := binary.LittleEndian.Uint64(data[offset+8:])
+		if n <= number || n > number+uint64(len(data)/recordHeaderSize) {
 			continue
 		}
-		if _, next := parse(text, at, n); next > 0 {
+		if _, end := parseRecord(data, offset, n); end > 0 {
 			return n
 		}
 	}
@@ -288,34 +288,34 @@
 			return 0, fmt.Errorf("a record of %d bytes: at most %d", len(c), MaxRecordBytes)
 		}
 	}
-	g := &group{contents: contents, done: make(chan struct{})}
+	b := &batch{contents: contents, done: make(chan struct{})}
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
 		return 0, ErrClosed
 	}
-	l.waiting = append(l.waiting, g)
+	l.pending = append(l.pending, b)
 	l.mu.Unlock()
-	l.write.Lock() // while another writes, more gather here, and the next to come in writes for all
+	l.writeMu.Lock() // while another writes, more gather here, and the next to come in writes for all
 	select {
-	case <-g.done:
+	case <-b.done:
 	default:
 		l.commit()
 	}
-	l.write.Unlock()
-	return g.first, g.err
+	l.writeMu.Unlock()
+	return b.first, b.err
 }
 
 // commit writes all that waits with one sync.
 func (l *Log) commit() {
 	l.mu.Lock()
-	all := l.waiting
-	l.waiting = nil
+	batches := l.pending
+	l.pending = nil
 	l.mu.Unlock()
-	err := l.room()
-	number := l.next
+	err := l.ensureSegment()
+	number := l.nextNumber
 	l.buf = l.buf[:0]
-	for _, g := range all {
+	for _, g := range batches {
 		g.first = number
 		for _, c := range g.contents {
 			l.buf = appendRecord(l.buf, number, c)
@@ -327,16 +327,16 @@
 			err = l.file.Sync()
 		}
 		if err == nil {
-			l.size += int64(len(l.buf))
-			l.next = number
+			l.fileSize += int64(len(l.buf))
+			l.nextNumber = number
 		} else {
-			l.spoilt()
+			l.abandonSegment()
 		}
 	}
 	l.mu.Lock()
-	l.failed = err
+	l.lastErr = err
 	l.mu.Unlock()
-	for _, g := range all {
+	for _, g := range batches {
 		if g.err = err; err != nil {
 			g.err = fmt.Errorf("ledger: %w", err)
 		}
@@ -347,30 +347,30 @@
 // spoilt gives up a segment whose write or sync failed: what it holds behind the last durable record is not known, and
 // a sync that failed once may tell nothing true the next time. It is cut there if the disk still lets us, and no longer
 // written to in either case.
-func (l *Log) spoilt() {
-	_ = l.file.Truncate(l.size) // if not, room makes sure before anything else is written
+func (l *Log) abandonSegment() {
+	_ = l.file.Truncate(l.fileSize) // if not, room makes sure before anything else is written
 	_ = l.file.Sync()
 	l.file.Close()
 	l.file = nil
 }
 
 // room opens a segment to write to: the next one where the last is full or was given up.
-func (l *Log) room() error {
-	if l.file != nil && l.size < l.o.SegmentBytes {
+func (l *Log) ensureSegment() error {
+	if l.file != nil && l.fileSize < l.opts.SegmentBytes {
 		return nil
 	}
 	if l.file == nil && len(l.segments) > 0 { // given up: it must end where it is known to be whole
-		last := path.Join(l.dir, name(l.segments[len(l.segments)-1]))
-		f, err := l.fs.Open(last)
+		lastPath := path.Join(l.dir, segmentName(l.segments[len(l.segments)-1]))
+		f, err := l.fs.Open(lastPath)
 		if err != nil {
 			return err
 		}
-		err = errors.Join(f.Truncate(l.size), f.Sync(), f.Close())
+		err = errors.Join(f.Truncate(l.fileSize), f.Sync(), f.Close())
 		if err != nil {
 			return err
 		}
-		if l.segments[len(l.segments)-1] == l.next { // it holds nothing: its name is needed again
-			if err := l.fs.Remove(last); err != nil {
+		if l.segments[len(l.segments)-1] == l.nextNumber { // it holds nothing: its name is needed again
+			if err := l.fs.Remove(lastPath); err != nil {
 				return err
 			}
 			l.segments = l.segments[:len(l.segments)-1]
@@ -382,29 +382,29 @@
 		}
 		l.file = nil
 	}
-	at := path.Join(l.dir, name(l.next))
-	f, err := l.fs.Create(at)
+	segmentPath := path.Join(l.dir, segmentName(l.nextNumber))
+	f, err := l.fs.Create(segmentPath)
 	if errors.Is(err, fs.ErrExist) { // left by a try that failed: no record in it was told durable
-		if err = l.fs.Remove(at); err == nil {
-			f, err = l.fs.Create(at)
+		if err = l.fs.Remove(segmentPath); err == nil {
+			f, err = l.fs.Create(segmentPath)
 		}
 	}
 	if err != nil {
 		return err
 	}
-	head := binary.LittleEndian.AppendUint32(nil, magic)
-	head = binary.LittleEndian.AppendUint32(head, version)
-	head = binary.LittleEndian.AppendUint64(head, l.next)
-	_, err = f.Write(head)
+	header := binary.LittleEndian.AppendUint32(nil, magic)
+	header = binary.LittleEndian.AppendUint32(header, formatVersion)
+	header = binary.LittleEndian.AppendUint64(header, l.nextNumber)
+	_, err = f.Write(header)
 	if err = errors.Join(err, f.Sync(), l.fs.SyncDir(l.dir)); err != nil {
 		f.Close()
-		_ = l.fs.Remove(at) // else the next try does: a head that is torn holds nothing
+		_ = l.fs.Remove(segmentPath) // else the next try does: a head that is torn holds nothing
 		return err
 	}
-	l.file, l.size = f, headSize
-	l.segments = append(l.segments, l.next)
-	for len(l.segments) > l.o.MaxSegments {
-		if err := l.fs.Remove(path.Join(l.dir, name(l.segments[0]))); err != nil {
+	l.file, l.fileSize = f, segmentHeaderSize
+	l.segments = append(l.segments, l.nextNumber)
+	for len(l.segments) > l.opts.MaxSegments {
+		if err := l.fs.Remove(path.Join(l.dir, segmentName(l.segments[0]))); err != nil {
 			return err
 		}
 		l.segments = l.segments[1:]
@@ -414,11 +414,11 @@
 
 func appendRecord(buf []byte, number uint64, content []byte) []byte {
 	buf = binary.LittleEndian.AppendUint32(buf, uint32(len(content)))
-	sum := len(buf)
+	sumOffset := len(buf)
 	buf = binary.LittleEndian.AppendUint32(buf, 0)
 	buf = binary.LittleEndian.AppendUint64(buf, number)
 	buf = append(buf, content...)
-	binary.LittleEndian.PutUint32(buf[sum:], crc32.Checksum(buf[sum+4:], table))
+	binary.LittleEndian.PutUint32(buf[sumOffset:], crc32.Checksum(buf[sumOffset+4:], crcTable))
 	return buf
 }
 
@@ -426,7 +426,7 @@
 func (l *Log) LastError() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.failed
+	return l.lastErr
 }
 
 // Close lets the folder go. What waits is written first.
@@ -438,14 +438,14 @@
 	}
 	l.closed = true
 	l.mu.Unlock()
-	l.write.Lock()
-	defer l.write.Unlock()
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	var err error
 	if l.file != nil {
 		err = l.file.Close()
 		l.file = nil
 	}
-	if err = errors.Join(err, l.lock.Close()); err != nil {
+	if err = errors.Join(err, l.dirLock.Close()); err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
 	return nil
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -15,25 +15,25 @@
 )
 
 // memory is a file system that forgets at a crash what was not synced, and fails or tears the call of a number.
-type memory struct {
-	files map[string]*data // by name; what is durable of the folder itself is in kept
-	kept  map[string]*data
-	calls int
-	fail  int // this call fails; 0: none
-	tear  int // a write that fails has written so many bytes
-	span  int // so many calls in a row fail, beginning with it
-	held  bool
+type memFS struct {
+	files        map[string]*memFile // by name; what is durable of the folder itself is in kept
+	synced       map[string]*memFile
+	calls        int
+	failAt       int // this call fails; 0: none
+	partialWrite int // a write that fails has written so many bytes
+	failCount    int // so many calls in a row fail, beginning with it
+	locked       bool
 }
 
-type data struct{ now, durable []byte }
+type memFile struct{ content, durable []byte }
 
 var errDisk = errors.New("the disk says no")
 
-func newMemory() *memory { return &memory{files: map[string]*data{}, kept: map[string]*data{}} }
+func newMemFS() *memFS { return &memFS{files: map[string]*memFile{}, synced: map[string]*memFile{}} }
 
-func (m *memory) call() error {
+func (m *memFS) call() error {
 	m.calls++
-	if m.fail > 0 && m.calls >= m.fail && m.calls < m.fail+m.span {
+	if m.failAt > 0 && m.calls >= m.failAt && m.calls < m.failAt+m.failCount {
 		return errDisk
 	}
 	return nil
@@ -41,120 +41,120 @@
 
 // crash leaves what is durable, and of the rest of each file as many bytes as torn says; with names also files whose
 // names were not synced yet.
-func (m *memory) crash(torn int, names bool) {
-	m.held, m.fail = false, 0
-	if names {
+func (m *memFS) crash(unsyncedBytes int, keepNames bool) {
+	m.locked, m.failAt = false, 0
+	if keepNames {
 		for n, d := range m.files {
-			m.kept[n] = d
+			m.synced[n] = d
 		}
 	}
-	m.files = map[string]*data{}
-	for n, d := range m.kept {
+	m.files = map[string]*memFile{}
+	for n, d := range m.synced {
 		text := d.durable
-		if len(d.now) > len(text) && strings.HasPrefix(string(d.now), string(text)) {
-			text = d.now[:min(len(text)+torn, len(d.now))]
+		if len(d.content) > len(text) && strings.HasPrefix(string(d.content), string(text)) {
+			text = d.content[:min(len(text)+unsyncedBytes, len(d.content))]
 		}
-		c := &data{append([]byte(nil), text...), append([]byte(nil), text...)}
+		c := &memFile{append([]byte(nil), text...), append([]byte(nil), text...)}
 		m.files[n] = c
 	}
-	m.kept = map[string]*data{}
+	m.synced = map[string]*memFile{}
 	for n, d := range m.files {
-		m.kept[n] = d
+		m.synced[n] = d
 	}
 }
 
-type handle struct {
-	m  *memory
-	d  *data
-	at int
+type memHandle struct {
+	fs     *memFS
+	file   *memFile
+	offset int
 }
 
-func (m *memory) Create(n string) (File, error) {
+func (m *memFS) Create(n string) (File, error) {
 	if m.files[n] != nil {
 		return nil, fs.ErrExist
 	}
 	if err := m.call(); err != nil {
 		return nil, err
 	}
-	m.files[n] = &data{}
-	return &handle{m: m, d: m.files[n]}, nil
+	m.files[n] = &memFile{}
+	return &memHandle{fs: m, file: m.files[n]}, nil
 }
-func (m *memory) Open(n string) (File, error) {
+func (m *memFS) Open(n string) (File, error) {
 	if m.files[n] == nil {
 		return nil, fs.ErrNotExist
 	}
-	return &handle{m: m, d: m.files[n]}, m.call()
+	return &memHandle{fs: m, file: m.files[n]}, m.call()
 }
-func (m *memory) Remove(n string) error {
+func (m *memFS) Remove(n string) error {
 	if err := m.call(); err != nil {
 		return err
 	}
 	delete(m.files, n)
-	delete(m.kept, n)
+	delete(m.synced, n)
 	return nil
 }
-func (m *memory) List(string) (names []string, err error) {
+func (m *memFS) List(string) (names []string, err error) {
 	for n := range m.files {
 		names = append(names, filepath.Base(n))
 	}
 	return names, nil
 }
-func (m *memory) SyncDir(string) error {
+func (m *memFS) SyncDir(string) error {
 	if err := m.call(); err != nil {
 		return err
 	}
 	for n, d := range m.files {
-		m.kept[n] = d
+		m.synced[n] = d
 	}
 	return nil
 }
-func (m *memory) Lock(string) (io.Closer, error) {
-	if m.held {
+func (m *memFS) Lock(string) (io.Closer, error) {
+	if m.locked {
 		return nil, ErrLocked
 	}
-	m.held = true
-	return &unlock{m}, nil
+	m.locked = true
+	return &memLock{m}, nil
 }
 
-type unlock struct{ m *memory }
+type memLock struct{ m *memFS }
 
-func (u *unlock) Close() error { u.m.held = false; return nil }
+func (u *memLock) Close() error { u.m.locked = false; return nil }
 
-func (h *handle) Read(p []byte) (int, error) {
-	if h.at >= len(h.d.now) {
+func (h *memHandle) Read(p []byte) (int, error) {
+	if h.offset >= len(h.file.content) {
 		return 0, io.EOF
 	}
-	n := copy(p, h.d.now[h.at:])
-	h.at += n
+	n := copy(p, h.file.content[h.offset:])
+	h.offset += n
 	return n, nil
 }
-func (h *handle) Write(p []byte) (int, error) {
-	if err := h.m.call(); err != nil {
-		n := min(h.m.tear, len(p))
-		h.d.now = append(h.d.now, p[:n]...)
+func (h *memHandle) Write(p []byte) (int, error) {
+	if err := h.fs.call(); err != nil {
+		n := min(h.fs.partialWrite, len(p))
+		h.file.content = append(h.file.content, p[:n]...)
 		return n, err
 	}
-	h.d.now = append(h.d.now, p...)
+	h.file.content = append(h.file.content, p...)
 	return len(p), nil
 }
-func (h *handle) Sync() error {
-	if err := h.m.call(); err != nil {
+func (h *memHandle) Sync() error {
+	if err := h.fs.call(); err != nil {
 		return err
 	}
-	h.d.durable = append([]byte(nil), h.d.now...)
+	h.file.durable = append([]byte(nil), h.file.content...)
 	return nil
 }
-func (h *handle) Truncate(size int64) error {
-	if err := h.m.call(); err != nil {
+func (h *memHandle) Truncate(size int64) error {
+	if err := h.fs.call(); err != nil {
 		return err
 	}
-	h.d.now = append([]byte(nil), h.d.now[:min(int(size), len(h.d.now))]...)
+	h.file.content = append([]byte(nil), h.file.content[:min(int(size), len(h.file.content))]...)
 	return nil
 }
-func (h *handle) Close() error { return nil }
+func (h *memHandle) Close() error { return nil }
 
 // read opens a ledger and gives what it holds.
-func read(t *testing.T, disk FS, o Options) (*Log, []string) {
+func openLog(t *testing.T, disk FS, o Options) (*Log, []string) {
 	t.Helper()
 	var all []string
 	l, err := Open(disk, "d", o, func(r Record) error {
@@ -167,50 +167,50 @@
 	return l, all
 }
 
-var small = Options{SegmentBytes: 120, MaxSegments: 100}
+var smallSegments = Options{SegmentBytes: 120, MaxSegments: 100}
 
 // script appends until it has made a number of groups, and gives what was told durable.
-func script(l *Log, from int) (told []string) {
+func appendPairs(l *Log, from int) (acked []string) {
 	for k := from; k < from+8; k++ {
 		a, b := fmt.Sprintf("a%d", k), fmt.Sprintf("b%d", k)
 		if first, err := l.Append([]byte(a), []byte(b)); err == nil {
-			told = append(told, fmt.Sprintf("%d %s", first, a), fmt.Sprintf("%d %s", first+1, b))
+			acked = append(acked, fmt.Sprintf("%d %s", first, a), fmt.Sprintf("%d %s", first+1, b))
 		}
 	}
-	return told
+	return acked
 }
 
 // TestEveryCallFails: each call to the disk in turn fails once, or from then on; writes leave each part of what they were
 // to write. Whatever was told durable is there after the crash, in its order, and what else is there was asked for.
-func TestEveryCallFails(t *testing.T) {
-	whole := newMemory()
-	l, _ := read(t, whole, small)
-	script(l, 0)
-	total := whole.calls
+func TestDiskFaultAtEachCall(t *testing.T) {
+	faultless := newMemFS()
+	l, _ := openLog(t, faultless, smallSegments)
+	appendPairs(l, 0)
+	total := faultless.calls
 	if total < 20 {
 		t.Fatalf("only %d calls", total)
 	}
 	for call := 1; call <= total; call++ {
-		for _, tear := range []int{0, 1, 15, 16, 17, 19, 30, 1000} {
-			for _, span := range []int{1, 2, 3, 5, 1e6} {
-				for _, torn := range []int{0, 7, 18, 1000} {
-					m := newMemory()
-					m.tear, m.fail, m.span = tear, call, span
-					l, _ := read(t, m, small)
-					told := script(l, 0)
-					if span < 6 && len(told) < 16-2*span {
-						t.Fatalf("call %d: only %d told durable: it does not come back by itself", call, len(told))
+		for _, partialWrite := range []int{0, 1, 15, 16, 17, 19, 30, 1000} {
+			for _, failCount := range []int{1, 2, 3, 5, 1e6} {
+				for _, unsyncedBytes := range []int{0, 7, 18, 1000} {
+					m := newMemFS()
+					m.partialWrite, m.failAt, m.failCount = partialWrite, call, failCount
+					l, _ := openLog(t, m, smallSegments)
+					acked := appendPairs(l, 0)
+					if failCount < 6 && len(acked) < 16-2*failCount {
+						t.Fatalf("call %d: only %d told durable: it does not come back by itself", call, len(acked))
 					}
-					m.crash(torn, torn != 18)
-					l, found := read(t, m, small)
-					holds(t, fmt.Sprintf("call %d tear %d span %d torn %d", call, tear, span, torn), told, found)
-					more := script(l, 100) // and it goes on
+					m.crash(unsyncedBytes, unsyncedBytes != 18)
+					l, found := openLog(t, m, smallSegments)
+					checkAcked(t, fmt.Sprintf("call %d tear %d span %d torn %d", call, partialWrite, failCount, unsyncedBytes), acked, found)
+					more := appendPairs(l, 100) // and it goes on
 					if len(more) != 16 {
 						t.Fatalf("call %d: after the crash %d of 16", call, len(more))
 					}
 					m.crash(0, false)
-					_, again := read(t, m, small)
-					holds(t, fmt.Sprintf("call %d, second start", call), append(told, more...), again)
+					_, again := openLog(t, m, smallSegments)
+					checkAcked(t, fmt.Sprintf("call %d, second start", call), append(acked, more...), again)
 				}
 			}
 		}
@@ -218,41 +218,41 @@
 }
 
 // holds tells whether all that was told is found, in order, each number once.
-func holds(t *testing.T, what string, told, found []string) {
+func checkAcked(t *testing.T, context string, acked, found []string) {
 	t.Helper()
 	k := 0
 	for n, f := range found {
-		if k < len(told) && told[k] == f {
+		if k < len(acked) && acked[k] == f {
 			k++
 		}
 		var number int
 		var content string
 		if _, err := fmt.Sscan(f, &number, &content); err != nil || number != n+1 || content == "" {
-			t.Fatalf("%s: found %v", what, found)
+			t.Fatalf("%s: found %v", context, found)
 		}
 	}
-	if k < len(told) {
-		t.Fatalf("%s: told %v, found %v", what, told, found)
+	if k < len(acked) {
+		t.Fatalf("%s: told %v, found %v", context, acked, found)
 	}
 }
 
 // TestDamage: a bit flipped anywhere but in the last record is told as damage, and nothing is changed by looking.
-func TestDamage(t *testing.T) {
-	m := newMemory()
-	l, _ := read(t, m, Options{})
-	script(l, 0)
+func TestBitFlipIsDetected(t *testing.T) {
+	m := newMemFS()
+	l, _ := openLog(t, m, Options{})
+	appendPairs(l, 0)
 	m.crash(0, false)
 	var file string
 	for n := range m.files {
 		file = n
 	}
-	good := append([]byte(nil), m.files[file].now...)
-	last := len(good) - recordHead - 2 // the last record's first byte
+	good := append([]byte(nil), m.files[file].content...)
+	last := len(good) - recordHeaderSize - 2 // the last record's first byte
 	for at := range good {
 		text := append([]byte(nil), good...)
 		text[at] ^= 0x10
-		m.files[file] = &data{text, text}
-		m.held = false
+		m.files[file] = &memFile{text, text}
+		m.locked = false
 		n := 0
 		_, err := Open(m, "d", Options{}, func(Record) error { n++; return nil })
 		switch {
@@ -263,17 +263,17 @@
 		case at >= 4 && at < 8 && errors.Is(err, ErrNewerVersion):
 		case !errors.Is(err, ErrCorrupt):
 			t.Errorf("byte %d: %v", at, err)
-		case cmp.Diff(text, m.files[file].now) != "":
+		case cmp.Diff(text, m.files[file].content) != "":
 			t.Errorf("byte %d: the file was changed", at)
 		}
 	}
 }
 
 // TestForgets: the oldest segments go, numbers go on.
-func TestForgets(t *testing.T) {
-	m := newMemory()
+func TestRemovesOldestSegments(t *testing.T) {
+	m := newMemFS()
 	o := Options{SegmentBytes: 100, MaxSegments: 3}
-	l, _ := read(t, m, o)
+	l, _ := openLog(t, m, o)
 	for k := range 100 {
 		if _, err := l.Append([]byte(fmt.Sprint(k))); err != nil {
 			t.Fatal(err)
@@ -285,14 +285,14 @@
 	if _, err := l.Append([]byte("x")); !errors.Is(err, ErrClosed) {
 		t.Errorf("closed: %v", err)
 	}
-	_, found := read(t, m, o)
+	_, found := openLog(t, m, o)
 	if len(m.files) != 3 || found[len(found)-1] != "100 99" || len(found) > 15 {
 		t.Errorf("%d files, %v", len(m.files), found)
 	}
 }
 
 // TestDisk: on the real file system, from many goroutines with groups shared, held against a second process, read again.
-func TestDisk(t *testing.T) {
+func TestConcurrentAppendsOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	l, err := Open(Disk{}, dir, Options{SegmentBytes: 20000}, func(Record) error { return nil })
 	if err != nil {
@@ -303,7 +303,7 @@
 	}
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	told := map[uint64]string{}
+	acked := map[uint64]string{}
 	for w := range 16 {
 		wait.Go(func() {
 			for k := range 100 {
@@ -313,7 +313,7 @@
 					t.Error(err)
 				}
 				mu.Lock()
-				told[n] = text
+				acked[n] = text
 				mu.Unlock()
 			}
 		})
@@ -328,7 +328,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if diff := cmp.Diff(told, found); diff != "" || len(found) != 1600 {
+	if diff := cmp.Diff(acked, found); diff != "" || len(found) != 1600 {
 		t.Errorf("(-told +found):\n%s", diff)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "odd.seg"), nil, 0o600); err != nil {
@@ -340,16 +340,16 @@
 }
 
 // FuzzScan: no text makes it fail otherwise than by its errors, and what it calls whole reads the same again.
-func FuzzScan(f *testing.F) {
+func FuzzScanSegment(f *testing.F) {
 	text := appendRecord(nil, 1, []byte("hello"))
 	f.Add(append([]byte("WLDL\x01\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00"), text...))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		n := 0
 		whole, err := ScanSegment(text, 1, func(Record) error { n++; return nil })
-		if err != nil && !errors.Is(err, errTorn) && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNewerVersion) || whole > int64(len(text)) {
+		if err != nil && !errors.Is(err, errTornTail) && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNewerVersion) || whole > int64(len(text)) {
 			t.Fatalf("%d of %d: %v", whole, len(text), err)
 		}
-		if whole >= headSize {
+		if whole >= segmentHeaderSize {
 			again := 0
 			if _, err := ScanSegment(text[:whole], 1, func(Record) error { again++; return nil }); err != nil || again != n {
 				t.Fatalf("%d, then %d: %v", n, again, err)
@@ -359,7 +359,7 @@
 }
 
 // BenchmarkIntents: records of 120 bytes on the real disk from 64 callers, each waiting for its own.
-func BenchmarkIntents(b *testing.B) {
+func BenchmarkAppend(b *testing.B) {
 	l, err := Open(Disk{}, b.TempDir(), Options{}, func(Record) error { return nil })
 	if err != nil {
 		b.Fatal(err)
