--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -1,4 +1,5 @@
-// This file owns the real file system. It must never do more than one call for each that it is asked for.
+// This file implements FS on the operating system's file system. Each method must make no more than one such
+// operation per call.
 
 package wal
 
@@ -11,24 +12,24 @@
 	"github.com/gofrs/flock"
 )
 
-// Disk is the machine's file system.
+// Disk is an FS on the machine's file system.
 type Disk struct{}
 
-// ErrHeld says that another process has the folder.
-var ErrLocked = errors.New("held by another process")
+// ErrLocked reports that another process has locked the log's directory.
+var ErrLocked = errors.New("locked by another process")
 
-// Create makes a file for reading and appending.
+// Create creates a file for reading and appending. It fails if the file exists.
 func (Disk) Create(name string) (File, error) {
 	return os.OpenFile(name, os.O_RDWR|os.O_APPEND|os.O_CREATE|os.O_EXCL, 0o600)
 }
 
-// Open opens one that is there.
+// Open opens an existing file for reading and appending.
 func (Disk) Open(name string) (File, error) { return os.OpenFile(name, os.O_RDWR|os.O_APPEND, 0) }
 
-// Remove takes one away.
+// Remove deletes a file.
 func (Disk) Remove(name string) error { return os.Remove(name) }
 
-// List gives the names in a folder.
+// List returns the names of the entries of a directory.
 func (Disk) List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -41,7 +42,7 @@
 	return names, nil
 }
 
-// SyncDir makes a folder's names durable.
+// SyncDir makes the creation and removal of files in a directory durable.
 func (Disk) SyncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -50,7 +51,8 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock holds a folder by a file in it; the hold ends with the process.
+// Lock locks a directory by means of the named file in it, without waiting. The lock ends with the process.
+// If another process has it, Lock returns ErrLocked.
 func (Disk) Lock(name string) (io.Closer, error) {
 	l := flock.New(name)
 	acquired, err := l.TryLock()
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,10 +1,12 @@
-// Package ledger keeps records in order on a disk that lasts: appended in groups that share one sync, each with a
-// checksum, in segments of bounded size of which the oldest are forgotten. It must never decide anything, know what a
-// record is for beyond its form, or give back a record that is not as it was written.
+// Package wal implements a write-ahead log: it stores records in order on disk. Records are appended in
+// batches that share one sync, each record has a checksum, and the log is split into segments of bounded
+// size, of which the oldest are removed. The package must never make decisions, interpret the content of a
+// record, or return a record that differs from what was written.
 //
-// A folder holds segments NNNNNNNNNN.seg and a file LOCK. A segment is a head (magic, version, its number) and records:
-// length, CRC-32C of number and content, number, content; all numbers little endian. Only the last segment may end in
-// the midst of a record, by a crash; what follows a whole record there was never told to be durable, and is cut off.
+// A directory holds segments NNNNNNNNNN.seg and a file LOCK. A segment is a header (magic, version, number of
+// its first record) followed by records: length, CRC-32C of number and content, number, content. All integers
+// are little endian. Only the last segment may end in the middle of a record, after a crash. Whatever follows
+// the last complete record there was never acknowledged as durable, and is truncated.
 package wal
 
 import (
@@ -21,20 +23,20 @@
 	"sync"
 )
 
-// FS is the file system that a ledger stands on; tests hand in one that fails.
+// FS is the file system that a log uses. Tests pass one that injects faults.
 type FS interface {
-	// Create makes a file that is not there yet, Open opens one to read and append.
+	// Create creates a file and fails if it exists; Open opens an existing one for reading and appending.
 	Create(name string) (File, error)
 	Open(name string) (File, error)
 	Remove(name string) error
-	// List gives the names in the folder, SyncDir makes what was created and removed there last.
+	// List returns the names in the directory; SyncDir makes the creation and removal of files in it durable.
 	List(dir string) ([]string, error)
 	SyncDir(dir string) error
-	// Lock holds the folder for this process until the closer is closed; it does not wait.
+	// Lock locks the directory for this process until the closer is closed. It does not wait.
 	Lock(name string) (io.Closer, error)
 }
 
-// File is one file of an FS.
+// File is an open file of an FS.
 type File interface {
 	io.Reader
 	io.Writer
@@ -43,57 +45,58 @@
 	Truncate(size int64) error
 }
 
-// The form of a segment.
+// The segment format.
 const (
-	magic             = 0x4c444c57 // WLDL
+	magic             = 0x4c444c57 // "WLDL" in little endian
 	formatVersion     = 1
 	segmentHeaderSize = 16
 	recordHeaderSize  = 16
-	// MostRecord is how long one record's content may be, in bytes.
+	// MaxRecordBytes is the maximum length of a record's content, in bytes.
 	MaxRecordBytes = 1 << 20
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// What opening or reading may end with.
+// Errors that the functions of this package return, some of them wrapped. Disk also returns ErrLocked.
 var (
 	ErrNewerVersion = errors.New("written by a newer version")
 	ErrCorrupt      = errors.New("damaged")
-	ErrClosed       = errors.New("ledger closed")
+	ErrClosed       = errors.New("write-ahead log closed")
 )
 
-// Options say how large a ledger may grow.
+// Options limit the size of a log.
 type Options struct {
-	SegmentBytes int64 // a segment is ended beyond it; 0: 16 MiB
-	MaxSegments  int   // the oldest go beyond so many; 0: 64
+	SegmentBytes int64 // a segment that has reached this size is closed and a new one begun; 0: 16 MiB
+	MaxSegments  int   // the oldest segments beyond this number are removed; 0: 64
 }
 
-// Record is one, with its number from 1 on; numbers have no gaps but where the oldest are forgotten.
+// Record is one record of the log. Numbers start at 1 and have no gaps; after old segments were removed, the
+// first number found is higher.
 type Record struct {
 	Number  uint64
 	Content []byte
 }
 
-// Ledger takes records. Its methods may be called from any goroutine.
+// Log is a write-ahead log open for appending. Its methods may be called from any goroutine.
 type Log struct {
 	fs      FS
 	dir     string
 	opts    Options
 	dirLock io.Closer
-	writeMu sync.Mutex // held by the one that writes
+	writeMu sync.Mutex // held by the goroutine that writes to the file
 
 	mu         sync.Mutex
 	pending    []*batch
-	lastErr    error // the disk's last word; nil: it works
+	lastErr    error // result of the last commit; nil: it succeeded
 	closed     bool
 	nextNumber uint64
-	segments   []uint64 // numbers of their first records, the last is written to
+	segments   []uint64 // number of the first record of each segment; the last segment is the one written to
 	file       File
 	fileSize   int64
 	buf        []byte
 }
 
-// group is what one caller wants durable together.
+// batch is the records of one Append call, which become durable together.
 type batch struct {
 	contents [][]byte
 	first    uint64
@@ -101,8 +104,9 @@
 	err      error
 }
 
-// Open takes the folder for this process and reads all that is whole, in order. A torn end is cut off; damage in front
-// of whole records, a newer version or another process's hold is an error, and changes nothing.
+// Open locks the directory for this process and calls visit for each complete record in order. It truncates a
+// torn tail. It returns an error, and changes nothing, when corruption precedes complete records, when the
+// log was written by a newer version, or when another process has the lock.
 func Open(disk FS, dir string, opts Options, visit func(Record) error) (*Log, error) {
 	if opts.SegmentBytes <= 0 {
 		opts.SegmentBytes = 16 << 20
@@ -112,19 +116,19 @@
 	}
 	lock, err := disk.Lock(path.Join(dir, "LOCK"))
 	if err != nil {
-		return nil, fmt.Errorf("ledger %s: %w", dir, err)
+		return nil, fmt.Errorf("write-ahead log %s: %w", dir, err)
 	}
 	l := &Log{fs: disk, dir: dir, opts: opts, dirLock: lock, nextNumber: 1}
 	if err := l.replay(visit); err != nil {
 		lock.Close()
-		return nil, fmt.Errorf("ledger %s: %w", dir, err)
+		return nil, fmt.Errorf("write-ahead log %s: %w", dir, err)
 	}
 	return l, nil
 }
 
 func segmentName(first uint64) string { return fmt.Sprintf("%010d.seg", first) }
 
-// list gives the first numbers of all segments, in order.
+// listSegments returns the number of the first record of each segment, in ascending order.
 func listSegments(disk FS, dir string) (firsts []uint64, err error) {
 	names, err := disk.List(dir)
 	if err != nil {
@@ -137,7 +141,7 @@
 		}
 		first, err := strconv.ParseUint(digits, 10, 64)
 		if err != nil || segmentName(first) != n {
-			return nil, fmt.Errorf("%s: %w: it is no name of ours", n, ErrCorrupt)
+			return nil, fmt.Errorf("%s: %w: not a valid segment name", n, ErrCorrupt)
 		}
 		firsts = append(firsts, first)
 	}
@@ -145,7 +149,7 @@
 	return firsts, nil
 }
 
-// read goes through all segments and leaves the last one open to write.
+// replay reads all segments and leaves the last one open for writing.
 func (l *Log) replay(visit func(Record) error) error {
 	firsts, err := listSegments(l.fs, l.dir)
 	if err != nil {
@@ -172,7 +176,7 @@
 		last := k == len(firsts)-1
 		torn := errors.Is(err, errTornTail)
 		if torn && !last {
-			err = fmt.Errorf("%w: it ends early, others follow", ErrCorrupt)
+			err = fmt.Errorf("%w: segment is truncated, but later segments exist", ErrCorrupt)
 		}
 		if err != nil && !torn || torn && !last {
 			f.Close()
@@ -181,10 +185,10 @@
 		if !last {
 			f.Close()
 			l.segments = append(l.segments, first)
-			l.fileSize = validSize // where it ends, should the one behind it turn out to hold nothing
+			l.fileSize = validSize // the end of this segment, in case the next one holds no records
 			continue
 		}
-		if validSize < segmentHeaderSize { // the crash came before its head was written: it holds nothing
+		if validSize < segmentHeaderSize { // a crash came before the header was written: the segment holds no records
 			f.Close()
 			if err := l.fs.Remove(path.Join(l.dir, segmentName(first))); err != nil {
 				return err
@@ -203,36 +207,38 @@
 	return nil
 }
 
-// errTorn is an end in the midst of a record, or of the head, with nothing whole after it.
+// errTornTail reports that the data ends in the middle of a record or of the header, with no complete record
+// after that point.
 var errTornTail = errors.New("torn")
 
-// Scan reads one segment's text: it calls each for every whole record and returns how many bytes are whole. What
-// follows them is torn (a crash's doing) or, if a whole record stands behind, damage.
+// ScanSegment reads the data of one segment. It calls visit for each complete record and returns the number
+// of bytes up to the end of the last one. What follows is a torn tail left by a crash or, if a complete
+// record comes later, corruption.
 func ScanSegment(data []byte, first uint64, visit func(Record) error) (validSize int64, err error) {
 	if len(data) < segmentHeaderSize {
 		return 0, errTornTail
 	}
 	if binary.LittleEndian.Uint32(data) != magic {
-		if allZero(data) { // its blocks were never written
+		if allZero(data) { // the file's blocks were never written
 			return 0, errTornTail
 		}
-		return 0, fmt.Errorf("%w: it is no segment", ErrCorrupt)
+		return 0, fmt.Errorf("%w: not a segment file", ErrCorrupt)
 	}
 	if v := binary.LittleEndian.Uint32(data[4:]); v != formatVersion {
 		if v > formatVersion {
-			return 0, fmt.Errorf("version %d: %w", v, ErrNewerVersion)
+			return 0, fmt.Errorf("segment version %d: %w", v, ErrNewerVersion)
 		}
-		return 0, fmt.Errorf("%w: version %d", ErrCorrupt, v)
+		return 0, fmt.Errorf("%w: unknown segment version %d", ErrCorrupt, v)
 	}
 	if n := binary.LittleEndian.Uint64(data[8:]); n != first {
-		return 0, fmt.Errorf("%w: its head says %d", ErrCorrupt, n)
+		return 0, fmt.Errorf("%w: header has first record %d", ErrCorrupt, n)
 	}
 	offset := segmentHeaderSize
 	for number := first; offset < len(data); number++ {
 		content, next := parseRecord(data, offset, number)
 		if next == 0 {
 			if later := findValidRecordAfter(data, offset+1, number); later > 0 {
-				return int64(offset), fmt.Errorf("%w at byte %d: record %d is not whole, record %d behind it is", ErrCorrupt, offset, number, later)
+				return int64(offset), fmt.Errorf("%w at byte %d: record %d is invalid, but the later record %d is valid", ErrCorrupt, offset, number, later)
 			}
 			return int64(offset), errTornTail
 		}
@@ -248,7 +254,7 @@
 	return !slices.ContainsFunc(data, func(b byte) bool { return b != 0 })
 }
 
-// parse reads the record at a place; next is 0 if none of that number is whole there.
+// parseRecord reads the record at an offset. end is 0 if there is no complete record with that number there.
 func parseRecord(data []byte, offset int, number uint64) (content []byte, end int) {
 	if len(data)-offset < recordHeaderSize {
 		return nil, 0
@@ -264,8 +270,9 @@
 	return data[offset+recordHeaderSize : end], end
 }
 
-// wholeAfter looks for any whole record of a later number; 0: none. A group that was torn in the midst can leave none:
-// its records come after the tear only if the disk wrote them out of order, and then none of it was told durable.
+// findValidRecordAfter looks for a complete record with a higher number and returns its number; 0: there is
+// none. A batch that a crash cut off leaves none, unless the disk wrote its blocks out of order. In that case
+// no record of the batch was acknowledged as durable.
 func findValidRecordAfter(data []byte, from int, number uint64) uint64 {
 	for offset := from; offset+recordHeaderSize <= len(data); offset++ {
 		n := binary.LittleEndian.Uint64(data[offset+8:])
@@ -279,13 +286,14 @@
 	return 0
 }
 
-// Append makes records durable, in order and together with those of other callers that wait: it returns once they are,
-// or with what kept them from it. After an error none of them may come back at the next start, or some: whoever asked
-// must take them for neither. The ledger tries again with the next call.
+// Append makes records durable, in order, together with those of other callers that wait. It returns once
+// they are durable, or with the error that prevented it. After an error, some or none of the records may be
+// found at the next start: the caller must assume neither that they were written nor that they were not. The
+// log tries again with the next call.
 func (l *Log) Append(contents ...[]byte) (first uint64, err error) {
 	for _, c := range contents {
 		if len(c) > MaxRecordBytes {
-			return 0, fmt.Errorf("a record of %d bytes: at most %d", len(c), MaxRecordBytes)
+			return 0, fmt.Errorf("record of %d bytes exceeds the limit of %d bytes", len(c), MaxRecordBytes)
 		}
 	}
 	b := &batch{contents: contents, done: make(chan struct{})}
@@ -296,7 +304,7 @@
 	}
 	l.pending = append(l.pending, b)
 	l.mu.Unlock()
-	l.writeMu.Lock() // while another writes, more gather here, and the next to come in writes for all
+	l.writeMu.Lock() // while one goroutine writes, others queue here; the next to get the lock writes for all of them
 	select {
 	case <-b.done:
 	default:
@@ -306,7 +314,7 @@
 	return b.first, b.err
 }
 
-// commit writes all that waits with one sync.
+// commit writes all pending batches with one sync.
 func (l *Log) commit() {
 	l.mu.Lock()
 	batches := l.pending
@@ -315,9 +323,9 @@
 	err := l.ensureSegment()
 	number := l.nextNumber
 	l.buf = l.buf[:0]
-	for _, g := range batches {
-		g.first = number
-		for _, c := range g.contents {
+	for _, b := range batches {
+		b.first = number
+		for _, c := range b.contents {
 			l.buf = appendRecord(l.buf, number, c)
 			number++
 		}
@@ -336,30 +344,30 @@
 	l.mu.Lock()
 	l.lastErr = err
 	l.mu.Unlock()
-	for _, g := range batches {
-		if g.err = err; err != nil {
-			g.err = fmt.Errorf("ledger: %w", err)
+	for _, b := range batches {
+		if b.err = err; err != nil {
+			b.err = fmt.Errorf("write-ahead log: %w", err)
 		}
-		close(g.done)
+		close(b.done)
 	}
 }
 
-// spoilt gives up a segment whose write or sync failed: what it holds behind the last durable record is not known, and
-// a sync that failed once may tell nothing true the next time. It is cut there if the disk still lets us, and no longer
-// written to in either case.
+// abandonSegment closes a segment whose write or sync failed. Its content after the last durable record is
+// unknown, and after one failed sync a later sync may succeed without the data being on disk. The segment is
+// truncated at that point if the disk permits, and is not written to again in either case.
 func (l *Log) abandonSegment() {
-	_ = l.file.Truncate(l.fileSize) // if not, room makes sure before anything else is written
+	_ = l.file.Truncate(l.fileSize) // if this fails, ensureSegment truncates before anything else is written
 	_ = l.file.Sync()
 	l.file.Close()
 	l.file = nil
 }
 
-// room opens a segment to write to: the next one where the last is full or was given up.
+// ensureSegment opens a segment for writing: a new one if the last is full or was abandoned.
 func (l *Log) ensureSegment() error {
 	if l.file != nil && l.fileSize < l.opts.SegmentBytes {
 		return nil
 	}
-	if l.file == nil && len(l.segments) > 0 { // given up: it must end where it is known to be whole
+	if l.file == nil && len(l.segments) > 0 { // abandoned: truncate it to its last durable record
 		lastPath := path.Join(l.dir, segmentName(l.segments[len(l.segments)-1]))
 		f, err := l.fs.Open(lastPath)
 		if err != nil {
@@ -369,7 +377,7 @@
 		if err != nil {
 			return err
 		}
-		if l.segments[len(l.segments)-1] == l.nextNumber { // it holds nothing: its name is needed again
+		if l.segments[len(l.segments)-1] == l.nextNumber { // it holds no records: the next segment needs its name
 			if err := l.fs.Remove(lastPath); err != nil {
 				return err
 			}
@@ -384,7 +392,7 @@
 	}
 	segmentPath := path.Join(l.dir, segmentName(l.nextNumber))
 	f, err := l.fs.Create(segmentPath)
-	if errors.Is(err, fs.ErrExist) { // left by a try that failed: no record in it was told durable
+	if errors.Is(err, fs.ErrExist) { // left by a failed attempt: no record in it was acknowledged as durable
 		if err = l.fs.Remove(segmentPath); err == nil {
 			f, err = l.fs.Create(segmentPath)
 		}
@@ -398,7 +406,8 @@
 	_, err = f.Write(header)
 	if err = errors.Join(err, f.Sync(), l.fs.SyncDir(l.dir)); err != nil {
 		f.Close()
-		_ = l.fs.Remove(segmentPath) // else the next try does: a head that is torn holds nothing
+		// if this fails, the next attempt removes it: a segment with a torn header holds no records
+		_ = l.fs.Remove(segmentPath)
 		return err
 	}
 	l.file, l.fileSize = f, segmentHeaderSize
@@ -422,14 +431,14 @@
 	return buf
 }
 
-// Err is why the last commit failed; nil: the disk works.
+// LastError returns the error of the last commit; nil: it succeeded.
 func (l *Log) LastError() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastErr
 }
 
-// Close lets the folder go. What waits is written first.
+// Close writes pending records, closes the log and unlocks the directory.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	if l.closed {
@@ -446,7 +455,7 @@
 		l.file = nil
 	}
 	if err = errors.Join(err, l.dirLock.Close()); err != nil {
-		return fmt.Errorf("ledger: %w", err)
+		return fmt.Errorf("write-ahead log: %w", err)
 	}
 	return nil
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -14,20 +14,21 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// memory is a file system that forgets at a crash what was not synced, and fails or tears the call of a number.
+// memFS is a file system in memory. A crash discards what was not synced. It fails the calls with given
+// numbers, and a failing write may write a part of its data.
 type memFS struct {
-	files        map[string]*memFile // by name; what is durable of the folder itself is in kept
+	files        map[string]*memFile // by name; synced has the files whose directory entry is durable
 	synced       map[string]*memFile
 	calls        int
-	failAt       int // this call fails; 0: none
-	partialWrite int // a write that fails has written so many bytes
-	failCount    int // so many calls in a row fail, beginning with it
+	failAt       int // number of the first call that fails; 0: none
+	partialWrite int // bytes that a failing write has written
+	failCount    int // number of consecutive calls that fail, from failAt on
 	locked       bool
 }
 
 type memFile struct{ content, durable []byte }
 
-var errDisk = errors.New("the disk says no")
+var errDisk = errors.New("simulated disk error")
 
 func newMemFS() *memFS { return &memFS{files: map[string]*memFile{}, synced: map[string]*memFile{}} }
 
@@ -39,8 +40,8 @@
 	return nil
 }
 
-// crash leaves what is durable, and of the rest of each file as many bytes as torn says; with names also files whose
-// names were not synced yet.
+// crash keeps what is durable, and up to unsyncedBytes of what each file has beyond that. With keepNames it
+// also keeps files whose directory entry was not synced.
 func (m *memFS) crash(unsyncedBytes int, keepNames bool) {
 	m.locked, m.failAt = false, 0
 	if keepNames {
@@ -153,23 +154,23 @@
 }
 func (h *memHandle) Close() error { return nil }
 
-// read opens a ledger and gives what it holds.
+// openLog opens a log and returns the records in it, each as its number and content.
 func openLog(t *testing.T, disk FS, o Options) (*Log, []string) {
 	t.Helper()
-	var all []string
+	var records []string
 	l, err := Open(disk, "d", o, func(r Record) error {
-		all = append(all, fmt.Sprintf("%d %s", r.Number, r.Content))
+		records = append(records, fmt.Sprintf("%d %s", r.Number, r.Content))
 		return nil
 	})
 	if err != nil {
 		t.Fatalf("open: %v", err)
 	}
-	return l, all
+	return l, records
 }
 
 var smallSegments = Options{SegmentBytes: 120, MaxSegments: 100}
 
-// script appends until it has made a number of groups, and gives what was told durable.
+// appendPairs appends eight batches of two records and returns the records that were acknowledged as durable.
 func appendPairs(l *Log, from int) (acked []string) {
 	for k := from; k < from+8; k++ {
 		a, b := fmt.Sprintf("a%d", k), fmt.Sprintf("b%d", k)
@@ -180,15 +181,16 @@
 	return acked
 }
 
-// TestEveryCallFails: each call to the disk in turn fails once, or from then on; writes leave each part of what they were
-// to write. Whatever was told durable is there after the crash, in its order, and what else is there was asked for.
+// TestDiskFaultAtEachCall makes each disk call in turn fail, once, several times in a row or from then on;
+// failing writes write part of their data. After a crash, all acknowledged records must be found in order, and
+// the records found must be numbered without gaps and not be empty.
 func TestDiskFaultAtEachCall(t *testing.T) {
 	faultless := newMemFS()
 	l, _ := openLog(t, faultless, smallSegments)
 	appendPairs(l, 0)
 	total := faultless.calls
 	if total < 20 {
-		t.Fatalf("only %d calls", total)
+		t.Fatalf("only %d disk calls, want at least 20", total)
 	}
 	for call := 1; call <= total; call++ {
 		for _, partialWrite := range []int{0, 1, 15, 16, 17, 19, 30, 1000} {
@@ -199,25 +201,25 @@
 					l, _ := openLog(t, m, smallSegments)
 					acked := appendPairs(l, 0)
 					if failCount < 6 && len(acked) < 16-2*failCount {
-						t.Fatalf("call %d: only %d told durable: it does not come back by itself", call, len(acked))
+						t.Fatalf("call %d: only %d records acknowledged: the log did not recover by itself", call, len(acked))
 					}
 					m.crash(unsyncedBytes, unsyncedBytes != 18)
 					l, found := openLog(t, m, smallSegments)
-					checkAcked(t, fmt.Sprintf("call %d tear %d span %d torn %d", call, partialWrite, failCount, unsyncedBytes), acked, found)
-					more := appendPairs(l, 100) // and it goes on
+					checkAcked(t, fmt.Sprintf("failing call %d, partial write %d, failing calls %d, unsynced bytes kept %d", call, partialWrite, failCount, unsyncedBytes), acked, found)
+					more := appendPairs(l, 100) // the log accepts appends again
 					if len(more) != 16 {
-						t.Fatalf("call %d: after the crash %d of 16", call, len(more))
+						t.Fatalf("call %d: %d of 16 records acknowledged after the crash", call, len(more))
 					}
 					m.crash(0, false)
 					_, again := openLog(t, m, smallSegments)
-					checkAcked(t, fmt.Sprintf("call %d, second start", call), append(acked, more...), again)
+					checkAcked(t, fmt.Sprintf("failing call %d, second restart", call), append(acked, more...), again)
 				}
 			}
 		}
 	}
 }
 
-// holds tells whether all that was told is found, in order, each number once.
+// checkAcked checks that all acknowledged records are found in order and that each number occurs once.
 func checkAcked(t *testing.T, context string, acked, found []string) {
 	t.Helper()
 	k := 0
@@ -228,15 +230,16 @@
 		var number int
 		var content string
 		if _, err := fmt.Sscan(f, &number, &content); err != nil || number != n+1 || content == "" {
-			t.Fatalf("%s: found %v", context, found)
+			t.Fatalf("%s: unexpected record number or content in %v", context, found)
 		}
 	}
 	if k < len(acked) {
-		t.Fatalf("%s: told %v, found %v", context, acked, found)
+		t.Fatalf("%s: acknowledged %v, found %v", context, acked, found)
 	}
 }
 
-// TestDamage: a bit flipped anywhere but in the last record is told as damage, and nothing is changed by looking.
+// TestBitFlipIsDetected checks that a flipped bit anywhere but in the last record is reported as corruption,
+// and that opening does not change the file.
 func TestBitFlipIsDetected(t *testing.T) {
 	m := newMemFS()
 	l, _ := openLog(t, m, Options{})
@@ -247,7 +250,7 @@
 		file = n
 	}
 	good := append([]byte(nil), m.files[file].content...)
-	last := len(good) - recordHeaderSize - 2 // the last record's first byte
+	last := len(good) - recordHeaderSize - 2 // offset of the last record
 	for at := range good {
 		text := append([]byte(nil), good...)
 		text[at] ^= 0x10
@@ -256,20 +259,20 @@
 		n := 0
 		_, err := Open(m, "d", Options{}, func(Record) error { n++; return nil })
 		switch {
-		case at >= last: // as a crash would leave it
+		case at >= last: // looks like a tail torn by a crash
 			if err != nil || n != 15 {
-				t.Errorf("byte %d: %d records, %v", at, n, err)
+				t.Errorf("byte %d: got %d records and error %v, want 15 records and no error", at, n, err)
 			}
 		case at >= 4 && at < 8 && errors.Is(err, ErrNewerVersion):
 		case !errors.Is(err, ErrCorrupt):
-			t.Errorf("byte %d: %v", at, err)
+			t.Errorf("byte %d: got error %v, want ErrCorrupt", at, err)
 		case cmp.Diff(text, m.files[file].content) != "":
-			t.Errorf("byte %d: the file was changed", at)
+			t.Errorf("byte %d: opening changed the file", at)
 		}
 	}
 }
 
-// TestForgets: the oldest segments go, numbers go on.
+// TestRemovesOldestSegments checks that the oldest segments are removed and that record numbers continue.
 func TestRemovesOldestSegments(t *testing.T) {
 	m := newMemFS()
 	o := Options{SegmentBytes: 100, MaxSegments: 3}
@@ -283,15 +286,16 @@
 		t.Fatal(err)
 	}
 	if _, err := l.Append([]byte("x")); !errors.Is(err, ErrClosed) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("append after close: got error %v, want ErrClosed", err)
 	}
 	_, found := openLog(t, m, o)
 	if len(m.files) != 3 || found[len(found)-1] != "100 99" || len(found) > 15 {
-		t.Errorf("%d files, %v", len(m.files), found)
+		t.Errorf("%d files, records %v", len(m.files), found)
 	}
 }
 
-// TestDisk: on the real file system, from many goroutines with groups shared, held against a second process, read again.
+// TestConcurrentAppendsOnDisk appends on the real file system from many goroutines that share batches, checks
+// that a second open fails on the lock, and reads the records back.
 func TestConcurrentAppendsOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	l, err := Open(Disk{}, dir, Options{SegmentBytes: 20000}, func(Record) error { return nil })
@@ -299,7 +303,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(Disk{}, dir, Options{}, func(Record) error { return nil }); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second hold: %v", err)
+		t.Errorf("second open: got error %v, want ErrLocked", err)
 	}
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -329,36 +333,38 @@
 	}
 	l.Close()
 	if diff := cmp.Diff(acked, found); diff != "" || len(found) != 1600 {
-		t.Errorf("(-told +found):\n%s", diff)
+		t.Errorf("records read back differ (-acknowledged +found):\n%s", diff)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "odd.seg"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(Disk{}, dir, Options{}, func(Record) error { return nil }); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("a stranger's file: %v", err)
+		t.Errorf("unknown .seg file: got error %v, want ErrCorrupt", err)
 	}
 }
 
-// FuzzScan: no text makes it fail otherwise than by its errors, and what it calls whole reads the same again.
+// FuzzScanSegment checks that arbitrary data yields only the documented errors, and that the part reported as
+// valid scans to the same records again.
 func FuzzScanSegment(f *testing.F) {
-	text := appendRecord(nil, 1, []byte("hello"))
-	f.Add(append([]byte("WLDL\x01\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00"), text...))
-	f.Fuzz(func(t *testing.T, text []byte) {
+	data := appendRecord(nil, 1, []byte("hello"))
+	f.Add(append([]byte("WLDL\x01\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00"), data...))
+	f.Fuzz(func(t *testing.T, data []byte) {
 		n := 0
-		whole, err := ScanSegment(text, 1, func(Record) error { n++; return nil })
-		if err != nil && !errors.Is(err, errTornTail) && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNewerVersion) || whole > int64(len(text)) {
-			t.Fatalf("%d of %d: %v", whole, len(text), err)
+		validSize, err := ScanSegment(data, 1, func(Record) error { n++; return nil })
+		if err != nil && !errors.Is(err, errTornTail) && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNewerVersion) || validSize > int64(len(data)) {
+			t.Fatalf("valid size %d of %d: unexpected error %v", validSize, len(data), err)
 		}
-		if whole >= segmentHeaderSize {
+		if validSize >= segmentHeaderSize {
 			again := 0
-			if _, err := ScanSegment(text[:whole], 1, func(Record) error { again++; return nil }); err != nil || again != n {
-				t.Fatalf("%d, then %d: %v", n, again, err)
+			if _, err := ScanSegment(data[:validSize], 1, func(Record) error { again++; return nil }); err != nil || again != n {
+				t.Fatalf("%d records, but %d in the valid part: %v", n, again, err)
 			}
 		}
 	})
 }
 
-// BenchmarkIntents: records of 120 bytes on the real disk from 64 callers, each waiting for its own.
+// BenchmarkAppend appends records of 120 bytes on the real disk from parallel callers (8 per CPU, so 64 on 8
+// CPUs), each of which waits for its own record.
 func BenchmarkAppend(b *testing.B) {
 	l, err := Open(Disk{}, b.TempDir(), Options{}, func(Record) error { return nil })
 	if err != nil {
