--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost runs dispatchers on the simulator's wire: standard input to standard output.
+// Command simhost runs dispatchers on the simulator's text protocol, from standard input to standard output.
 package main
 
 import (
--- a/deploy/sites/write.go
+++ b/deploy/sites/write.go
@@ -1,11 +1,13 @@
 //go:build ignore
 
-// Writes variants of the operators' site files, for the bench. Each is one of their files with the changes named here
-// made in it, so that the program is played with settings that no one fitted it to. README.md says how they differ.
+// Command write creates variants of the operators' site files for their bench. Each variant is one of their
+// files with the changes listed here, so that the program is tested with settings that nobody tuned it for.
+// README.md describes how the variants differ.
 //
 //	go run deploy/sites/write.go KIT
 //
-// KIT is the folder of the operators' benches. A change that cannot be made, because its line is gone, is an error.
+// KIT is the directory of the operators' benches. A change that cannot be made because its line no longer
+// exists is an error.
 package main
 
 import (
@@ -16,7 +18,8 @@
 	"strings"
 )
 
-// A change sets a key of a table, the nth of that name from 0. No value takes its line out; no key, the whole table.
+// change sets a key of a table, the nth of that name, counted from 0. An empty value deletes the key's line;
+// an empty key deletes the whole table.
 type change struct {
 	table string
 	nth   int
@@ -26,7 +29,7 @@
 
 type variant struct {
 	name    string
-	from    string // the operators' file
+	from    string // path of the operators' file in KIT
 	changes []change
 }
 
@@ -67,19 +70,20 @@
 		{"tier.kind", 0, "cancel", `"none"`},
 		{"tier.kind", 0, "drops_expired", "false"},
 		{"tier.kind", 1, "", ""},
-		{"class", 0, "name", `"säge+log"`}, // of bytes that a path may also say encoded; a blank the bench writes as it is, which is no HTTP
+		// may appear encoded in a path; the bench writes a blank unencoded, which is not valid HTTP
+		{"class", 0, "name", `"säge+log"`},
 		{"class", 0, "effect", `"keyed"`},
 		{"class", 0, "deadline_ms", "9000"},
 		{"class", 0, "worth", "7"},
 		{"class", 0, "late_worth", "0.5"},
-		{"class", 1, "name", `"säge"`}, // with which the other one begins
+		{"class", 1, "name", `"säge"`}, // the other class's name begins with it
 		{"class", 1, "effect", `"safe"`},
 		{"class", 1, "deadline_ms", "4000"},
 		{"class", 1, "worth", "3"},
 		{"class", 1, "work_ms", "[150, 300]"},
 		{"class", 1, "aim_ms", "250"},
 		{"tenant", 0, "", ""},
-		{"tenant", 0, "", ""}, // the second, once the first is gone
+		{"tenant", 0, "", ""}, // the second one, now that the first is deleted
 		{"fam", 0, "tells_start", "false"},
 		{"fam", 0, "progress_s", "0"},
 		{"fam", 0, "drain_returns", "false"},
@@ -97,7 +101,7 @@
 		{"rules", 0, "fall_multiple", "2.5"},
 		{"tier.conn", 0, "idle_s", "1"},
 		{"tier.conn", 0, "cap_per_core", "[60, 90]"},
-		{"class", 0, "name", `"label"`}, // with which the next one begins
+		{"class", 0, "name", `"label"`}, // the next class's name begins with it
 		{"class", 0, "work_ms", "[30, 50]"},
 		{"class", 0, "aim_ms", "60"},
 		{"class", 0, "deadline_ms", "250"}, // shorter than a handshake across zones may take
@@ -105,18 +109,19 @@
 		{"class", 1, "work_ms", "[60, 110]"},
 		{"class", 1, "aim_ms", "150"},
 		{"class", 1, "deadline_ms", "600"},
-		{"class", 1, "worth", "100"}, // nearly all
+		{"class", 1, "worth", "100"}, // nearly all the worth
 		{"class", 2, "effect", `"keyed"`},
 		{"class", 2, "deadline_ms", "1500"},
 		{"class", 2, "worth", "1"},
-		{"class", 3, "name", `"label%"`}, // which looks like an encoding and is none
+		{"class", 3, "name", `"label%"`}, // looks percent-encoded but is not
 		{"class", 3, "effect", `"safe"`},
 		{"class", 3, "deadline_ms", "400"},
 		{"class", 3, "worth", "1"},
 	}},
 }
 
-// apply makes the changes in the text. A table's own lines reach to the next line that begins with a bracket.
+// apply makes the changes in the text. A table's own lines end before the next line that begins with a
+// bracket.
 func apply(text string, changes []change) (string, error) {
 	lines := strings.Split(text, "\n")
 	for _, c := range changes {
@@ -132,7 +137,7 @@
 				}
 			}
 			if at < 0 {
-				return "", fmt.Errorf("[%s] number %d is gone", c.table, c.nth)
+				return "", fmt.Errorf("table [%s] number %d not found", c.table, c.nth)
 			}
 			first = at + 1
 		}
@@ -149,7 +154,7 @@
 		})
 		switch {
 		case at < 0:
-			return "", fmt.Errorf("[%s] number %d: the line of %s is gone", c.table, c.nth, c.key)
+			return "", fmt.Errorf("table [%s] number %d: key %s not found", c.table, c.nth, c.key)
 		case c.value == "":
 			lines = slices.Delete(lines, first+at, first+at+1)
 		default:
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,6 @@
-// Command toy stands in for discovery and a few workers, so that a newcomer can try one dispatcher. Each
-// worker runs one job at a time, for as long as its cost hint says; it must never be taken for a real one.
+// Command toy simulates a discovery service and a few workers, so that a newcomer can try one dispatcher.
+// Each worker runs one job at a time, for as long as the job's cost hint says divided by the worker's speed.
+// It is only an example and must never be used as a real worker.
 package main
 
 import (
@@ -16,7 +17,7 @@
 	"time"
 )
 
-// job waits for its turn at a worker.
+// job is a job queued at a worker.
 type job struct {
 	id, path string
 	duration time.Duration
@@ -28,12 +29,12 @@
 	callbackURL string
 	jobs        chan job
 	mu          sync.Mutex
-	cancelled   map[string]bool // called off
+	cancelled   map[string]bool // job IDs cancelled before they ran
 }
 
 func main() {
-	discovery := flag.String("discovery", "127.0.0.1:8500", "where discovery listens")
-	dispatcher := flag.String("dispatcher", "127.0.0.1:8000", "where the dispatcher listens for callbacks")
+	discovery := flag.String("discovery", "127.0.0.1:8500", "address on which discovery listens")
+	dispatcher := flag.String("dispatcher", "127.0.0.1:8000", "address on which the dispatcher accepts callbacks")
 	flag.Parse()
 	var workers []string
 	for name, speed := range map[string]float64{"fast-1": 2, "fast-2": 2, "slow-1": 1, "slow-2": 1} {
@@ -62,7 +63,7 @@
 	log.Fatal(http.ListenAndServe(*discovery, nil))
 }
 
-// ServeHTTP takes a job, turns it away when too many wait, or calls one off.
+// ServeHTTP accepts a job, rejects it when the worker's queue is full, or cancels one.
 func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	if id, ok := strings.CutPrefix(r.URL.Path, "/jobs/"); ok && r.Method == http.MethodDelete {
 		w.mu.Lock()
@@ -99,7 +100,7 @@
 	}
 }
 
-// tell calls back until it is answered, ten times at most.
+// sendCallback posts an update to the dispatcher until it is accepted, at most ten times.
 func (w *worker) sendCallback(update map[string]any) {
 	body, _ := json.Marshal(update)
 	for range 10 {
@@ -111,5 +112,5 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	log.Printf("worker=%s untold=%v", w.name, update)
+	log.Printf("worker=%s undelivered=%v", w.name, update)
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package kept compares what a test printed with what is kept in its testdata. It is for tests only, and must
-// never change what it compares.
+// Package golden compares the output of a test with a golden file in its testdata directory. It is for tests
+// only, and must never change the text that it compares.
 package golden
 
 import (
@@ -11,9 +11,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write what is kept anew")
+var update = flag.Bool("update", false, "rewrite the golden files with the current output")
 
-// Check fails the test where the text differs from testdata/NAME.txt.
+// Check fails the test if got differs from testdata/NAME.txt. With the flag -update it first rewrites the
+// file.
 func Check(t *testing.T, name, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", name+".txt")
@@ -27,6 +28,6 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(want), got); diff != "" {
-		t.Errorf("%s differs (-kept +now):\n%s", file, diff)
+		t.Errorf("%s differs (-golden +got):\n%s", file, diff)
 	}
 }
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -11,7 +11,8 @@
 	"weldmast/internal/settings"
 )
 
-// fields is one line, split in place. The first thing wrong with it stays in err.
+// message is one line of the wire, split in place into its name and key=value fields. err is the first error
+// found in it.
 type message struct {
 	rawName []byte
 	fields  [][]byte
@@ -19,28 +20,28 @@
 	hexBuf  []byte
 }
 
-func (f *message) split(line []byte) {
-	f.fields, f.err = f.fields[:0], nil
+func (m *message) split(line []byte) {
+	m.fields, m.err = m.fields[:0], nil
 	head, rest, more := bytes.Cut(line, []byte{'\t'})
-	f.rawName = head
+	m.rawName = head
 	for more {
 		var part []byte
 		part, rest, more = bytes.Cut(rest, []byte{'\t'})
-		f.fields = append(f.fields, part)
+		m.fields = append(m.fields, part)
 	}
 }
 
-func (f *message) name() string { return string(f.rawName) }
+func (m *message) name() string { return string(m.rawName) }
 
-func (f *message) fail(key, problem string) {
-	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s %s", f.rawName, key, problem)
+func (m *message) fail(key, problem string) {
+	if m.err == nil {
+		m.err = fmt.Errorf("%s: %s %s", m.rawName, key, problem)
 	}
 }
 
-// opt is the field's value, nil when it is absent.
-func (f *message) optional(key string) []byte {
-	for _, p := range f.fields {
+// optional returns the value of a field, or nil if the field is absent.
+func (m *message) optional(key string) []byte {
+	for _, p := range m.fields {
 		if len(p) > len(key) && p[len(key)] == '=' && string(p[:len(key)]) == key {
 			return p[len(key)+1:]
 		}
@@ -48,18 +49,18 @@
 	return nil
 }
 
-func (f *message) has(key string) bool { return f.optional(key) != nil }
+func (m *message) has(key string) bool { return m.optional(key) != nil }
 
-func (f *message) required(key string) []byte {
-	v := f.optional(key)
+func (m *message) required(key string) []byte {
+	v := m.optional(key)
 	if len(v) == 0 {
-		f.fail(key, "is missing")
+		m.fail(key, "is missing")
 	}
 	return v
 }
 
-func (f *message) int(key string) int64 {
-	v := f.required(key)
+func (m *message) int(key string) int64 {
+	v := m.required(key)
 	if len(v) == 0 {
 		return 0
 	}
@@ -70,13 +71,13 @@
 	var n int64
 	for _, c := range v {
 		if c < '0' || c > '9' || n > (math.MaxInt64-9)/10 {
-			f.fail(key, "is not a whole number")
+			m.fail(key, "is not a whole number")
 			return 0
 		}
 		n = n*10 + int64(c-'0')
 	}
 	if len(v) == 0 {
-		f.fail(key, "is not a whole number")
+		m.fail(key, "is not a whole number")
 	}
 	if neg {
 		return -n
@@ -84,63 +85,63 @@
 	return n
 }
 
-func (f *message) intOr(key string, fallback int64) int64 {
-	if !f.has(key) {
+func (m *message) intOr(key string, fallback int64) int64 {
+	if !m.has(key) {
 		return fallback
 	}
-	return f.int(key)
+	return m.int(key)
 }
 
-func (f *message) id(key string) uint64 {
-	n := f.int(key)
+func (m *message) id(key string) uint64 {
+	n := m.int(key)
 	if n < 0 {
-		f.fail(key, "is below zero")
+		m.fail(key, "is below zero")
 	}
 	return uint64(n)
 }
 
-// time is a field in microseconds, as milliseconds.
-func (f *message) time(key string) float64 { return float64(f.int(key)) / 1000 }
+// time returns a field given in microseconds as milliseconds.
+func (m *message) time(key string) float64 { return float64(m.int(key)) / 1000 }
 
-func (f *message) timeOr(key string, fallback float64) float64 {
-	if !f.has(key) {
+func (m *message) timeOr(key string, fallback float64) float64 {
+	if !m.has(key) {
 		return fallback
 	}
-	return f.time(key)
+	return m.time(key)
 }
 
-func (f *message) numOr(key string, fallback float64) float64 {
-	v := f.optional(key)
+func (m *message) numOr(key string, fallback float64) float64 {
+	v := m.optional(key)
 	if v == nil {
 		return fallback
 	}
-	return f.num(key, v)
+	return m.num(key, v)
 }
 
-func (f *message) num(key string, v []byte) float64 {
+func (m *message) num(key string, v []byte) float64 {
 	x, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		f.fail(key, "is not a number")
+		m.fail(key, "is not a number")
 		return 0
 	}
 	return x
 }
 
-// hex decodes into a buffer that the next call uses again.
-func (f *message) hex(key string) []byte {
-	v := f.optional(key)
+// hex decodes a field into a buffer that the next call reuses.
+func (m *message) hex(key string) []byte {
+	v := m.optional(key)
 	if len(v) == 0 || (len(v) == 1 && v[0] == '-') {
 		return nil
 	}
-	data, err := hex.AppendDecode(f.hexBuf[:0], v)
+	data, err := hex.AppendDecode(m.hexBuf[:0], v)
 	if err != nil {
-		f.fail(key, "is not hex")
+		m.fail(key, "is not hex")
 	}
-	f.hexBuf = data
+	m.hexBuf = data
 	return data
 }
 
-// names are the settings' lists, in which lines name their things.
+// nameLists has the names from the settings (categories, tenants, zones, kinds) that lines refer to.
 type nameLists struct{ settings.Names }
 
 func indexOf(list []string, name []byte) int {
@@ -152,34 +153,34 @@
 	return -1
 }
 
-func (n *nameLists) category(f *message) int {
-	v := f.required("lane")
+func (n *nameLists) category(m *message) int {
+	v := m.required("lane")
 	k := indexOf(n.Categories, v)
 	if k < 0 && len(v) > 0 {
-		f.fail("lane", "is not a known category")
+		m.fail("lane", "is not a known category")
 	}
 	return k
 }
 
-func (n *nameLists) loadReport(f *message) dispatch.LoadReport {
-	l := dispatch.UnknownLoad
-	rest, more := f.optional("stats"), true
+func (n *nameLists) loadReport(m *message) dispatch.LoadReport {
+	report := dispatch.UnknownLoad
+	rest, more := m.optional("stats"), true
 	for more && len(rest) > 0 {
 		var pair []byte
 		pair, rest, more = bytes.Cut(rest, []byte{','})
 		name, value, ok := bytes.Cut(pair, []byte{':'})
 		switch {
 		case !ok:
-			f.fail("stats", "is not a list of pairs")
+			m.fail("stats", "is not a list of pairs")
 		case n.FreeSlotsKey != "" && string(name) == n.FreeSlotsKey:
-			l.FreeSlots = f.num("stats", value)
+			report.FreeSlots = m.num("stats", value)
 		}
 	}
-	return l
+	return report
 }
 
-func outcome(f *message) dispatch.Outcome {
-	switch string(f.required("status")) {
+func outcome(m *message) dispatch.Outcome {
+	switch string(m.required("status")) {
 	case "Ok":
 		return dispatch.Finished
 	case "Failed":
@@ -197,6 +198,6 @@
 	case "Ignored":
 		return dispatch.NotSent
 	}
-	f.fail("status", "is unknown")
+	m.fail("status", "is unknown")
 	return dispatch.Failed
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire hosts dispatchers on the simulator's text wire. It turns lines into calls on
-// each dispatcher and its decisions into lines, and keeps the instances apart: they share nothing.
+// Package simwire runs dispatchers on the simulator's text protocol. It turns input lines into calls on each
+// dispatcher, and the dispatcher's decisions into output lines. Instances share no state.
 package simwire
 
 import (
@@ -12,20 +12,20 @@
 	"weldmast/internal/settings"
 )
 
-// event is one line kept for the round; list is set for discovery only.
+// event is one line stored until the instance's round. workers is set for discovery events only.
 type event struct {
-	start, end int // in the batch's text
+	start, end int // offsets in host.batchText
 	line       int
 	workers    []listEntry
 }
 
-// record is one entry of a numbered list, its names not yet resolved.
+// listEntry is one entry of a numbered worker list. Its zone and kind are not yet resolved to indexes.
 type listEntry struct {
 	worker, zone, kind string
 	entry              dispatch.Entry
 }
 
-// instance is one dispatcher with the names its settings gave and its part of the batch.
+// instance is one dispatcher, with the names from its settings and its events of the current batch.
 type instance struct {
 	id         int64
 	dispatcher *dispatch.Dispatcher
@@ -40,16 +40,16 @@
 	in          *bufio.Reader
 	out         *bufio.Writer
 	lineNumber  int
-	batchText   []byte // the lines of the batch that instances will read
+	batchText   []byte // the lines of the batch, which the events refer to
 	workerLists [16][]listEntry
 	instances   map[int64]*instance
-	active      []*instance // those with something in this batch, in order of arrival
+	active      []*instance // instances with events in this batch, in order of arrival
 	msg         message
 	longLine    []byte
 	entries     []dispatch.Entry
 }
 
-// Serve answers batches until the input ends. An error names the line and what is wrong with it.
+// Serve processes batches until the input ends. An error names the line and what is wrong with it.
 func Serve(in io.Reader, out io.Writer) error {
 	h := &host{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18),
 		instances: map[int64]*instance{}}
@@ -64,7 +64,7 @@
 	}
 }
 
-// next reads one line without its end; io.EOF only at a clean end.
+// readLine reads one line and strips its terminator. It returns io.EOF only at the end of a complete line.
 func (h *host) readLine() ([]byte, error) {
 	line, err := h.in.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
@@ -99,14 +99,14 @@
 	if len(line) == 0 {
 		return true, nil
 	}
-	f := &h.msg
-	f.split(line)
-	if f.name() != "clock" {
-		return false, fmt.Errorf("want clock, got %q", f.name())
+	m := &h.msg
+	m.split(line)
+	if m.name() != "clock" {
+		return false, fmt.Errorf("want clock, got %q", m.name())
 	}
-	now, seq := f.time("sim_time"), f.int("batch")
-	if f.err != nil {
-		return false, f.err
+	now, seq := m.time("sim_time"), m.int("batch")
+	if m.err != nil {
+		return false, m.err
 	}
 	h.batchText = h.batchText[:0]
 	for {
@@ -116,8 +116,8 @@
 		if err != nil {
 			return false, err
 		}
-		f.split(line)
-		if f.name() == "commit" {
+		m.split(line)
+		if m.name() == "commit" {
 			break
 		}
 		if err = h.enqueue(line); err != nil {
@@ -141,22 +141,22 @@
 	return true, h.out.Flush()
 }
 
-// sort files one line of a batch under its instance. Lists are resolved here, in event order: a
-// number may be given anew later in the same batch.
+// enqueue stores one line of a batch with its instance. References to worker lists are resolved here, in the
+// order of the lines, because a later line of the batch may reuse a list's number.
 func (h *host) enqueue(line []byte) error {
-	f := &h.msg
-	if f.name() == "inventory" {
+	m := &h.msg
+	if m.name() == "inventory" {
 		return h.readInventory()
 	}
-	id := f.int("i")
-	if f.err != nil {
-		return f.err
+	id := m.int("i")
+	if m.err != nil {
+		return m.err
 	}
 	n := h.instances[id]
-	switch f.name() {
+	switch m.name() {
 	case "configure":
 		n = &instance{id: id, host: h}
-		settings, err := n.configure(f)
+		settings, err := n.configure(m)
 		if err != nil {
 			return err
 		}
@@ -178,13 +178,13 @@
 		return fmt.Errorf("instance %d is not configured", id)
 	}
 	ev := event{start: len(h.batchText), line: h.lineNumber}
-	if f.name() == "discovery" && f.has("set_id") {
-		set := f.int("set_id")
-		if f.err == nil && (set < 0 || set >= int64(len(h.workerLists))) {
-			f.fail("set_id", "is not 0 to 15")
+	if m.name() == "discovery" && m.has("set_id") {
+		set := m.int("set_id")
+		if m.err == nil && (set < 0 || set >= int64(len(h.workerLists))) {
+			m.fail("set_id", "is not 0 to 15")
 		}
-		if f.err != nil {
-			return f.err
+		if m.err != nil {
+			return m.err
 		}
 		ev.workers = h.workerLists[set]
 	}
@@ -195,19 +195,19 @@
 	return nil
 }
 
-// configure reads the pairs that follow the line's own fields.
-func (n *instance) configure(f *message) (dispatch.Settings, error) {
-	seed := f.id("nonce64")
-	if f.err != nil {
-		return dispatch.Settings{}, f.err
+// configure reads the settings, which follow the line's own fields as key=value pairs.
+func (n *instance) configure(m *message) (dispatch.Settings, error) {
+	seed := m.id("nonce64")
+	if m.err != nil {
+		return dispatch.Settings{}, m.err
 	}
-	values, err := settings.ParseFlat(f.fields)
+	values, err := settings.ParseFlat(m.fields)
 	if err != nil {
-		return dispatch.Settings{}, fmt.Errorf("%s: %w", f.rawName, err)
+		return dispatch.Settings{}, fmt.Errorf("%s: %w", m.rawName, err)
 	}
 	s, names, _, err := settings.Read(values, seed)
 	if err != nil {
-		return s, fmt.Errorf("%s: %w", f.rawName, err)
+		return s, fmt.Errorf("%s: %w", m.rawName, err)
 	}
 	n.names.Names = names
 	return s, nil
@@ -220,16 +220,16 @@
 	}
 }
 
-// inventory reads a numbered list; each new one is a list of its own, so that earlier
-// references to the number keep what they meant.
+// readInventory reads a numbered worker list. It always allocates a new list, so that earlier references to
+// the same number keep their content.
 func (h *host) readInventory() error {
-	f := &h.msg
-	set, count := f.int("set_id"), f.int("records")
-	if f.err == nil && (set < 0 || set >= int64(len(h.workerLists)) || count < 0) {
-		f.fail("set_id", "or records is out of range")
+	m := &h.msg
+	set, count := m.int("set_id"), m.int("records")
+	if m.err == nil && (set < 0 || set >= int64(len(h.workerLists)) || count < 0) {
+		m.fail("set_id", "or records is out of range")
 	}
-	if f.err != nil {
-		return f.err
+	if m.err != nil {
+		return m.err
 	}
 	var list []listEntry
 	for range count {
@@ -240,25 +240,25 @@
 		if err != nil {
 			return err
 		}
-		f.split(line)
-		if f.name() != "m" {
-			return fmt.Errorf("want a list entry m, got %q", f.name())
+		m.split(line)
+		if m.name() != "m" {
+			return fmt.Errorf("want a list entry m, got %q", m.name())
 		}
-		r := listEntry{worker: string(f.required("worker")), zone: string(f.optional("locality")),
-			kind: string(f.optional("machine"))}
-		r.entry = dispatch.Entry{Worker: r.worker, Cell: int(f.intOr("stripe", 0)),
-			Since: f.timeOr("up_since", 0), Weight: f.numOr("rating", 0)}
-		switch state := string(f.required("state")); state {
+		r := listEntry{worker: string(m.required("worker")), zone: string(m.optional("locality")),
+			kind: string(m.optional("machine"))}
+		r.entry = dispatch.Entry{Worker: r.worker, Cell: int(m.intOr("stripe", 0)),
+			Since: m.timeOr("up_since", 0), Weight: m.numOr("rating", 0)}
+		switch state := string(m.required("state")); state {
 		case "up":
 		case "draining":
 			r.entry.State = dispatch.Draining
 		case "removed":
 			r.entry.State = dispatch.Gone
 		default:
-			f.fail("state", "is unknown")
+			m.fail("state", "is unknown")
 		}
-		if f.err != nil {
-			return f.err
+		if m.err != nil {
+			return m.err
 		}
 		list = append(list, r)
 	}
@@ -266,7 +266,8 @@
 	return nil
 }
 
-// round runs one round; a failure inside the module becomes a fault with its text.
+// runRound runs one dispatcher round. It reports a panic in the dispatcher as a "fault" line with the panic's
+// text.
 func (n *instance) runRound(now float64) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -285,72 +286,72 @@
 	n.events = n.events[:0]
 }
 
-// Deliver calls the dispatcher for each line that came in.
+// Deliver calls the event handler for each line received.
 func (n *instance) Deliver(d dispatch.EventHandler) {
-	f := &n.host.msg
+	m := &n.host.msg
 	for _, ev := range n.events {
 		n.host.lineNumber = ev.line
-		f.split(n.host.batchText[ev.start:ev.end])
-		if n.handle(d, f, ev); f.err != nil {
-			n.err = f.err
+		m.split(n.host.batchText[ev.start:ev.end])
+		if n.handle(d, m, ev); m.err != nil {
+			n.err = m.err
 			return
 		}
 	}
 }
 
-func (n *instance) handle(d dispatch.EventHandler, f *message, ev event) {
-	switch f.name() {
+func (n *instance) handle(d dispatch.EventHandler, m *message, ev event) {
+	switch m.name() {
 	case "req":
-		wi := dispatch.WorkItem{ID: f.id("job"), Category: n.names.category(f),
-			Tenant: indexOf(n.names.Tenants, f.optional("realm")), TimeLeft: f.time("time_left"),
-			Hint: f.timeOr("predicted", 0), Key: string(f.optional("partition_key"))}
-		if f.err == nil {
+		wi := dispatch.WorkItem{ID: m.id("job"), Category: n.names.category(m),
+			Tenant: indexOf(n.names.Tenants, m.optional("realm")), TimeLeft: m.time("time_left"),
+			Hint: m.timeOr("predicted", 0), Key: string(m.optional("partition_key"))}
+		if m.err == nil {
 			d.Arrived(wi)
 		}
 	case "reply":
-		a := dispatch.HandOffResult{WI: f.id("job"), HO: int(f.int("shot")), Elapsed: f.time("spent"),
-			Final: f.intOr("final", 0) == 1, Load: n.names.loadReport(f), Outcome: outcome(f)}
-		f.required("worker")
-		if f.err == nil {
-			d.HandOffEnded(a)
+		result := dispatch.HandOffResult{WI: m.id("job"), HO: int(m.int("shot")), Elapsed: m.time("spent"),
+			Final: m.intOr("final", 0) == 1, Load: n.names.loadReport(m), Outcome: outcome(m)}
+		m.required("worker")
+		if m.err == nil {
+			d.HandOffEnded(result)
 		}
 	case "notice":
-		wi, ho, what, level := f.id("job"), f.int("shot"), f.int("what"), f.numOr("level", 0)
-		f.required("worker")
-		if f.err == nil && (what == 1 || what == 2) {
+		wi, ho, what, level := m.id("job"), m.int("shot"), m.int("what"), m.numOr("level", 0)
+		m.required("worker")
+		if m.err == nil && (what == 1 || what == 2) {
 			d.HandOffProgressed(wi, int(ho), what == 1, level)
 		}
 	case "ack_first":
-		wi, ho := f.id("job"), f.int("shot")
-		f.required("worker")
-		if f.err == nil {
+		wi, ho := m.id("job"), m.int("shot")
+		m.required("worker")
+		if m.err == nil {
 			d.ResponseStarted(wi, int(ho))
 		}
 	case "client_left":
-		if wi := f.id("job"); f.err == nil {
+		if wi := m.id("job"); m.err == nil {
 			d.ClientLeft(wi)
 		}
 	case "timeout_fired":
-		f.id("handle") // the round that it causes is all it is for
+		m.id("handle") // its only effect is the round that it causes
 	case "checked":
-		// No probe is ever sent; what would answer one is only read.
-		f.required("worker")
-		outcome(f)
+		// The dispatcher sends no probes; the line is only validated.
+		m.required("worker")
+		outcome(m)
 	case "heard":
-		from, data := f.int("src_peer"), f.hex("contents")
-		if f.err == nil {
+		from, data := m.int("src_peer"), m.hex("contents")
+		if m.err == nil {
 			d.PeerMessageReceived(int(from), data)
 		}
 	case "discovery":
-		n.handleDiscovery(d, f, ev.workers)
+		n.handleDiscovery(d, m, ev.workers)
 	default:
-		f.err = fmt.Errorf("unknown message %q", f.name())
+		m.err = fmt.Errorf("unknown message %q", m.name())
 	}
 }
 
-func (n *instance) handleDiscovery(d dispatch.EventHandler, f *message, list []listEntry) {
+func (n *instance) handleDiscovery(d dispatch.EventHandler, m *message, list []listEntry) {
 	var form dispatch.ListType
-	switch kind := string(f.required("form")); kind {
+	switch kind := string(m.required("form")); kind {
 	case "update":
 		form = dispatch.ListChanges
 	case "replace":
@@ -360,12 +361,12 @@
 	case "unavailable":
 		form, list = dispatch.ListUnavailable, nil
 	default:
-		f.fail("form", "is unknown")
+		m.fail("form", "is unknown")
 	}
 	if form != dispatch.ListUnavailable {
-		f.required("set_id")
+		m.required("set_id")
 	}
-	if f.err != nil {
+	if m.err != nil {
 		return
 	}
 	entries := n.host.entries[:0]
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -14,7 +14,7 @@
 	"family_info.tells_start=true\tlocalities=a,b\tlocality=a\tmachine_types=twin\tsafety.answer_slack=20000\t" +
 	"safety.cold=20000000\tsafety.fall=2000000\tsafety.fall_multiple=3.0\tsafety.start_capacity=0.1\tunheard.of=1\n"
 
-// TestRoundTrip plays the kept input and compares what comes out with the kept output.
+// TestRoundTrip serves testdata/in.txt and compares the output with testdata/out.txt.
 func TestRoundTrip(t *testing.T) {
 	in, err := os.ReadFile("testdata/in.txt")
 	if err != nil {
@@ -29,11 +29,11 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(want), out.String()); diff != "" {
-		t.Errorf("output differs (-kept +now):\n%s", diff)
+		t.Errorf("output differs (-want +got):\n%s", diff)
 	}
 }
 
-// TestBadInput: one plain message that names the line and what is wrong.
+// TestBadInput checks that invalid input yields an error that names the line and what is wrong with it.
 func TestBadInput(t *testing.T) {
 	const clock = "clock\tsim_time=1000\tbatch=1\n"
 	for _, c := range []struct{ in, want string }{
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// The instance is its dispatcher's Writer: each decision becomes one line at once.
+// This file implements the dispatcher's writer interface on instance. Each decision is written as one line.
 
 func (n *instance) beginLine(action string) {
 	n.host.out.WriteString(action)
@@ -35,7 +35,7 @@
 
 func micros(ms float64) int64 { return int64(math.Round(ms * 1000)) }
 
-// HandOff writes a send.
+// HandOff writes a "send" line.
 func (n *instance) HandOff(wi uint64, worker string, timeout float64) {
 	n.beginLine("send")
 	n.putInt("job", int64(wi))
@@ -46,7 +46,7 @@
 	n.endLine()
 }
 
-// Cancel writes a cancel.
+// Cancel writes a "cancel" line.
 func (n *instance) Cancel(wi uint64, ho int) {
 	n.beginLine("cancel")
 	n.putInt("job", int64(wi))
@@ -54,7 +54,7 @@
 	n.endLine()
 }
 
-// Defer writes a turn_away.
+// Defer writes a "turn_away" line.
 func (n *instance) Defer(wi uint64, retryAfter float64) {
 	n.beginLine("turn_away")
 	n.putInt("job", int64(wi))
@@ -64,14 +64,14 @@
 	n.endLine()
 }
 
-// WriteOff writes an abort.
+// WriteOff writes an "abort" line.
 func (n *instance) WriteOff(wi uint64) {
 	n.beginLine("abort")
 	n.putInt("job", int64(wi))
 	n.endLine()
 }
 
-// Timer writes a set_timer.
+// SetTimer writes a "set_timer" line.
 func (n *instance) SetTimer(handle uint64, delay float64) {
 	n.beginLine("set_timer")
 	n.putInt("handle", int64(handle))
@@ -79,7 +79,7 @@
 	n.endLine()
 }
 
-// Watch writes a keep_informed.
+// WatchDiscovery writes a "keep_informed" line.
 func (n *instance) WatchDiscovery(on bool) {
 	n.beginLine("keep_informed")
 	want := int64(0)
@@ -90,7 +90,7 @@
 	n.endLine()
 }
 
-// Tell writes a broadcast_to.
+// SendToPeer writes a "broadcast_to" line.
 func (n *instance) SendToPeer(to int, data []byte) {
 	n.beginLine("broadcast_to")
 	n.putInt("to", int64(to))
