--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -29,7 +29,7 @@
 	callbackURL string
 	jobs        chan job
 	mu          sync.Mutex
-	cancelled   map[string]bool // job IDs cancelled before they ran
+	cancelled   map[string]bool // IDs of jobs to skip because the dispatcher cancelled them
 }
 
 func main() {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -287,7 +287,7 @@
 }
 
 // Append makes records durable, in order, together with those of other callers that wait. It returns once
-// they are durable, or with the error that prevented it. After an error, some or none of the records may be
+// they are durable, or with the error that prevented it. After an error, none, some or all of the records may be
 // found at the next start: the caller must assume neither that they were written nor that they were not. The
 // log tries again with the next call.
 func (l *Log) Append(contents ...[]byte) (first uint64, err error) {
@@ -438,7 +438,8 @@
 	return l.lastErr
 }
 
-// Close writes pending records, closes the log and unlocks the directory.
+// Close waits for a commit in progress, closes the log and unlocks the directory. Later calls of Append fail with
+// ErrClosed.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	if l.closed {
