--- a/cmd/weldlab/scale.go
+++ b/cmd/weldlab/scale.go
@@ -11,7 +11,7 @@
 	"path/filepath"
 
 	"weldmast/internal/capacity"
-	"weldmast/internal/scale"
+	"weldmast/internal/scaletest"
 )
 
 type scaleCommand struct {
@@ -27,7 +27,7 @@
 	if err != nil {
 		return fmt.Errorf("plan: %w", err)
 	}
-	p, err := scale.Read(c.Path, text)
+	p, err := scaletest.ParsePlan(c.Path, text)
 	if err != nil {
 		return err
 	}
@@ -36,7 +36,7 @@
 		return fmt.Errorf("scale: %w", err)
 	}
 	say := func(line string) { fmt.Fprintln(s.errs, line) }
-	r, err := scale.Play(ctx, p, scale.Options{Program: c.Program, Voter: c.Voter, Self: []string{self, "hollow"}, Tell: say})
+	r, err := scaletest.Run(ctx, p, scaletest.Options{DispatcherProgram: c.Program, VoterProgram: c.Voter, StubCommand: []string{self, "hollow"}, Progress: say})
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	}
 	switch {
 	case r.Void != "":
-		return fmt.Errorf("%w: %s", scale.ErrVoid, r.Void)
+		return fmt.Errorf("%w: %s", scaletest.ErrVoid, r.Void)
 	case r.Interrupted:
 		fmt.Fprintln(s.out, "interrupted: what was measured until then")
 	}
@@ -71,7 +71,7 @@
 type hollowCommand struct{}
 
 func (hollowCommand) Run(ctx context.Context, s *streams) error {
-	return scale.Hollow(ctx, os.Stdin, s.out)
+	return scaletest.RunStub(ctx, os.Stdin, s.out)
 }
 
 type capacityCommand struct {
@@ -88,7 +88,7 @@
 	case c.From != "":
 		return c.slopes(s)
 	}
-	sheet, err := capacity.Load(c.Path, os.ReadFile)
+	sheet, err := capacity.LoadInputs(c.Path, os.ReadFile)
 	if err != nil {
 		return err
 	}
@@ -108,12 +108,12 @@
 	return nil
 }
 
-func readRun(path string) (*scale.Result, error) {
+func readRun(path string) (*scaletest.Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("capacity: %w", err)
 	}
-	r := &scale.Result{}
+	r := &scaletest.Result{}
 	if err := json.Unmarshal(text, r); err != nil {
 		return nil, fmt.Errorf("capacity: %s: %w", path, err)
 	}
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	all := scale.Beside(a, b)
+	all := scaletest.PairSlopes(a, b)
 	if a.Plan != b.Plan || len(all) == 0 {
 		return fmt.Errorf("capacity: %s and %s are not runs of one plan", c.From, c.With)
 	}
@@ -145,12 +145,12 @@
 			overlap++
 			said = "no, but the intervals overlap"
 		}
-		if p.Within() {
+		if p.EachWithinOther() {
 			within++
 			said = "yes"
 		}
-		fmt.Fprintf(s.out, "| %s | %s | %s | %s to %s | %s | %s to %s | %s |\n", p.Name, p.Unit, scale.Number(p.A.Slope), scale.Number(p.A.Low), scale.Number(p.A.High),
-			scale.Number(p.B.Slope), scale.Number(p.B.Low), scale.Number(p.B.High), said)
+		fmt.Fprintf(s.out, "| %s | %s | %s | %s to %s | %s | %s to %s | %s |\n", p.Name, p.Unit, scaletest.FormatNumber(p.A.Slope), scaletest.FormatNumber(p.A.Low), scaletest.FormatNumber(p.A.High),
+			scaletest.FormatNumber(p.B.Slope), scaletest.FormatNumber(p.B.Low), scaletest.FormatNumber(p.B.High), said)
 	}
 	fmt.Fprintf(s.out, "\n%d slopes: %d in each other's interval, %d with intervals that overlap\n", len(all), within, overlap)
 	return nil
@@ -167,8 +167,8 @@
 		if f.Points < 3 {
 			continue
 		}
-		fmt.Fprintf(s.out, "[[slope]]\nname = %q\nunit = %q\nrun = %q\nat = %s\neach = %s\nlow = %s\nhigh = %s\noff = %.3f\nto = %g\n\n", x.Name, x.Unit, filepath.Base(c.From), scale.Number(f.At),
-			scale.Number(f.Slope), scale.Number(f.Low), scale.Number(f.High), f.Off, f.X)
+		fmt.Fprintf(s.out, "[[slope]]\nname = %q\nunit = %q\nrun = %q\nat = %s\neach = %s\nlow = %s\nhigh = %s\noff = %.3f\nto = %g\n\n", x.Name, x.Unit, filepath.Base(c.From), scaletest.FormatNumber(f.Intercept),
+			scaletest.FormatNumber(f.Slope), scaletest.FormatNumber(f.Low), scaletest.FormatNumber(f.High), f.RelativeError, f.LargestX)
 	}
 	return nil
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -7,16 +7,16 @@
 	"strings"
 	"testing"
 
-	"weldmast/internal/scale"
+	"weldmast/internal/scaletest"
 )
 
 // run is one whose leader costs 0.002 of a core a member, and as text.
-func run(t *testing.T) (*scale.Result, func(string) ([]byte, error)) {
+func run(t *testing.T) (*scaletest.Result, func(string) ([]byte, error)) {
 	t.Helper()
-	r := &scale.Result{}
+	r := &scaletest.Result{}
 	for _, n := range []int{100, 200, 400} {
-		r.Points = append(r.Points, scale.Point{Series: "members", Size: n, Versions: 1.1, Published: 5, All: float64(n), Member: scale.Link{Calls: 4, Read: 600, Written: 400},
-			Roles: map[string]scale.Usage{"leader": {CPU: 0.002 * float64(n), MB: 20}}})
+		r.Points = append(r.Points, scaletest.Point{Series: "members", Size: n, VersionRate: 1.1, Published: 5, InForceMax: float64(n), StubLink: scaletest.LinkUsage{Calls: 4, Read: 600, Written: 400},
+			Roles: map[string]scaletest.Usage{"leader": {CPU: 0.002 * float64(n), ResidentMB: 20}}})
 	}
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -35,7 +35,7 @@
 // TestRead: faults are told all at once, each with file, line and key; a slope has to be what its run gives.
 func TestRead(t *testing.T) {
 	_, open := run(t)
-	if _, err := Read("s.toml", []byte(leader), open); err != nil {
+	if _, err := ParseInputs("s.toml", []byte(leader), open); err != nil {
 		t.Error(err)
 	}
 	for name, c := range map[string]struct {
@@ -52,7 +52,7 @@
 		"another figure":       {strings.Replace(leader, "each = 0.002\n", "each = 0.001\n", 1), []string{"s.toml:1: slope.0: leader_cpu@1.1 is not what its run run.json gives"}},
 		"another unit":         {strings.Replace(leader, "cores", "MB", 1), []string{"s.toml:3: slope.0.unit: leader_cpu@1.1 is in MB, the run has it in cores"}},
 	} {
-		_, err := Read("s.toml", []byte(c.text), open)
+		_, err := ParseInputs("s.toml", []byte(c.text), open)
 		for _, w := range c.want {
 			if err == nil || !strings.Contains(err.Error(), w) {
 				t.Errorf("%s: no %q in\n%v", name, w, err)
@@ -64,7 +64,7 @@
 // TestLacks: what the arithmetic needs and the file does not say is named; no table comes of it.
 func TestLacks(t *testing.T) {
 	_, open := run(t)
-	s, err := Read("s.toml", []byte(leader), open)
+	s, err := ParseInputs("s.toml", []byte(leader), open)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 
 // TestPage: the tables of the page are what the command prints, to the digit.
 func TestPage(t *testing.T) {
-	s, err := Load(sheet, os.ReadFile)
+	s, err := LoadInputs(sheet, os.ReadFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 // TestArithmetic: rows against figures worked out by hand from the file's own slopes: a ratio is what we come to over its bound,
 // at half, once and double the schedulers; what is carried on beyond the run is called fitted.
 func TestArithmetic(t *testing.T) {
-	s, err := Load(sheet, os.ReadFile)
+	s, err := LoadInputs(sheet, os.ReadFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,27 +110,27 @@
 		if tables.Schedulers[k] != size {
 			t.Errorf("schedulers %v", tables.Schedulers)
 		}
-		for _, r := range tables.Lines {
-			if !strings.Contains(r.Line, "control at a scheduler: link") {
+		for _, r := range tables.Requirements {
+			if !strings.Contains(r.Name, "control at a scheduler: link") {
 				continue
 			}
 			for _, x := range s.Slopes {
 				if x.Name == "member_bytes@1.1" {
-					if want := x.At + x.Each*size; r.Comes[k] != want || r.Ratio[k] != want/s.value("control_bytes") {
-						t.Errorf("%s: %v and %v at %v, wanted %v", r.Line, r.Comes, r.Ratio, size, want)
+					if want := x.Intercept + x.PerUnit*size; r.Values[k] != want || r.Ratios[k] != want/s.value("control_bytes") {
+						t.Errorf("%s: %v and %v at %v, wanted %v", r.Name, r.Values, r.Ratios, size, want)
 					}
 				}
 			}
 		}
 	}
 	last := 1e300
-	for _, r := range tables.Worst() {
-		if r.Ratio[1] > last {
-			t.Errorf("%s stands behind a smaller ratio", r.Line)
+	for _, r := range tables.WorstFirst() {
+		if r.Ratios[1] > last {
+			t.Errorf("%s stands behind a smaller ratio", r.Name)
 		}
-		last = r.Ratio[1]
+		last = r.Ratios[1]
 	}
-	s.Slopes = append([]Slope{{Name: "x", At: 1, Each: 1, To: 10, Off: 0.3}, {Name: "y", At: 1, Each: 1, To: 10}}, s.Slopes...)
+	s.Slopes = append([]Slope{{Name: "x", Intercept: 1, PerUnit: 1, LargestSize: 10, RelativeError: 0.3}, {Name: "y", Intercept: 1, PerUnit: 1, LargestSize: 10}}, s.Slopes...)
 	for name, want := range map[string]string{"x 5": "measured (x)", "x 20": "fitted, not held (x)", "y 20": "fitted (y)"} {
 		var slope string
 		var at float64
--- a/internal/capacity/sheet.go
+++ b/internal/capacity/inputs.go
@@ -11,7 +11,7 @@
 	"math"
 	"path/filepath"
 
-	"weldmast/internal/scale"
+	"weldmast/internal/scaletest"
 	"weldmast/internal/tomlfile"
 )
 
@@ -25,23 +25,23 @@
 
 // Slope is a line through points of a run.
 type Slope struct {
-	Name string  `toml:"name" need:"true"`
-	Unit string  `toml:"unit" need:"true"`
-	Run  string  `toml:"run" need:"true"` // beside the file
-	At   float64 `toml:"at" need:"true"`  // at size 0
-	Each float64 `toml:"each" need:"true" min:"0"`
-	Low  float64 `toml:"low"` // of the slope, 95%
-	High float64 `toml:"high"`
+	Name      string  `toml:"name" need:"true"`
+	Unit      string  `toml:"unit" need:"true"`
+	Run       string  `toml:"run" need:"true"` // beside the file
+	Intercept float64 `toml:"at" need:"true"`  // at size 0
+	PerUnit   float64 `toml:"each" need:"true" min:"0"`
+	Low       float64 `toml:"low"` // of the slope, 95%
+	High      float64 `toml:"high"`
 	// Off is by which part the line through the other points misses the largest one.
-	Off float64 `toml:"off"`
+	RelativeError float64 `toml:"off"`
 	// To is the largest size that was measured; beyond it the line is carried on.
-	To float64 `toml:"to" need:"true" min:"1"`
+	LargestSize float64 `toml:"to" need:"true" min:"1"`
 }
 
 // Sheet is the file.
-type Sheet struct {
+type Inputs struct {
 	About       string     `toml:"about"`
-	Size        []Quantity `toml:"size"`
+	Quantities  []Quantity `toml:"size"`
 	Assumptions []Quantity `toml:"assumption"`
 	Slopes      []Slope    `toml:"slope"`
 
@@ -55,8 +55,8 @@
 
 // Read makes a sheet of a file's text; open gives the text of a run that it names. An error lists every fault with its line and
 // key.
-func Read(file string, text []byte, open func(run string) ([]byte, error)) (*Sheet, error) {
-	s := &Sheet{}
+func ParseInputs(file string, text []byte, open func(run string) ([]byte, error)) (*Inputs, error) {
+	s := &Inputs{}
 	d := tomlfile.Parse(file, text)
 	d.Decode(s)
 	if d.Err() != nil {
@@ -71,7 +71,7 @@
 			d.AddFault(key+".unit", "%s has no unit", name)
 		}
 	}
-	for k, q := range s.Size {
+	for k, q := range s.Quantities {
 		once(fmt.Sprintf("size.%d", k), q.Name, q.Unit)
 	}
 	for k, q := range s.Assumptions {
@@ -80,13 +80,13 @@
 			d.AddFault(fmt.Sprintf("assumption.%d", k), "%s: why it is assumed is missing", q.Name)
 		}
 	}
-	runs := map[string]*scale.Result{}
+	runs := map[string]*scaletest.Result{}
 	for k, x := range s.Slopes {
 		key := fmt.Sprintf("slope.%d", k)
 		once(key, x.Name, x.Unit)
 		r := runs[x.Run]
 		if r == nil {
-			r = &scale.Result{}
+			r = &scaletest.Result{}
 			text, err := open(x.Run)
 			if err == nil {
 				err = json.Unmarshal(text, r)
@@ -105,26 +105,26 @@
 			d.AddFault(key+".run", "the run %s is void: %s", x.Run, r.Void)
 		case of.Unit != x.Unit:
 			d.AddFault(key+".unit", "%s is in %s, the run has it in %s", x.Name, x.Unit, of.Unit)
-		case !near(x.At, of.Fit.At) || !near(x.Each, of.Fit.Slope) || !near(x.Low, of.Fit.Low) || !near(x.High, of.Fit.High) || math.Abs(x.Off-of.Fit.Off) > 0.006 || x.To != of.Fit.X:
-			d.AddFault(key, "%s is not what its run %s gives: at %s, each %s, low %s, high %s, off %.2f, to %g", x.Name, x.Run, scale.Number(of.Fit.At),
-				scale.Number(of.Fit.Slope), scale.Number(of.Fit.Low), scale.Number(of.Fit.High), of.Fit.Off, of.Fit.X)
+		case !near(x.Intercept, of.Fit.Intercept) || !near(x.PerUnit, of.Fit.Slope) || !near(x.Low, of.Fit.Low) || !near(x.High, of.Fit.High) || math.Abs(x.RelativeError-of.Fit.RelativeError) > 0.006 || x.LargestSize != of.Fit.LargestX:
+			d.AddFault(key, "%s is not what its run %s gives: at %s, each %s, low %s, high %s, off %.2f, to %g", x.Name, x.Run, scaletest.FormatNumber(of.Fit.Intercept),
+				scaletest.FormatNumber(of.Fit.Slope), scaletest.FormatNumber(of.Fit.Low), scaletest.FormatNumber(of.Fit.High), of.Fit.RelativeError, of.Fit.LargestX)
 		}
 	}
 	return s, d.Err()
 }
 
 // Load reads a file and the runs beside it.
-func Load(path string, read func(string) ([]byte, error)) (*Sheet, error) {
+func LoadInputs(path string, read func(string) ([]byte, error)) (*Inputs, error) {
 	text, err := read(path)
 	if err != nil {
 		return nil, fmt.Errorf("capacity: %w", err)
 	}
-	return Read(path, text, func(run string) ([]byte, error) { return read(filepath.Join(filepath.Dir(path), run)) })
+	return ParseInputs(path, text, func(run string) ([]byte, error) { return read(filepath.Join(filepath.Dir(path), run)) })
 }
 
 // value is a figure of the size or an assumption.
-func (s *Sheet) value(name string) float64 {
-	for _, all := range [][]Quantity{s.Size, s.Assumptions} {
+func (s *Inputs) value(name string) float64 {
+	for _, all := range [][]Quantity{s.Quantities, s.Assumptions} {
 		for _, q := range all {
 			if q.Name == name {
 				return q.Value
@@ -136,19 +136,19 @@
 }
 
 // line is what a slope comes to at a size, and how that is known.
-func (s *Sheet) line(name string, size float64) (y float64, basis string) {
+func (s *Inputs) line(name string, size float64) (y float64, basis string) {
 	for _, x := range s.Slopes {
 		if x.Name != name {
 			continue
 		}
 		basis = "measured"
 		switch {
-		case size > x.To && math.Abs(x.Off) > offMost:
+		case size > x.LargestSize && math.Abs(x.RelativeError) > offMost:
 			basis = "fitted, not held"
-		case size > x.To:
+		case size > x.LargestSize:
 			basis = "fitted"
 		}
-		return x.At + x.Each*size, basis + " (" + name + ")"
+		return x.Intercept + x.PerUnit*size, basis + " (" + name + ")"
 	}
 	s.missed = append(s.missed, name)
 	return math.NaN(), "missing"
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -10,49 +10,49 @@
 	"strings"
 
 	"weldmast/internal/dispatch"
-	"weldmast/internal/scale"
+	"weldmast/internal/scaletest"
 )
 
 // Row is a line of the size, or a role.
 type Row struct {
-	Line    string     `json:"line"`
-	Carrier string     `json:"carrier"`         // the package, or missing
-	Bound   string     `json:"bound,omitempty"` // in words, with its figure
-	Unit    string     `json:"unit,omitempty"`
-	Comes   [3]float64 `json:"comes"` // at half, once and double the schedulers that are assumed
-	Ratio   [3]float64 `json:"ratio"` // to the bound; 0: there is none
-	Basis   string     `json:"basis"`
-	limit   float64
+	Name      string     `json:"line"`
+	Component string     `json:"carrier"`         // the package, or missing
+	Bound     string     `json:"bound,omitempty"` // in words, with its figure
+	Unit      string     `json:"unit,omitempty"`
+	Values    [3]float64 `json:"comes"` // at half, once and double the schedulers that are assumed
+	Ratios    [3]float64 `json:"ratio"` // to the bound; 0: there is none
+	Basis     string     `json:"basis"`
+	limit     float64
 }
 
 // Tables are all that a page shows.
 type Tables struct {
-	Schedulers [3]float64 `json:"schedulers"`
-	Lines      []Row      `json:"lines"`
-	Roles      []Row      `json:"roles"`
-	Failures   []Row      `json:"failures"`
-	Slopes     []Slope    `json:"-"`
-	Given      []Quantity `json:"-"`
+	Schedulers   [3]float64 `json:"schedulers"`
+	Requirements []Row      `json:"lines"`
+	Roles        []Row      `json:"roles"`
+	Failures     []Row      `json:"failures"`
+	Slopes       []Slope    `json:"-"`
+	Quantities   []Quantity `json:"-"`
 }
 
 // Missing is a carrier that is not there yet.
 const Missing = "**missing**"
 
 // Tables works the tables out; an error names what the file lacks.
-func (s *Sheet) Tables() (*Tables, error) {
-	t := &Tables{Slopes: s.Slopes, Given: append(slices.Clone(s.Size), s.Assumptions...)}
+func (s *Inputs) Tables() (*Tables, error) {
+	t := &Tables{Slopes: s.Slopes, Quantities: append(slices.Clone(s.Quantities), s.Assumptions...)}
 	n := s.value("schedulers")
 	t.Schedulers = [3]float64{n / 2, n, 2 * n}
 	// row works one out at the three sizes.
 	row := func(line, carrier, unit, bound string, limit float64, of func(schedulers float64) (float64, string)) Row {
-		r := Row{Line: line, Carrier: carrier, Unit: unit, Bound: bound, limit: limit}
+		r := Row{Name: line, Component: carrier, Unit: unit, Bound: bound, limit: limit}
 		for k, size := range t.Schedulers {
 			var basis string
-			if r.Comes[k], basis = of(size); k == 0 || strings.HasPrefix(basis, "fitted") {
+			if r.Values[k], basis = of(size); k == 0 || strings.HasPrefix(basis, "fitted") {
 				r.Basis = basis // the least that is known of any of the three
 			}
 			if limit > 0 {
-				r.Ratio[k] = r.Comes[k] / limit
+				r.Ratios[k] = r.Values[k] / limit
 			}
 		}
 		return r
@@ -60,7 +60,7 @@
 	alike := func(x float64, basis string) func(float64) (float64, string) {
 		return func(float64) (float64, string) { return x, basis }
 	}
-	lack := func(line, what string) Row { return Row{Line: line, Carrier: Missing + ": " + what, Basis: "none"} }
+	lack := func(line, what string) Row { return Row{Name: line, Component: Missing + ": " + what, Basis: "none"} }
 	slope := func(name string) func(float64) (float64, string) {
 		return func(size float64) (float64, string) { return s.line(name, size) }
 	}
@@ -77,7 +77,7 @@
 	teamMB0, _ := s.line("team_mb@100", 0)
 	teamMB, teamBasis := s.line("team_mb@100", teams)
 
-	t.Lines = []Row{
+	t.Requirements = []Row{
 		row(fmt.Sprintf("%g workers known to each dispatcher: memory", workers), "internal/dispatch, internal/platform", "MB", fmt.Sprintf("%g MB", memory), memory, alike(knownMB, knownBasis)),
 		row("the same: processor time with no job", "internal/dispatch, internal/platform", "cores", fmt.Sprintf("%g of a core", control), control, alike(idleCPU, idleBasis)),
 		lack(fmt.Sprintf("%g accelerators", s.value("accelerators")), "a worker has a kind and slots, and no accelerators of which a job takes some"),
@@ -143,13 +143,13 @@
 }
 
 // Worst are the rows that have a bound and a carrier, worst first, by the ratio at the schedulers that are assumed.
-func (t *Tables) Worst() (all []Row) {
-	for _, r := range slices.Concat(t.Lines, t.Roles, t.Failures) {
-		if r.limit > 0 && !slices.ContainsFunc(all, func(x Row) bool { return x.Comes == r.Comes && x.Bound == r.Bound }) {
+func (t *Tables) WorstFirst() (all []Row) {
+	for _, r := range slices.Concat(t.Requirements, t.Roles, t.Failures) {
+		if r.limit > 0 && !slices.ContainsFunc(all, func(x Row) bool { return x.Values == r.Values && x.Bound == r.Bound }) {
 			all = append(all, r)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Row) int { return cmp.Compare(b.Ratio[1], a.Ratio[1]) })
+	slices.SortStableFunc(all, func(a, b Row) int { return cmp.Compare(b.Ratios[1], a.Ratios[1]) })
 	return all
 }
 
@@ -158,45 +158,45 @@
 	var b strings.Builder
 	three := func(x [3]float64) string {
 		if x[0] == x[2] {
-			return scale.Number(x[1])
+			return scaletest.FormatNumber(x[1])
 		}
-		return scale.Number(x[0]) + ", " + scale.Number(x[1]) + ", " + scale.Number(x[2])
+		return scaletest.FormatNumber(x[0]) + ", " + scaletest.FormatNumber(x[1]) + ", " + scaletest.FormatNumber(x[2])
 	}
 	rows := func(head string, all []Row) {
 		fmt.Fprintf(&b, "| %s | carried by | bound | comes to | ratio | basis |\n| --- | --- | --- | --- | --- | --- |\n", head)
 		for _, r := range all {
-			comes, ratio := three(r.Comes)+" "+r.Unit, three(r.Ratio)
-			if strings.HasPrefix(r.Carrier, Missing) {
+			comes, ratio := three(r.Values)+" "+r.Unit, three(r.Ratios)
+			if strings.HasPrefix(r.Component, Missing) {
 				comes = ""
 			}
 			if r.limit == 0 {
 				ratio = ""
 			}
-			fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s |\n", r.Line, r.Carrier, r.Bound, comes, ratio, r.Basis)
+			fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s |\n", r.Name, r.Component, r.Bound, comes, ratio, r.Basis)
 		}
 		b.WriteByte('\n')
 	}
-	fmt.Fprintf(&b, "Three figures: with %s, %s and %s schedulers. One: the same with each.\n\n", scale.Number(t.Schedulers[0]), scale.Number(t.Schedulers[1]), scale.Number(t.Schedulers[2]))
+	fmt.Fprintf(&b, "Three figures: with %s, %s and %s schedulers. One: the same with each.\n\n", scaletest.FormatNumber(t.Schedulers[0]), scaletest.FormatNumber(t.Schedulers[1]), scaletest.FormatNumber(t.Schedulers[2]))
 	b.WriteString("### Lines of the size\n\n")
-	rows("line", t.Lines)
+	rows("line", t.Requirements)
 	b.WriteString("### Roles\n\n")
 	rows("role", t.Roles)
 	b.WriteString("### Failures\n\n")
 	rows("failure", t.Failures)
 	b.WriteString("### Worst first, of what exists\n\n| row | ratio |\n| --- | --- |\n")
-	for _, r := range t.Worst() {
-		fmt.Fprintf(&b, "| %s | %s |\n", r.Line, three(r.Ratio))
+	for _, r := range t.WorstFirst() {
+		fmt.Fprintf(&b, "| %s | %s |\n", r.Name, three(r.Ratios))
 	}
 	b.WriteString("\n### Slopes\n\n| slope | unit | at 0 | each | 95% of each | largest point | foretold from the others, off by | run |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, x := range t.Slopes {
-		held := fmt.Sprintf("%+.0f%%", 100*x.Off)
-		if math.Abs(x.Off) > offMost {
+		held := fmt.Sprintf("%+.0f%%", 100*x.RelativeError)
+		if math.Abs(x.RelativeError) > offMost {
 			held += ", no line"
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s to %s | %g | %s | %s |\n", x.Name, x.Unit, scale.Number(x.At), scale.Number(x.Each), scale.Number(x.Low), scale.Number(x.High), x.To, held, x.Run)
+		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s to %s | %g | %s | %s |\n", x.Name, x.Unit, scaletest.FormatNumber(x.Intercept), scaletest.FormatNumber(x.PerUnit), scaletest.FormatNumber(x.Low), scaletest.FormatNumber(x.High), x.LargestSize, held, x.Run)
 	}
 	b.WriteString("\n### Given and assumed\n\n| name | value | unit | |\n| --- | --- | --- | --- |\n")
-	for _, q := range t.Given {
+	for _, q := range t.Quantities {
 		why := q.Why
 		if why == "" {
 			why = "the size"
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -16,7 +16,7 @@
 
 	"weldmast/internal/baseline"
 	"weldmast/internal/fleetmodel"
-	"weldmast/internal/scale"
+	"weldmast/internal/scaletest"
 	"weldmast/internal/sockets"
 )
 
@@ -140,7 +140,7 @@
 		if strings.HasPrefix(name, "capacity") { // a plan of a scale run, which internal/scale plays
 			text, err := os.ReadFile(f)
 			if err == nil {
-				_, err = scale.Read(f, text)
+				_, err = scaletest.ParsePlan(f, text)
 			}
 			if err != nil {
 				t.Error(err)
--- a/internal/scale/plan.go
+++ b/internal/scaletest/plan.go
@@ -3,7 +3,7 @@
 // fits lines to it. It must never decide for a process that it measures, nor count what is hollow as real.
 //
 // This file owns the plan of a run: what is drawn, and what the run itself may take.
-package scale
+package scaletest
 
 import (
 	"fmt"
@@ -16,28 +16,28 @@
 
 // Plan is what a file says of a run. Times are milliseconds.
 type Plan struct {
-	About       string          `toml:"about"`
-	Voters      int             `toml:"voters" min:"1" max:"5"`
-	Dispatchers int             `toml:"dispatchers" min:"1" max:"100"` // real ones, under traffic; two followers more have none
-	Rate        float64         `toml:"rate" min:"0"`                  // jobs a second over all of them
-	Fleet       int             `toml:"fleet_workers" min:"1"`         // hollow workers that they share
-	Beat        tomlfile.Millis `toml:"beat" min:"20"`
-	Lease       tomlfile.Millis `toml:"lease" min:"100"`
-	Members     []int           `toml:"members" min:"1"`             // series: members of the fleet, growing
-	Versions    []float64       `toml:"versions" min:"0"`            // a second, at each size of it
-	UpTo        []int           `toml:"versions_up_to" min:"1"`      // the largest size at which each rate is played; none: all
-	Text        int             `toml:"text" min:"64" max:"65536"`   // bytes of a version
-	Workers     []int           `toml:"workers" min:"1" max:"60000"` // series: workers known to one dispatcher, growing
-	Known       float64         `toml:"known_rate" min:"0"`          // jobs a second there
-	Watchers    int             `toml:"watchers" min:"0"`            // hollow dispatchers that have discovery tell them as well
-	Teams       []int           `toml:"teams" min:"1"`               // series: tenants in the settings
-	Grow        float64         `toml:"grow" min:"1"`                // hollow members that begin in a second
-	Each        int             `toml:"each" min:"1"`                // hollow members in one process
-	Settle      tomlfile.Millis `toml:"settle" min:"0"`
-	Measure     tomlfile.Millis `toml:"measure" min:"100"`
-	Late        tomlfile.Millis `toml:"late" min:"1"`             // a hollow process later than that at p99 voids the run
-	Memory      float64         `toml:"memory" min:"0" max:"0.5"` // part of the machine's, at most
-	Processes   int             `toml:"processes" min:"1" max:"300"`
+	About           string          `toml:"about"`
+	Voters          int             `toml:"voters" min:"1" max:"5"`
+	Dispatchers     int             `toml:"dispatchers" min:"1" max:"100"` // real ones, under traffic; two followers more have none
+	JobRate         float64         `toml:"rate" min:"0"`                  // jobs a second over all of them
+	FleetWorkers    int             `toml:"fleet_workers" min:"1"`         // hollow workers that they share
+	Heartbeat       tomlfile.Millis `toml:"beat" min:"20"`
+	Lease           tomlfile.Millis `toml:"lease" min:"100"`
+	Members         []int           `toml:"members" min:"1"`             // series: members of the fleet, growing
+	VersionRates    []float64       `toml:"versions" min:"0"`            // a second, at each size of it
+	VersionsUpTo    []int           `toml:"versions_up_to" min:"1"`      // the largest size at which each rate is played; none: all
+	VersionBytes    int             `toml:"text" min:"64" max:"65536"`   // bytes of a version
+	Workers         []int           `toml:"workers" min:"1" max:"60000"` // series: workers known to one dispatcher, growing
+	KnownRate       float64         `toml:"known_rate" min:"0"`          // jobs a second there
+	Watchers        int             `toml:"watchers" min:"0"`            // hollow dispatchers that have discovery tell them as well
+	Teams           []int           `toml:"teams" min:"1"`               // series: tenants in the settings
+	StubsPerSecond  float64         `toml:"grow" min:"1"`                // hollow members that begin in a second
+	StubsPerProcess int             `toml:"each" min:"1"`                // hollow members in one process
+	SettleTime      tomlfile.Millis `toml:"settle" min:"0"`
+	MeasureTime     tomlfile.Millis `toml:"measure" min:"100"`
+	MaxLateness     tomlfile.Millis `toml:"late" min:"1"`             // a hollow process later than that at p99 voids the run
+	MemoryShare     float64         `toml:"memory" min:"0" max:"0.5"` // part of the machine's, at most
+	MaxProcesses    int             `toml:"processes" min:"1" max:"300"`
 	// What the plan takes each to be, to be refused beforehand; what they are is measured.
 	RealMB   float64 `toml:"real_mb" min:"0"`
 	MemberKB float64 `toml:"member_kb" min:"0"`
@@ -45,9 +45,9 @@
 }
 
 // Read makes a plan of a file's text. An error lists every fault with its line and key.
-func Read(file string, text []byte) (*Plan, error) {
-	p := &Plan{Voters: 5, Dispatchers: 24, Rate: 240, Fleet: 48, Beat: 250, Lease: 1000, Text: 2048, Known: 100, Grow: 50, Each: 250, Settle: 3000,
-		Measure: 8000, Late: 100, Memory: 0.5, Processes: 300, RealMB: 60, MemberKB: 400, WorkerKB: 40}
+func ParsePlan(file string, text []byte) (*Plan, error) {
+	p := &Plan{Voters: 5, Dispatchers: 24, JobRate: 240, FleetWorkers: 48, Heartbeat: 250, Lease: 1000, VersionBytes: 2048, KnownRate: 100, StubsPerSecond: 50, StubsPerProcess: 250, SettleTime: 3000,
+		MeasureTime: 8000, MaxLateness: 100, MemoryShare: 0.5, MaxProcesses: 300, RealMB: 60, MemberKB: 400, WorkerKB: 40}
 	d := tomlfile.Parse(file, text)
 	d.Decode(p)
 	if d.Err() != nil {
@@ -69,14 +69,14 @@
 	if len(p.Members) > 0 && p.Members[0] < p.Voters+p.Dispatchers+idleFollowers {
 		d.AddFault("members.0", "%d are fewer than the %d real ones", p.Members[0], p.Voters+p.Dispatchers+idleFollowers)
 	}
-	if len(p.Members) > 0 && len(p.Versions) == 0 {
+	if len(p.Members) > 0 && len(p.VersionRates) == 0 {
 		d.AddFault("versions", "is missing: how many a second")
 	}
-	if len(p.UpTo) > 0 && len(p.UpTo) != len(p.Versions) {
-		d.AddFault("versions_up_to", "%d sizes for %d rates", len(p.UpTo), len(p.Versions))
+	if len(p.VersionsUpTo) > 0 && len(p.VersionsUpTo) != len(p.VersionRates) {
+		d.AddFault("versions_up_to", "%d sizes for %d rates", len(p.VersionsUpTo), len(p.VersionRates))
 	}
-	if n := p.processes(); n > p.Processes {
-		d.AddFault("processes", "the plan needs %d, %d are allowed", n, p.Processes)
+	if n := p.processes(); n > p.MaxProcesses {
+		d.AddFault("processes", "the plan needs %d, %d are allowed", n, p.MaxProcesses)
 	}
 	return p, d.Err()
 }
@@ -92,7 +92,7 @@
 	fleet := 1
 	if len(p.Members) > 0 {
 		most := p.Members[len(p.Members)-1] - p.Voters - p.Dispatchers - idleFollowers
-		fleet += p.Voters + p.Dispatchers + idleFollowers + (most+p.Each-1)/p.Each + p.doors()
+		fleet += p.Voters + p.Dispatchers + idleFollowers + (most+p.StubsPerProcess-1)/p.StubsPerProcess + p.doors()
 	}
 	known := 2
 	if len(p.Workers) > 0 {
@@ -102,13 +102,13 @@
 }
 
 // doors are the processes for the workers of the fleet series: each has an address for each dispatcher.
-func (p *Plan) doors() int { return (p.Fleet*p.Dispatchers + doorsEach - 1) / doorsEach }
+func (p *Plan) doors() int { return (p.FleetWorkers*p.Dispatchers + doorsEach - 1) / doorsEach }
 
 // needMB is what the plan is taken to need at most.
 func (p *Plan) needMB() float64 {
 	fleet, known := 0., 0.
 	if n := len(p.Members); n > 0 {
-		fleet = float64(p.Voters+p.Dispatchers+idleFollowers)*p.RealMB + float64(p.Members[n-1])*p.MemberKB/1024 + float64(p.Fleet*p.Dispatchers)*p.WorkerKB/1024
+		fleet = float64(p.Voters+p.Dispatchers+idleFollowers)*p.RealMB + float64(p.Members[n-1])*p.MemberKB/1024 + float64(p.FleetWorkers*p.Dispatchers)*p.WorkerKB/1024
 	}
 	if n := len(p.Workers); n > 0 {
 		known = p.RealMB + float64(p.Workers[n-1])*p.WorkerKB/1024
@@ -120,11 +120,11 @@
 type Machine struct {
 	Cores    int     `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	BoundMB  float64 `json:"bound_mb"` // of all processes of the run together
+	LimitMB  float64 `json:"bound_mb"` // of all processes of the run together
 }
 
 // Look reads what the machine has, and refuses a plan over it.
-func (p *Plan) Look() (m Machine, err error) {
+func (p *Plan) CheckMemory() (m Machine, err error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		return m, fmt.Errorf("scale: %w", err)
@@ -134,9 +134,9 @@
 		return m, fmt.Errorf("scale: the machine's memory is not known: %v", err)
 	}
 	m = Machine{Cores: runtime.NumCPU(), MemoryMB: float64(*info.MemTotal) / 1024}
-	m.BoundMB = m.MemoryMB * p.Memory
-	if need := p.needMB(); need > m.BoundMB {
-		return m, fmt.Errorf("memory: the plan needs %.0f MB by its own word, %.0f of the machine's %.0f are allowed", need, m.BoundMB, m.MemoryMB)
+	m.LimitMB = m.MemoryMB * p.MemoryShare
+	if need := p.needMB(); need > m.LimitMB {
+		return m, fmt.Errorf("memory: the plan needs %.0f MB by its own word, %.0f of the machine's %.0f are allowed", need, m.LimitMB, m.MemoryMB)
 	}
 	return m, nil
 }
--- a/internal/scale/text.go
+++ b/internal/scaletest/report.go
@@ -1,6 +1,6 @@
 // This file owns what a run says: its points, the lines through them, and a plot.
 
-package scale
+package scaletest
 
 import (
 	"cmp"
@@ -39,28 +39,28 @@
 // nothing else.
 var figures = []figure{
 	{"leader_cpu", "cores", "members", usage("leader", func(u Usage) float64 { return u.CPU })},
-	{"leader_mb", "MB", "members", usage("leader", func(u Usage) float64 { return u.MB })},
+	{"leader_mb", "MB", "members", usage("leader", func(u Usage) float64 { return u.ResidentMB })},
 	{"leader_bytes", "bytes/s", "members", usage("leader", func(u Usage) float64 { return u.Read + u.Written })},
 	{"leader_reads", "1/s", "members", usage("leader", func(u Usage) float64 { return u.Reads })},
 	{"voter_cpu", "cores", "members", usage("voter", func(u Usage) float64 { return u.CPU })},
-	{"voter_mb", "MB", "members", usage("voter", func(u Usage) float64 { return u.MB })},
+	{"voter_mb", "MB", "members", usage("voter", func(u Usage) float64 { return u.ResidentMB })},
 	{"voter_bytes", "bytes/s", "members", usage("voter", func(u Usage) float64 { return u.Read + u.Written })},
 	{"follower_cpu", "cores", "members", usage("follower", func(u Usage) float64 { return u.CPU })},
-	{"follower_mb", "MB", "members", usage("follower", func(u Usage) float64 { return u.MB })},
+	{"follower_mb", "MB", "members", usage("follower", func(u Usage) float64 { return u.ResidentMB })},
 	{"dispatcher_cpu", "cores", "members", usage("dispatcher", func(u Usage) float64 { return u.CPU })},
-	{"member_bytes", "bytes/s", "members", func(p Point) (float64, bool) { return p.Member.Read + p.Member.Written, p.Member.Calls > 0 }},
-	{"member_calls", "1/s", "members", func(p Point) (float64, bool) { return p.Member.Calls, p.Member.Calls > 0 }},
-	{"in_force_p50", "ms", "members", func(p Point) (float64, bool) { return p.P50, p.Published > 0 }},
-	{"in_force_p99", "ms", "members", func(p Point) (float64, bool) { return p.P99, p.Published > 0 }},
-	{"in_force_all", "ms", "members", func(p Point) (float64, bool) { return p.All, p.Published > 0 }},
+	{"member_bytes", "bytes/s", "members", func(p Point) (float64, bool) { return p.StubLink.Read + p.StubLink.Written, p.StubLink.Calls > 0 }},
+	{"member_calls", "1/s", "members", func(p Point) (float64, bool) { return p.StubLink.Calls, p.StubLink.Calls > 0 }},
+	{"in_force_p50", "ms", "members", func(p Point) (float64, bool) { return p.InForceP50, p.Published > 0 }},
+	{"in_force_p99", "ms", "members", func(p Point) (float64, bool) { return p.InForceP99, p.Published > 0 }},
+	{"in_force_all", "ms", "members", func(p Point) (float64, bool) { return p.InForceMax, p.Published > 0 }},
 	{"round_idle", "ms", "rounds", func(p Point) (float64, bool) { return p.Idle, true }},
 	{"round_start", "ms", "rounds", func(p Point) (float64, bool) { return p.Start, true }},
 	{"round_batch", "ms", "rounds", func(p Point) (float64, bool) { return p.Batch, p.Batch > 0 }},
 	{"round_change", "ms", "rounds", func(p Point) (float64, bool) { return p.Change, p.Change > 0 }},
 	{"known_cpu", "cores", "workers", usage("dispatcher", func(u Usage) float64 { return u.CPU })},
-	{"known_mb", "MB", "workers", usage("dispatcher", func(u Usage) float64 { return u.MB })},
+	{"known_mb", "MB", "workers", usage("dispatcher", func(u Usage) float64 { return u.ResidentMB })},
 	{"team_cpu", "cores", "teams", usage("dispatcher", func(u Usage) float64 { return u.CPU })},
-	{"team_mb", "MB", "teams", usage("dispatcher", func(u Usage) float64 { return u.MB })},
+	{"team_mb", "MB", "teams", usage("dispatcher", func(u Usage) float64 { return u.ResidentMB })},
 }
 
 // Slopes are the lines through a run's points: one for each figure, at each rate of versions or jobs that was played. The
@@ -70,9 +70,9 @@
 		x, y := map[float64][]float64{}, map[float64][]float64{}
 		var rates []float64
 		for _, p := range r.Points {
-			rate := p.Rate
+			rate := p.JobRate
 			if p.Series == "members" {
-				rate = p.Versions
+				rate = p.VersionRate
 			}
 			v, ok := f.of(p)
 			if p.Series != f.series || !ok {
@@ -86,7 +86,7 @@
 		slices.Sort(rates)
 		for _, rate := range rates {
 			if len(x[rate]) >= 2 {
-				all = append(all, Slope{fmt.Sprintf("%s@%g", f.name, rate), f.unit, Line(x[rate], y[rate])})
+				all = append(all, Slope{fmt.Sprintf("%s@%g", f.name, rate), f.unit, FitLine(x[rate], y[rate])})
 			}
 		}
 	}
@@ -104,31 +104,31 @@
 }
 
 // Pair is a figure's slope by two runs of one plan.
-type Pair struct {
+type SlopePair struct {
 	Name, Unit string
 	A, B       Fit
 }
 
 // Within tells whether each of the two slopes lies in the other's interval.
-func (p Pair) Within() bool {
+func (p SlopePair) EachWithinOther() bool {
 	return p.A.Low <= p.B.Slope && p.B.Slope <= p.A.High && p.B.Low <= p.A.Slope && p.A.Slope <= p.B.High
 }
 
 // Overlap tells whether the two intervals have a part in common.
-func (p Pair) Overlap() bool { return p.A.Low <= p.B.High && p.B.Low <= p.A.High }
+func (p SlopePair) Overlap() bool { return p.A.Low <= p.B.High && p.B.Low <= p.A.High }
 
 // Beside pairs the slopes that both runs have an interval for.
-func Beside(a, b *Result) (all []Pair) {
+func PairSlopes(a, b *Result) (all []SlopePair) {
 	for _, x := range a.Slopes() {
 		if y, ok := b.Slope(x.Name); ok && x.Fit.Points >= 3 && y.Fit.Points >= 3 {
-			all = append(all, Pair{x.Name, x.Unit, x.Fit, y.Fit})
+			all = append(all, SlopePair{x.Name, x.Unit, x.Fit, y.Fit})
 		}
 	}
 	return all
 }
 
 // Number prints a figure to four digits.
-func Number(x float64) string {
+func FormatNumber(x float64) string {
 	switch a := math.Abs(x); {
 	case math.IsInf(x, 0) || math.IsNaN(x):
 		return "none"
@@ -145,12 +145,12 @@
 // Text is a run for people.
 func (r *Result) Text() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s\n%d cores, %.0f MB; %d processes and %.0f MB at most of %.0f allowed; %.0f s\n", r.Plan, r.Machine.Cores, r.Machine.MemoryMB, r.MostProcs, r.MostMB, r.Machine.BoundMB, r.Seconds)
+	fmt.Fprintf(&b, "%s\n%d cores, %.0f MB; %d processes and %.0f MB at most of %.0f allowed; %.0f s\n", r.Plan, r.Machine.Cores, r.Machine.MemoryMB, r.PeakProcesses, r.PeakMB, r.Machine.LimitMB, r.Seconds)
 	if r.Void != "" {
 		fmt.Fprintf(&b, "VOID: %s\n", r.Void)
 	}
-	if r.Ends != "" {
-		fmt.Fprintf(&b, "ends at %s\n", r.Ends)
+	if r.LimitReached != "" {
+		fmt.Fprintf(&b, "ends at %s\n", r.LimitReached)
 	}
 	b.WriteString("\nseries   size  per s  role         n  cores    MB     read B/s  written B/s  reads/s  writes/s\n")
 	for _, p := range r.Points {
@@ -165,20 +165,20 @@
 		slices.Sort(roles)
 		for _, name := range roles {
 			u := p.Roles[name]
-			fmt.Fprintf(&b, "%-7s %5d  %5g  %-10s %3d  %.4f  %6.1f  %9.0f  %9.0f  %7.0f  %7.0f\n", p.Series, p.Size, max(p.Versions, b2f(p.Series != "members")*p.Rate), name, u.Processes, u.CPU, u.MB,
+			fmt.Fprintf(&b, "%-7s %5d  %5g  %-10s %3d  %.4f  %6.1f  %9.0f  %9.0f  %7.0f  %7.0f\n", p.Series, p.Size, max(p.VersionRate, b2f(p.Series != "members")*p.JobRate), name, u.Processes, u.CPU, u.ResidentMB,
 				u.Read, u.Written, u.Reads, u.Writes)
 		}
-		if p.Member.Calls > 0 {
+		if p.StubLink.Calls > 0 {
 			fmt.Fprintf(&b, "        a hollow member: %.2f calls, %.0f bytes read, %.0f written a second; published %d, in force p50 %.0f p99 %.0f all %.0f ms, unknown %d, behind at the end %d\n",
-				p.Member.Calls, p.Member.Read, p.Member.Written, p.Published, p.P50, p.P99, p.All, p.Unknown, p.Behind)
+				p.StubLink.Calls, p.StubLink.Read, p.StubLink.Written, p.Published, p.InForceP50, p.InForceP99, p.InForceMax, p.Unmeasured, p.Behind)
 		}
-		fmt.Fprintf(&b, "        jobs %d, served %d; hollow timers late by %.1f ms at p99; machine %.0f%% busy, %.0f MB\n", p.Jobs, p.Served, p.LateP99, 100*p.Busy, p.TotalMB)
+		fmt.Fprintf(&b, "        jobs %d, served %d; hollow timers late by %.1f ms at p99; machine %.0f%% busy, %.0f MB\n", p.Jobs, p.Served, p.LateP99, 100*p.MachineBusy, p.TotalMB)
 	}
 	b.WriteString("\nslope                 unit      at 0       each       95% interval             largest  predicted  measured  off\n")
 	for _, s := range r.Slopes() {
 		f := s.Fit
-		fmt.Fprintf(&b, "%-21s %-8s %9s  %9s  %9s to %9s  %7.0f  %9s  %9s  %+.0f%%\n", s.Name, s.Unit, Number(f.At), Number(f.Slope), Number(f.Low), Number(f.High), f.X,
-			Number(f.Predicted), Number(f.Measured), 100*f.Off)
+		fmt.Fprintf(&b, "%-21s %-8s %9s  %9s  %9s to %9s  %7.0f  %9s  %9s  %+.0f%%\n", s.Name, s.Unit, FormatNumber(f.Intercept), FormatNumber(f.Slope), FormatNumber(f.Low), FormatNumber(f.High), f.LargestX,
+			FormatNumber(f.Predicted), FormatNumber(f.Measured), 100*f.RelativeError)
 	}
 	return b.String()
 }
@@ -200,7 +200,7 @@
 	for _, f := range figures {
 		var pts plotter.XYs
 		for _, p := range r.Points {
-			if v, ok := f.of(p); ok && p.Series == f.series && (p.Series != "members" || p.Versions > 0) {
+			if v, ok := f.of(p); ok && p.Series == f.series && (p.Series != "members" || p.VersionRate > 0) {
 				pts = append(pts, plotter.XY{X: float64(p.Size), Y: v})
 			}
 		}
--- a/internal/scale/rounds.go
+++ b/internal/scaletest/rounds.go
@@ -1,6 +1,6 @@
 // This file owns the time of a round by workers known: the dispatcher's decisions alone, in this process, without a socket.
 
-package scale
+package scaletest
 
 import (
 	"fmt"
--- a/internal/scale/play.go
+++ b/internal/scaletest/run.go
@@ -1,6 +1,6 @@
 // This file owns a run: it starts processes, real and hollow, lets them grow, reads what they cost from outside, and ends them.
 
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -32,48 +32,48 @@
 
 // Options say what to run with.
 type Options struct {
-	Program string // bin/weldmast
-	Voter   string
-	Self    []string // the command that makes a hollow process
-	Tell    func(string)
+	DispatcherProgram string // bin/weldmast
+	VoterProgram      string
+	StubCommand       []string // the command that makes a hollow process
+	Progress          func(string)
 }
 
 // Usage is what one role costs, the mean over its processes, in a second.
 type Usage struct {
-	Processes int     `json:"processes"`
-	CPU       float64 `json:"cpu"` // part of a core
-	MB        float64 `json:"resident_mb"`
-	Read      float64 `json:"read_bytes"` // by system calls that read and write: sockets, and for real members their folder
-	Written   float64 `json:"written_bytes"`
-	Reads     float64 `json:"reads"`
-	Writes    float64 `json:"writes"`
+	Processes  int     `json:"processes"`
+	CPU        float64 `json:"cpu"` // part of a core
+	ResidentMB float64 `json:"resident_mb"`
+	Read       float64 `json:"read_bytes"` // by system calls that read and write: sockets, and for real members their folder
+	Written    float64 `json:"written_bytes"`
+	Reads      float64 `json:"reads"`
+	Writes     float64 `json:"writes"`
 }
 
 // Point is one size, measured.
 type Point struct {
-	Series    string           `json:"series"` // members, workers, teams, rounds
-	Size      int              `json:"size"`
-	Versions  float64          `json:"versions,omitempty"` // a second, wanted
-	Rate      float64          `json:"rate,omitempty"`     // jobs a second, wanted
-	Seconds   float64          `json:"seconds"`
-	Roles     map[string]Usage `json:"roles"`
-	Published int              `json:"published,omitempty"`
-	P50       float64          `json:"in_force_p50_ms,omitempty"`
-	P99       float64          `json:"in_force_p99_ms,omitempty"`
-	All       float64          `json:"in_force_all_ms,omitempty"`
-	Unknown   int              `json:"unknown,omitempty"` // passed over before it was known when they were published
-	Behind    int              `json:"behind,omitempty"`  // hollow members without the newest one at the end
-	Member    Link             `json:"member_link"`       // a hollow member's, mean
-	Rounds                     // of the decisions alone
-	Jobs      int              `json:"jobs,omitempty"`
-	Served    int              `json:"served,omitempty"`
-	LateP99   float64          `json:"late_p99_ms"`
-	TotalMB   float64          `json:"total_mb"`
-	Busy      float64          `json:"machine_busy"` // part of all cores
+	Series      string           `json:"series"` // members, workers, teams, rounds
+	Size        int              `json:"size"`
+	VersionRate float64          `json:"versions,omitempty"` // a second, wanted
+	JobRate     float64          `json:"rate,omitempty"`     // jobs a second, wanted
+	Seconds     float64          `json:"seconds"`
+	Roles       map[string]Usage `json:"roles"`
+	Published   int              `json:"published,omitempty"`
+	InForceP50  float64          `json:"in_force_p50_ms,omitempty"`
+	InForceP99  float64          `json:"in_force_p99_ms,omitempty"`
+	InForceMax  float64          `json:"in_force_all_ms,omitempty"`
+	Unmeasured  int              `json:"unknown,omitempty"` // passed over before it was known when they were published
+	Behind      int              `json:"behind,omitempty"`  // hollow members without the newest one at the end
+	StubLink    LinkUsage        `json:"member_link"`       // a hollow member's, mean
+	Rounds                       // of the decisions alone
+	Jobs        int              `json:"jobs,omitempty"`
+	Served      int              `json:"served,omitempty"`
+	LateP99     float64          `json:"late_p99_ms"`
+	TotalMB     float64          `json:"total_mb"`
+	MachineBusy float64          `json:"machine_busy"` // part of all cores
 }
 
 // Link is one member's link in a second.
-type Link struct {
+type LinkUsage struct {
 	Calls   float64 `json:"calls"`
 	Read    float64 `json:"read_bytes"`
 	Written float64 `json:"written_bytes"`
@@ -81,16 +81,16 @@
 
 // Result is a run.
 type Result struct {
-	Plan        string  `json:"plan"`
-	When        string  `json:"when"`
-	Machine     Machine `json:"machine"`
-	Points      []Point `json:"points"`
-	MostMB      float64 `json:"most_mb"`
-	MostProcs   int     `json:"most_processes"`
-	Seconds     float64 `json:"seconds"`
-	Ends        string  `json:"ends,omitempty"` // the size at which the fleet held no longer, and what was seen
-	Void        string  `json:"void,omitempty"`
-	Interrupted bool    `json:"interrupted,omitempty"`
+	Plan          string  `json:"plan"`
+	StartedAt     string  `json:"when"`
+	Machine       Machine `json:"machine"`
+	Points        []Point `json:"points"`
+	PeakMB        float64 `json:"most_mb"`
+	PeakProcesses int     `json:"most_processes"`
+	Seconds       float64 `json:"seconds"`
+	LimitReached  string  `json:"ends,omitempty"` // the size at which the fleet held no longer, and what was seen
+	Void          string  `json:"void,omitempty"`
+	Interrupted   bool    `json:"interrupted,omitempty"`
 }
 
 // process is one that the run has started.
@@ -122,9 +122,9 @@
 var ErrVoid = errors.New("the run is void")
 
 // Play carries out a plan. Whatever ends it, no process is left, and what was measured is there.
-func Play(ctx context.Context, p *Plan, o Options) (r *Result, err error) {
+func Run(ctx context.Context, p *Plan, o Options) (r *Result, err error) {
 	began := time.Now()
-	m, err := p.Look()
+	m, err := p.CheckMemory()
 	if err != nil {
 		return nil, err
 	}
@@ -133,9 +133,9 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	u := &run{p: p, o: o, dir: dir, bound: m.BoundMB, clock: fleetagent.NewClock()}
+	u := &run{p: p, o: o, dir: dir, bound: m.LimitMB, clock: fleetagent.NewClock()}
 	u.ctx, u.stop = context.WithCancel(ctx)
-	r = &Result{Plan: p.About, When: began.UTC().Format(time.RFC3339), Machine: m}
+	r = &Result{Plan: p.About, StartedAt: began.UTC().Format(time.RFC3339), Machine: m}
 	var guard sync.WaitGroup
 	guard.Go(u.guard)
 	for _, series := range []func(*Result) error{u.members, u.workers, u.teams, u.rounds} {
@@ -146,7 +146,7 @@
 	u.endAll()
 	u.stop()
 	guard.Wait()
-	r.MostMB, r.MostProcs, r.Seconds, r.Void = u.most, u.procs, time.Since(began).Seconds(), u.void
+	r.PeakMB, r.PeakProcesses, r.Seconds, r.Void = u.most, u.procs, time.Since(began).Seconds(), u.void
 	if r.Interrupted = ctx.Err() != nil; r.Interrupted || r.Void != "" {
 		err = nil // what came of that is no fault of its own
 	}
@@ -154,8 +154,8 @@
 }
 
 func (u *run) tell(format string, a ...any) {
-	if u.o.Tell != nil {
-		u.o.Tell(fmt.Sprintf(format, a...))
+	if u.o.Progress != nil {
+		u.o.Progress(fmt.Sprintf(format, a...))
 	}
 }
 
@@ -280,7 +280,7 @@
 
 // hollow starts a hollow process and waits until it is what it is to be.
 func (u *run) hollow(t Task, count int) (*process, error) {
-	p, err := u.launch("hollow", []string{"GOMAXPROCS=2"}, u.o.Self...)
+	p, err := u.launch("hollow", []string{"GOMAXPROCS=2"}, u.o.StubCommand...)
 	if err != nil {
 		return nil, err
 	}
@@ -373,7 +373,7 @@
 	if during != nil {
 		wait.Go(func() { during(ctx) })
 	}
-	whole := u.sleep(time.Duration(u.p.Measure * 1e6))
+	whole := u.sleep(time.Duration(u.p.MeasureTime * 1e6))
 	stop()
 	wait.Wait()
 	if !whole {
@@ -381,7 +381,7 @@
 	}
 	pt.Seconds = time.Since(began).Seconds()
 	spent2, had2 := busy()
-	pt.Busy = (spent2 - spent) / max(had2-had, 1e-9)
+	pt.MachineBusy = (spent2 - spent) / max(had2-had, 1e-9)
 	pt.Roles = map[string]Usage{}
 	for _, p := range all {
 		t, err := take(p.cmd.Process.Pid)
@@ -391,7 +391,7 @@
 		x, b := pt.Roles[role(p)], before[p]
 		x.Processes++
 		x.CPU += (t.cpu - b.cpu) / pt.Seconds
-		x.MB += t.mb
+		x.ResidentMB += t.mb
 		x.Read += float64(t.io.RChar-b.io.RChar) / pt.Seconds
 		x.Written += float64(t.io.WChar-b.io.WChar) / pt.Seconds
 		x.Reads += float64(t.io.SyscR-b.io.SyscR) / pt.Seconds
@@ -400,7 +400,7 @@
 	}
 	for name, x := range pt.Roles {
 		n := float64(x.Processes)
-		pt.Roles[name] = Usage{x.Processes, x.CPU / n, x.MB / n, x.Read / n, x.Written / n, x.Reads / n, x.Writes / n}
+		pt.Roles[name] = Usage{x.Processes, x.CPU / n, x.ResidentMB / n, x.Read / n, x.Written / n, x.Reads / n, x.Writes / n}
 	}
 	pt.TotalMB = u.total()
 	reports, err := u.reports(hollows)
@@ -412,22 +412,22 @@
 	for k, r := range reports {
 		pt.LateP99 = max(pt.LateP99, r.LateP99)
 		delays = append(delays, r.Delays...)
-		pt.Unknown, pt.Behind = pt.Unknown+r.Unknown, pt.Behind+r.Behind
+		pt.Unmeasured, pt.Behind = pt.Unmeasured+r.Unknown, pt.Behind+r.Behind
 		if hollows[k].role == "hollow" && r.Calls > 0 {
 			count += hollows[k].count
-			pt.Member.Calls += float64(r.Calls) / pt.Seconds
-			pt.Member.Read += float64(r.Read) / pt.Seconds
-			pt.Member.Written += float64(r.Written) / pt.Seconds
+			pt.StubLink.Calls += float64(r.Calls) / pt.Seconds
+			pt.StubLink.Read += float64(r.Read) / pt.Seconds
+			pt.StubLink.Written += float64(r.Written) / pt.Seconds
 		}
 	}
 	if count > 0 {
 		n := float64(count)
-		pt.Member = Link{pt.Member.Calls / n, pt.Member.Read / n, pt.Member.Written / n}
+		pt.StubLink = LinkUsage{pt.StubLink.Calls / n, pt.StubLink.Read / n, pt.StubLink.Written / n}
 	}
 	slices.Sort(delays)
-	pt.P50, pt.P99, pt.All = quantile(delays, 0.5)/1000, quantile(delays, 0.99)/1000, quantile(delays, 1)/1000
-	if pt.LateP99 > float64(u.p.Late) {
-		u.spoil("a hollow process was late by %.0f ms at p99, %.0f are allowed, at %s %d", pt.LateP99, float64(u.p.Late), pt.Series, pt.Size)
+	pt.InForceP50, pt.InForceP99, pt.InForceMax = quantile(delays, 0.5)/1000, quantile(delays, 0.99)/1000, quantile(delays, 1)/1000
+	if pt.LateP99 > float64(u.p.MaxLateness) {
+		u.spoil("a hollow process was late by %.0f ms at p99, %.0f are allowed, at %s %d", pt.LateP99, float64(u.p.MaxLateness), pt.Series, pt.Size)
 		return ErrVoid
 	}
 	return nil
@@ -645,20 +645,20 @@
 		seats = append(seats, fmt.Sprintf("%q", voters[v].Name+" "+addr))
 	}
 	file := filepath.Join(u.dir, "fleet.toml")
-	text := fmt.Sprintf("[fleet]\nname = %q\nvoters = [%s]\nfolder = %q\nbeat = %g\nlease = %g\n", fleetName, strings.Join(seats, ", "), u.dir, float64(p.Beat), float64(p.Lease))
+	text := fmt.Sprintf("[fleet]\nname = %q\nvoters = [%s]\nfolder = %q\nbeat = %g\nlease = %g\n", fleetName, strings.Join(seats, ", "), u.dir, float64(p.Heartbeat), float64(p.Lease))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return fmt.Errorf("scale: %w", err)
 	}
 	var busy, all []*dispatcher
 	for k := range p.Voters + p.Dispatchers + idleFollowers {
-		name, role, program, sockets := fmt.Sprintf("d%d", k-p.Voters), "dispatcher", u.o.Program, 1024
+		name, role, program, sockets := fmt.Sprintf("d%d", k-p.Voters), "dispatcher", u.o.DispatcherProgram, 1024
 		switch {
 		case k < p.Voters:
-			name, role, program, sockets = voters[k].Name, "voter", u.o.Voter, 16384
+			name, role, program, sockets = voters[k].Name, "voter", u.o.VoterProgram, 16384
 		case k >= p.Voters+p.Dispatchers:
 			role = "follower"
 		}
-		a, err := newAgent(max(k-p.Voters, 0), p.Fleet, port)
+		a, err := newAgent(max(k-p.Voters, 0), p.FleetWorkers, port)
 		if err != nil {
 			return err
 		}
@@ -678,7 +678,7 @@
 	if err := u.ready(all); err != nil {
 		return err
 	}
-	if _, err := u.doors(busy, p.Fleet, port); err != nil {
+	if _, err := u.doors(busy, p.FleetWorkers, port); err != nil {
 		return err
 	}
 	client := fleetrpc.NewClient(fleetName, nil)
@@ -686,15 +686,15 @@
 	ctx, stop := context.WithCancel(u.ctx)
 	var jobs, served atomic.Int64
 	var wait sync.WaitGroup
-	wait.Go(func() { u.traffic(ctx, busy, p.Rate, 0, &jobs, &served) })
+	wait.Go(func() { u.traffic(ctx, busy, p.JobRate, 0, &jobs, &served) })
 	defer func() { stop(); wait.Wait() }()
 	var hollows []*process
 	count, request := 0, 0
 	for _, size := range p.Members {
 		for want := size - len(all); count < want; {
-			t := MembersTask{Fleet: fleetName, Voters: voters, First: count, Count: min(p.Each, want-count),
-				Apart:   1000 / p.Grow,
-				Figures: fleet.Timing{Beat: float64(p.Beat), Lease: float64(p.Lease), Drift: 0.01}}
+			t := MembersTask{Fleet: fleetName, Voters: voters, First: count, Count: min(p.StubsPerProcess, want-count),
+				Apart:   1000 / p.StubsPerSecond,
+				Figures: fleet.Timing{Beat: float64(p.Heartbeat), Lease: float64(p.Lease), Drift: 0.01}}
 			h, err := u.hollow(Task{Members: &t}, t.Count)
 			if err != nil {
 				return err
@@ -707,19 +707,19 @@
 			return err
 		}
 		if have < size { // a finding, no fault of the run
-			res.Ends = fmt.Sprintf("members %d: %d of them are current after %v; the others: %s", size, have, currentWithin, others)
-			u.tell("%s", res.Ends)
+			res.LimitReached = fmt.Sprintf("members %d: %d of them are current after %v; the others: %s", size, have, currentWithin, others)
+			u.tell("%s", res.LimitReached)
 			break
 		}
-		for k, rate := range p.Versions {
-			if len(p.UpTo) > 0 && size > p.UpTo[k] {
+		for k, rate := range p.VersionRates {
+			if len(p.VersionsUpTo) > 0 && size > p.VersionsUpTo[k] {
 				continue
 			}
-			if !u.sleep(time.Duration(p.Settle * 1e6)) {
+			if !u.sleep(time.Duration(p.SettleTime * 1e6)) {
 				return u.ctx.Err()
 			}
 			leader := u.leader(client, voters)
-			pt := Point{Series: "members", Size: size, Versions: rate, Rate: p.Rate}
+			pt := Point{Series: "members", Size: size, VersionRate: rate, JobRate: p.JobRate}
 			jobs.Store(0)
 			served.Store(0)
 			var published atomic.Int64
@@ -741,7 +741,7 @@
 					id := fmt.Sprintf("scale %d", request)
 					wait.Go(func() {
 						at := u.clock.Now()
-						x := fleet.Command{Kind: fleet.PublishVersion, RequestID: id, RequestedBy: "scale", IssuedAt: u.clock.UnixTime(), Text: Text(at, p.Text)}
+						x := fleet.Command{Kind: fleet.PublishVersion, RequestID: id, RequestedBy: "scale", IssuedAt: u.clock.UnixTime(), Text: VersionText(at, p.VersionBytes)}
 						for _, v := range voters {
 							if a, err := client.Admin(v.Address, fleetrpc.AdminRequest{Command: x}, 4*time.Second); err == nil && a.Error == "" && !a.NoLeader {
 								published.Add(1)
@@ -761,7 +761,7 @@
 			pt.Published, pt.Jobs, pt.Served = int(published.Load()), int(jobs.Load()), int(served.Load())
 			res.Points = append(res.Points, pt)
 			u.tell("members %d, %g versions/s: leader %.1f%% of a core, %.1f MB; member reads %.0f, writes %.0f bytes/s; in force p50 %.0f, p99 %.0f, all %.0f ms; machine %.0f%% busy, %.0f MB",
-				size, rate, 100*pt.Roles["leader"].CPU, pt.Roles["leader"].MB, pt.Member.Read, pt.Member.Written, pt.P50, pt.P99, pt.All, 100*pt.Busy, pt.TotalMB)
+				size, rate, 100*pt.Roles["leader"].CPU, pt.Roles["leader"].ResidentMB, pt.StubLink.Read, pt.StubLink.Written, pt.InForceP50, pt.InForceP99, pt.InForceMax, 100*pt.MachineBusy, pt.TotalMB)
 		}
 	}
 	stop()
@@ -848,7 +848,7 @@
 		return err
 	}
 	began := time.Now()
-	if err := u.start(d, "dispatcher", u.o.Program, ""); err != nil {
+	if err := u.start(d, "dispatcher", u.o.DispatcherProgram, ""); err != nil {
 		return err
 	}
 	if err := u.ready(all); err != nil {
@@ -860,12 +860,12 @@
 			return err
 		}
 	}
-	for _, rate := range []float64{0, p.Known} {
-		if !u.sleep(time.Duration(p.Settle * 1e6)) {
+	for _, rate := range []float64{0, p.KnownRate} {
+		if !u.sleep(time.Duration(p.SettleTime * 1e6)) {
 			return u.ctx.Err()
 		}
 		var jobs, served atomic.Int64
-		pt := Point{Series: series, Size: size, Rate: rate}
+		pt := Point{Series: series, Size: size, JobRate: rate}
 		var hollows []*process
 		u.mu.Lock()
 		for _, x := range u.all {
@@ -883,7 +883,7 @@
 		res.Points = append(res.Points, pt)
 		x := pt.Roles["dispatcher"]
 		u.tell("%s %d, %g jobs/s: dispatcher %.2f%% of a core, %.1f MB, ready after %.2f s; %d of %d served; machine %.0f%% busy, %.0f MB", series, size, rate,
-			100*x.CPU, x.MB, up.Seconds(), pt.Served, pt.Jobs, 100*pt.Busy, pt.TotalMB)
+			100*x.CPU, x.ResidentMB, up.Seconds(), pt.Served, pt.Jobs, 100*pt.MachineBusy, pt.TotalMB)
 	}
 	u.endAll()
 	return nil
--- a/internal/scale/scale_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 // TestMain builds the programs that runs measure, and is a hollow process where a run starts it as one.
 func TestMain(m *testing.M) {
 	if os.Getenv("WELDLAB_HOLLOW") != "" && len(os.Args) > 1 && os.Args[1] == "hollow" {
-		if err := Hollow(context.Background(), os.Stdin, os.Stdout); err != nil {
+		if err := RunStub(context.Background(), os.Stdin, os.Stdout); err != nil {
 			log.Fatal(err)
 		}
 		return
@@ -40,7 +40,7 @@
 }
 
 func options(tell func(string)) Options {
-	return Options{Program: program, Voter: voter, Self: []string{os.Args[0], "hollow"}, Tell: tell}
+	return Options{DispatcherProgram: program, VoterProgram: voter, StubCommand: []string{os.Args[0], "hollow"}, Progress: tell}
 }
 
 const small = `
@@ -89,8 +89,8 @@
 		slope           float64
 		within, overlap bool
 	}{{1, true, true}, {1.02, true, true}, {1.2, false, true}, {1.5, false, false}} {
-		all := Beside(run(1, 300), run(c.slope, 300))
-		if len(all) != 2 || all[1].Name != "round_start@0" || all[1].Within() != c.within || all[1].Overlap() != c.overlap {
+		all := PairSlopes(run(1, 300), run(c.slope, 300))
+		if len(all) != 2 || all[1].Name != "round_start@0" || all[1].EachWithinOther() != c.within || all[1].Overlap() != c.overlap {
 			t.Errorf("slope %g beside 1: %+v", c.slope, all)
 		}
 	}
@@ -109,7 +109,7 @@
 		}
 		text = strings.Join(kept, "\n") + m + "\n"
 	}
-	p, err := Read("small.toml", []byte(text))
+	p, err := ParsePlan("small.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,15 +131,15 @@
 // TestPlay: a small run has each point, with the roles that belong there; hollow members have each version in force, jobs are
 // served, and no process is left.
 func TestPlay(t *testing.T) {
-	r, err := Play(t.Context(), plan(t), options(nil))
-	if err != nil || r.Void != "" || r.Ends != "" {
+	r, err := Run(t.Context(), plan(t), options(nil))
+	if err != nil || r.Void != "" || r.LimitReached != "" {
 		t.Fatal(err, r)
 	}
 	if len(r.Points) != 3+6+6+3 {
 		t.Errorf("%d points", len(r.Points))
 	}
 	for _, p := range r.Points {
-		name := fmt.Sprint(p.Series, " ", p.Size, " ", p.Rate)
+		name := fmt.Sprint(p.Series, " ", p.Size, " ", p.JobRate)
 		if p.Series == "rounds" && (p.Idle <= 0 || p.Start <= p.Idle || p.Change <= p.Idle) {
 			t.Errorf("%s: %s", name, p.text())
 		}
@@ -147,14 +147,14 @@
 			if p.Roles["leader"].Processes != 1 || p.Roles["voter"].Processes != 2 || p.Roles["dispatcher"].Processes != 2 || p.Roles["follower"].Processes != 2 {
 				t.Errorf("%s: roles %v", name, p.Roles)
 			}
-			if p.Published == 0 || p.All <= 0 || p.All < p.P50 || p.Member.Calls < 3 || p.Member.Calls > 20 || p.Member.Read < 100 {
-				t.Errorf("%s: published %d, in force p50 %v all %v, a member %+v", name, p.Published, p.P50, p.All, p.Member)
+			if p.Published == 0 || p.InForceMax <= 0 || p.InForceMax < p.InForceP50 || p.StubLink.Calls < 3 || p.StubLink.Calls > 20 || p.StubLink.Read < 100 {
+				t.Errorf("%s: published %d, in force p50 %v all %v, a member %+v", name, p.Published, p.InForceP50, p.InForceMax, p.StubLink)
 			}
-			if p.Roles["leader"].Reads < p.Member.Calls*float64(p.Size-7)/2 {
-				t.Errorf("%s: the leader reads %v times a second, each member calls %v times", name, p.Roles["leader"].Reads, p.Member.Calls)
+			if p.Roles["leader"].Reads < p.StubLink.Calls*float64(p.Size-7)/2 {
+				t.Errorf("%s: the leader reads %v times a second, each member calls %v times", name, p.Roles["leader"].Reads, p.StubLink.Calls)
 			}
 		}
-		if p.Rate > 0 && (p.Jobs < 20 || p.Served < p.Jobs*9/10) {
+		if p.JobRate > 0 && (p.Jobs < 20 || p.Served < p.Jobs*9/10) {
 			t.Errorf("%s: %d of %d jobs served", name, p.Served, p.Jobs)
 		}
 	}
@@ -186,7 +186,7 @@
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			done := 0
-			r, err := Play(ctx, plan(t, append(change.more, `workers = []`, `teams = []`)...), options(func(string) {
+			r, err := Run(ctx, plan(t, append(change.more, `workers = []`, `teams = []`)...), options(func(string) {
 				if done++; done == 2 && change.do != nil {
 					change.do(stop)
 				}
@@ -233,42 +233,42 @@
 
 // TestRead: all faults of a plan at once, each with its line and key.
 func TestRead(t *testing.T) {
-	_, err := Read("p.toml", []byte("voters = 2\nmembers = [3, 3]\nversions = [-1]\nprocesses = 2\nmeasur = 3\nlate = \"x\"\n"))
+	_, err := ParsePlan("p.toml", []byte("voters = 2\nmembers = [3, 3]\nversions = [-1]\nprocesses = 2\nmeasur = 3\nlate = \"x\"\n"))
 	want := []string{"p.toml:3: versions.0: -1 is below 0", "p.toml:5: measur: is not known", "p.toml:6: late: \"x\" is no time"}
 	for _, w := range want {
 		if err == nil || !strings.Contains(err.Error(), w) {
 			t.Errorf("no %q in\n%v", w, err)
 		}
 	}
-	_, err = Read("p.toml", []byte("voters = 2\nmembers = [3, 3]\nprocesses = 2\n"))
+	_, err = ParsePlan("p.toml", []byte("voters = 2\nmembers = [3, 3]\nprocesses = 2\n"))
 	for _, w := range []string{"p.toml:1: voters:", "p.toml:2: members.1: 3 does not grow", "p.toml:2: members.0: 3 are fewer", "versions: is missing", "p.toml:3: processes: the plan needs"} {
 		if err == nil || !strings.Contains(err.Error(), w) {
 			t.Errorf("no %q in\n%v", w, err)
 		}
 	}
 	p := plan(t, "member_kb = 1000000000")
-	if _, err := p.Look(); err == nil || !strings.Contains(err.Error(), "memory: the plan needs") {
+	if _, err := p.CheckMemory(); err == nil || !strings.Contains(err.Error(), "memory: the plan needs") {
 		t.Errorf("a plan over the machine: %v", err)
 	}
-	if _, err := Play(t.Context(), p, options(nil)); err == nil || errors.Is(err, ErrVoid) {
+	if _, err := Run(t.Context(), p, options(nil)); err == nil || errors.Is(err, ErrVoid) {
 		t.Errorf("played: %v", err)
 	}
 }
 
 // TestLine: the line, its interval and what the others foretell of the largest point, against figures worked out by hand.
 func TestLine(t *testing.T) {
-	f := Line([]float64{1, 2, 3, 4}, []float64{3, 5, 7, 10})
+	f := FitLine([]float64{1, 2, 3, 4}, []float64{3, 5, 7, 10})
 	// Slope 2.3, at 0.5; residuals 0.2, -0.1, -0.4, 0.3: 0.3; spread 5; t(0.975, 2) 4.3027.
 	half := 4.302653 * math.Sqrt(0.3/2/5)
-	for what, x := range map[string][2]float64{"slope": {f.Slope, 2.3}, "at": {f.At, 0.5}, "low": {f.Low, 2.3 - half}, "high": {f.High, 2.3 + half}, "predicted": {f.Predicted, 9}, "off": {f.Off, -0.1}} {
+	for what, x := range map[string][2]float64{"slope": {f.Slope, 2.3}, "at": {f.Intercept, 0.5}, "low": {f.Low, 2.3 - half}, "high": {f.High, 2.3 + half}, "predicted": {f.Predicted, 9}, "off": {f.RelativeError, -0.1}} {
 		if math.Abs(x[0]-x[1]) > 1e-6 {
 			t.Errorf("%s %v, wanted %v", what, x[0], x[1])
 		}
 	}
-	if f := Line([]float64{1, 2, 4}, []float64{1, 2, 8}); f.Holds() {
+	if f := FitLine([]float64{1, 2, 4}, []float64{1, 2, 8}); f.IsLinear() {
 		t.Errorf("what doubles beyond the line is taken for one: %+v", f)
 	}
-	if f := Line([]float64{1, 2, 3}, []float64{3, 2, 1}); f.Slope != 0 || f.At != 2 {
+	if f := FitLine([]float64{1, 2, 3}, []float64{3, 2, 1}); f.Slope != 0 || f.Intercept != 2 {
 		t.Errorf("a line that falls: %+v", f)
 	}
 }
--- a/internal/scale/hollow.go
+++ b/internal/scaletest/stub.go
@@ -2,7 +2,7 @@
 // take, answer and call back, and dispatchers that have discovery tell them. They do what a line on their standard input says,
 // and end with it.
 
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -80,7 +80,7 @@
 }
 
 // Hollow is a hollow process: it reads its task, says "ready", answers each further line with a report, and ends with its input.
-func Hollow(ctx context.Context, in io.Reader, out io.Writer) error {
+func RunStub(ctx context.Context, in io.Reader, out io.Writer) error {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 8<<20)
@@ -194,7 +194,7 @@
 const mark = `{"mark":"t`
 
 // Text is a version's, of so many bytes, published at the time.
-func Text(at float64, bytes int) []byte {
+func VersionText(at float64, bytes int) []byte {
 	text := mark + strconv.FormatInt(int64(at*1000), 10) + `"`
 	return []byte(text + strings.Repeat(" ", max(bytes-len(text)-1, 0)) + "}")
 }
