--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -11,7 +11,7 @@
 )
 
 // run is one whose leader costs 0.002 of a core a member, and as text.
-func run(t *testing.T) (*scaletest.Result, func(string) ([]byte, error)) {
+func leaderRun(t *testing.T) (*scaletest.Result, func(string) ([]byte, error)) {
 	t.Helper()
 	r := &scaletest.Result{}
 	for _, n := range []int{100, 200, 400} {
@@ -30,12 +30,12 @@
 	}
 }
 
-const leader = "[[slope]]\nname = \"leader_cpu@1.1\"\nunit = \"cores\"\nrun = \"run.json\"\nat = 0\neach = 0.002\nlow = 0.002\nhigh = 0.002\noff = 0\nto = 400\n"
+const leaderSlope = "[[slope]]\nname = \"leader_cpu@1.1\"\nunit = \"cores\"\nrun = \"run.json\"\nat = 0\neach = 0.002\nlow = 0.002\nhigh = 0.002\noff = 0\nto = 400\n"
 
 // TestRead: faults are told all at once, each with file, line and key; a slope has to be what its run gives.
-func TestRead(t *testing.T) {
-	_, open := run(t)
-	if _, err := ParseInputs("s.toml", []byte(leader), open); err != nil {
+func TestParseInputs(t *testing.T) {
+	_, open := leaderRun(t)
+	if _, err := ParseInputs("s.toml", []byte(leaderSlope), open); err != nil {
 		t.Error(err)
 	}
 	for name, c := range map[string]struct {
@@ -46,11 +46,11 @@
 			[]string{"s.toml:3: size.0.value: is a text, wanted a number", "s.toml:1: size.0.unit: is missing", "s.toml:6: size.1.value: -1 is below 0"}},
 		"no unit, twice, no reason": {"[[size]]\nname = \"a\"\nvalue = 1\nunit = \"\"\n[[assumption]]\nname = \"a\"\nvalue = 1\nunit = \"x\"\n",
 			[]string{"s.toml:4: size.0.unit: a has no unit", "s.toml:6: assumption.0.name: \"a\" is there twice", "s.toml:5: assumption.0: a: why it is assumed is missing"}},
-		"negative":             {strings.Replace(leader, "each = 0.002", "each = -0.002", 1), []string{"s.toml:6: slope.0.each: -0.002 is below 0"}},
-		"its run is not there": {strings.Replace(leader, "run.json", "other.json", 1), []string{"s.toml:4: slope.0.run: the slope leader_cpu@1.1 misses its run: no file other.json"}},
-		"not in its run":       {strings.Replace(leader, "leader_cpu@1.1", "leader_cpu@7", 1), []string{"s.toml:2: slope.0.name: the run run.json has no slope leader_cpu@7"}},
-		"another figure":       {strings.Replace(leader, "each = 0.002\n", "each = 0.001\n", 1), []string{"s.toml:1: slope.0: leader_cpu@1.1 is not what its run run.json gives"}},
-		"another unit":         {strings.Replace(leader, "cores", "MB", 1), []string{"s.toml:3: slope.0.unit: leader_cpu@1.1 is in MB, the run has it in cores"}},
+		"negative":             {strings.Replace(leaderSlope, "each = 0.002", "each = -0.002", 1), []string{"s.toml:6: slope.0.each: -0.002 is below 0"}},
+		"its run is not there": {strings.Replace(leaderSlope, "run.json", "other.json", 1), []string{"s.toml:4: slope.0.run: the slope leader_cpu@1.1 misses its run: no file other.json"}},
+		"not in its run":       {strings.Replace(leaderSlope, "leader_cpu@1.1", "leader_cpu@7", 1), []string{"s.toml:2: slope.0.name: the run run.json has no slope leader_cpu@7"}},
+		"another figure":       {strings.Replace(leaderSlope, "each = 0.002\n", "each = 0.001\n", 1), []string{"s.toml:1: slope.0: leader_cpu@1.1 is not what its run run.json gives"}},
+		"another unit":         {strings.Replace(leaderSlope, "cores", "MB", 1), []string{"s.toml:3: slope.0.unit: leader_cpu@1.1 is in MB, the run has it in cores"}},
 	} {
 		_, err := ParseInputs("s.toml", []byte(c.text), open)
 		for _, w := range c.want {
@@ -62,9 +62,9 @@
 }
 
 // TestLacks: what the arithmetic needs and the file does not say is named; no table comes of it.
-func TestLacks(t *testing.T) {
-	_, open := run(t)
-	s, err := ParseInputs("s.toml", []byte(leader), open)
+func TestMissingInputs(t *testing.T) {
+	_, open := leaderRun(t)
+	s, err := ParseInputs("s.toml", []byte(leaderSlope), open)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,11 +73,11 @@
 	}
 }
 
-const sheet, page = "../../docs/capacity/size.toml", "../../docs/CAPACITY.md"
+const inputsFile, pageFile = "../../docs/capacity/size.toml", "../../docs/CAPACITY.md"
 
 // TestPage: the tables of the page are what the command prints, to the digit.
 func TestPage(t *testing.T) {
-	s, err := LoadInputs(sheet, os.ReadFile)
+	s, err := LoadInputs(inputsFile, os.ReadFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,19 +85,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(pageFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(text), tables.Text()) {
-		t.Errorf("%s does not hold what bin/weldlab capacity prints:\n%s", page, tables.Text())
+		t.Errorf("%s does not hold what bin/weldlab capacity prints:\n%s", pageFile, tables.Text())
 	}
 }
 
 // TestArithmetic: rows against figures worked out by hand from the file's own slopes: a ratio is what we come to over its bound,
 // at half, once and double the schedulers; what is carried on beyond the run is called fitted.
 func TestArithmetic(t *testing.T) {
-	s, err := LoadInputs(sheet, os.ReadFile)
+	s, err := LoadInputs(inputsFile, os.ReadFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 		var slope string
 		var at float64
 		fmt.Sscan(name, &slope, &at)
-		if y, basis := s.line(slope, at); basis != want || y != 1+at {
+		if y, basis := s.estimate(slope, at); basis != want || y != 1+at {
 			t.Errorf("%s: %v, %s", name, y, basis)
 		}
 	}
--- a/internal/capacity/inputs.go
+++ b/internal/capacity/inputs.go
@@ -45,11 +45,11 @@
 	Assumptions []Quantity `toml:"assumption"`
 	Slopes      []Slope    `toml:"slope"`
 
-	missed []string // names that were asked for and are not there
+	missing []string // names that were asked for and are not there
 }
 
 // near tells whether a figure of the file is the run's, to the four digits that files are written with.
-func near(a, b float64) bool {
+func matches(a, b float64) bool {
 	return math.Abs(a-b) <= 6e-4*max(math.Abs(a), math.Abs(b))+1e-12 || math.IsInf(a, 0) && math.IsInf(b, 0)
 }
 
@@ -63,7 +63,7 @@
 		return nil, d.Err()
 	}
 	seen := map[string]bool{}
-	once := func(key, name, unit string) {
+	checkName := func(key, name, unit string) {
 		if name == "" || seen[name] {
 			d.AddFault(key+".name", "%q is there twice, or is no name", name)
 		}
@@ -72,10 +72,10 @@
 		}
 	}
 	for k, q := range s.Quantities {
-		once(fmt.Sprintf("size.%d", k), q.Name, q.Unit)
+		checkName(fmt.Sprintf("size.%d", k), q.Name, q.Unit)
 	}
 	for k, q := range s.Assumptions {
-		once(fmt.Sprintf("assumption.%d", k), q.Name, q.Unit)
+		checkName(fmt.Sprintf("assumption.%d", k), q.Name, q.Unit)
 		if q.Why == "" {
 			d.AddFault(fmt.Sprintf("assumption.%d", k), "%s: why it is assumed is missing", q.Name)
 		}
@@ -83,7 +83,7 @@
 	runs := map[string]*scaletest.Result{}
 	for k, x := range s.Slopes {
 		key := fmt.Sprintf("slope.%d", k)
-		once(key, x.Name, x.Unit)
+		checkName(key, x.Name, x.Unit)
 		r := runs[x.Run]
 		if r == nil {
 			r = &scaletest.Result{}
@@ -97,17 +97,17 @@
 			}
 			runs[x.Run] = r
 		}
-		of, ok := r.Slope(x.Name)
+		measured, ok := r.Slope(x.Name)
 		switch {
 		case !ok:
 			d.AddFault(key+".name", "the run %s has no slope %s", x.Run, x.Name)
 		case r.Void != "":
 			d.AddFault(key+".run", "the run %s is void: %s", x.Run, r.Void)
-		case of.Unit != x.Unit:
-			d.AddFault(key+".unit", "%s is in %s, the run has it in %s", x.Name, x.Unit, of.Unit)
-		case !near(x.Intercept, of.Fit.Intercept) || !near(x.PerUnit, of.Fit.Slope) || !near(x.Low, of.Fit.Low) || !near(x.High, of.Fit.High) || math.Abs(x.RelativeError-of.Fit.RelativeError) > 0.006 || x.LargestSize != of.Fit.LargestX:
-			d.AddFault(key, "%s is not what its run %s gives: at %s, each %s, low %s, high %s, off %.2f, to %g", x.Name, x.Run, scaletest.FormatNumber(of.Fit.Intercept),
-				scaletest.FormatNumber(of.Fit.Slope), scaletest.FormatNumber(of.Fit.Low), scaletest.FormatNumber(of.Fit.High), of.Fit.RelativeError, of.Fit.LargestX)
+		case measured.Unit != x.Unit:
+			d.AddFault(key+".unit", "%s is in %s, the run has it in %s", x.Name, x.Unit, measured.Unit)
+		case !matches(x.Intercept, measured.Fit.Intercept) || !matches(x.PerUnit, measured.Fit.Slope) || !matches(x.Low, measured.Fit.Low) || !matches(x.High, measured.Fit.High) || math.Abs(x.RelativeError-measured.Fit.RelativeError) > 0.006 || x.LargestSize != measured.Fit.LargestX:
+			d.AddFault(key, "%s is not what its run %s gives: at %s, each %s, low %s, high %s, off %.2f, to %g", x.Name, x.Run, scaletest.FormatNumber(measured.Fit.Intercept),
+				scaletest.FormatNumber(measured.Fit.Slope), scaletest.FormatNumber(measured.Fit.Low), scaletest.FormatNumber(measured.Fit.High), measured.Fit.RelativeError, measured.Fit.LargestX)
 		}
 	}
 	return s, d.Err()
@@ -131,28 +131,28 @@
 			}
 		}
 	}
-	s.missed = append(s.missed, name)
+	s.missing = append(s.missing, name)
 	return math.NaN()
 }
 
 // line is what a slope comes to at a size, and how that is known.
-func (s *Inputs) line(name string, size float64) (y float64, basis string) {
+func (s *Inputs) estimate(name string, size float64) (y float64, basis string) {
 	for _, x := range s.Slopes {
 		if x.Name != name {
 			continue
 		}
 		basis = "measured"
 		switch {
-		case size > x.LargestSize && math.Abs(x.RelativeError) > offMost:
+		case size > x.LargestSize && math.Abs(x.RelativeError) > maxRelativeError:
 			basis = "fitted, not held"
 		case size > x.LargestSize:
 			basis = "fitted"
 		}
 		return x.Intercept + x.PerUnit*size, basis + " (" + name + ")"
 	}
-	s.missed = append(s.missed, name)
+	s.missing = append(s.missing, name)
 	return math.NaN(), "missing"
 }
 
 // offMost is by how much the largest point may be off before its line may not be multiplied up.
-const offMost = 0.15
+const maxRelativeError = 0.15
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -57,55 +57,55 @@
 		}
 		return r
 	}
-	alike := func(x float64, basis string) func(float64) (float64, string) {
+	constant := func(x float64, basis string) func(float64) (float64, string) {
 		return func(float64) (float64, string) { return x, basis }
 	}
-	lack := func(line, what string) Row { return Row{Name: line, Component: Missing + ": " + what, Basis: "none"} }
+	missingRow := func(line, what string) Row { return Row{Name: line, Component: Missing + ": " + what, Basis: "none"} }
 	slope := func(name string) func(float64) (float64, string) {
-		return func(size float64) (float64, string) { return s.line(name, size) }
+		return func(size float64) (float64, string) { return s.estimate(name, size) }
 	}
-	control, memory, bytes := s.value("control_cpu"), s.value("control_memory"), s.value("control_bytes")
+	controlCPU, controlMB, controlBytes := s.value("control_cpu"), s.value("control_memory"), s.value("control_bytes")
 	workers, starts, running, teams := s.value("workers"), s.value("starts"), s.value("running"), s.value("teams")
 	perStart := func() (float64, string) { // CPU seconds of a start where all workers are known
-		idle, _ := s.line("known_cpu@0", workers)
-		at, basis := s.line("known_cpu@100", workers)
+		idle, _ := s.estimate("known_cpu@0", workers)
+		at, basis := s.estimate("known_cpu@100", workers)
 		return (at - idle) / 100, basis
 	}
-	idleCPU, idleBasis := s.line("known_cpu@0", workers)
-	knownMB, knownBasis := s.line("known_mb@100", workers)
-	cost, costBasis := perStart()
-	teamMB0, _ := s.line("team_mb@100", 0)
-	teamMB, teamBasis := s.line("team_mb@100", teams)
+	idleCPU, idleBasis := s.estimate("known_cpu@0", workers)
+	knownMB, knownBasis := s.estimate("known_mb@100", workers)
+	cpuPerStart, costBasis := perStart()
+	teamMB0, _ := s.estimate("team_mb@100", 0)
+	teamMB, teamBasis := s.estimate("team_mb@100", teams)
 
 	t.Requirements = []Row{
-		row(fmt.Sprintf("%g workers known to each dispatcher: memory", workers), "internal/dispatch, internal/platform", "MB", fmt.Sprintf("%g MB", memory), memory, alike(knownMB, knownBasis)),
-		row("the same: processor time with no job", "internal/dispatch, internal/platform", "cores", fmt.Sprintf("%g of a core", control), control, alike(idleCPU, idleBasis)),
-		lack(fmt.Sprintf("%g accelerators", s.value("accelerators")), "a worker has a kind and slots, and no accelerators of which a job takes some"),
-		row(fmt.Sprintf("%g jobs a day", s.value("jobs_day")), "internal/dispatch", "starts/s a dispatcher", "what one core starts a second with all workers known", 1/cost,
+		row(fmt.Sprintf("%g workers known to each dispatcher: memory", workers), "internal/dispatch, internal/platform", "MB", fmt.Sprintf("%g MB", controlMB), controlMB, constant(knownMB, knownBasis)),
+		row("the same: processor time with no job", "internal/dispatch, internal/platform", "cores", fmt.Sprintf("%g of a core", controlCPU), controlCPU, constant(idleCPU, idleBasis)),
+		missingRow(fmt.Sprintf("%g accelerators", s.value("accelerators")), "a worker has a kind and slots, and no accelerators of which a job takes some"),
+		row(fmt.Sprintf("%g jobs a day", s.value("jobs_day")), "internal/dispatch", "starts/s a dispatcher", "what one core starts a second with all workers known", 1/cpuPerStart,
 			func(n float64) (float64, string) { return s.value("jobs_day") / 86400 / n, costBasis }),
 		row(fmt.Sprintf("%g task starts a second at the peak", starts), "internal/dispatch", "cores a dispatcher", "1 core", 1,
-			func(n float64) (float64, string) { return idleCPU + cost*starts/n, costBasis }),
+			func(n float64) (float64, string) { return idleCPU + cpuPerStart*starts/n, costBasis }),
 		row(fmt.Sprintf("%g tasks running: clients that wait at a dispatcher", running), "internal/platform", "connections", "half of limits.sockets 1024", 512,
 			func(n float64) (float64, string) { return running / n, "arithmetic" }),
-		row("the same: tasks on one worker", fmt.Sprintf("internal/dispatch (what fits is learned up to %d)", dispatch.MaxConcurrency), "tasks", fmt.Sprint(dispatch.MaxConcurrency), dispatch.MaxConcurrency, alike(running/workers, "arithmetic")),
-		lack(fmt.Sprintf("gangs of up to %g", s.value("gang")), "work items start one by one; nothing holds workers for others"),
-		lack(fmt.Sprintf("%g teams: quotas", teams), "a tenant has an allowance a second, counted by each dispatcher alone; nobody holds its running tasks to a quota"),
-		row(fmt.Sprintf("%g teams: memory for their allowances", teams), "internal/dispatch", "MB", fmt.Sprintf("%g MB", memory), memory, alike(teamMB-teamMB0, teamBasis)),
-		lack(fmt.Sprintf("urgent work starts within %g s", s.value("urgent")), "credit orders what waits; nothing that runs gives way"),
-		lack(fmt.Sprintf("%g regions with %g zones: a council over regions", s.value("regions"), s.value("zones")), "zones are known to dispatch and the council's times are of one site; no run over far links"),
+		row("the same: tasks on one worker", fmt.Sprintf("internal/dispatch (what fits is learned up to %d)", dispatch.MaxConcurrency), "tasks", fmt.Sprint(dispatch.MaxConcurrency), dispatch.MaxConcurrency, constant(running/workers, "arithmetic")),
+		missingRow(fmt.Sprintf("gangs of up to %g", s.value("gang")), "work items start one by one; nothing holds workers for others"),
+		missingRow(fmt.Sprintf("%g teams: quotas", teams), "a tenant has an allowance a second, counted by each dispatcher alone; nobody holds its running tasks to a quota"),
+		row(fmt.Sprintf("%g teams: memory for their allowances", teams), "internal/dispatch", "MB", fmt.Sprintf("%g MB", controlMB), controlMB, constant(teamMB-teamMB0, teamBasis)),
+		missingRow(fmt.Sprintf("urgent work starts within %g s", s.value("urgent")), "credit orders what waits; nothing that runs gives way"),
+		missingRow(fmt.Sprintf("%g regions with %g zones: a council over regions", s.value("regions"), s.value("zones")), "zones are known to dispatch and the council's times are of one site; no run over far links"),
 		row(fmt.Sprintf("%.3g changes of configuration a second, in force everywhere", s.value("changes_day")/86400), "internal/council, internal/member", "ms to all", fmt.Sprintf("%g s", s.value("in_force")/1000),
 			s.value("in_force"), slope("in_force_all@1.1")),
-		row("control at a scheduler: processor time", "internal/member", "cores", fmt.Sprintf("%g of a core", control), control, slope("follower_cpu@1.1")),
-		row("control at a scheduler: memory", "internal/member", "MB", fmt.Sprintf("%g MB", memory), memory, slope("follower_mb@1.1")),
-		row("control at a scheduler: link", "internal/fleetlink, internal/member", "bytes/s", fmt.Sprintf("%g bytes/s", bytes), bytes, slope("member_bytes@1.1")),
+		row("control at a scheduler: processor time", "internal/member", "cores", fmt.Sprintf("%g of a core", controlCPU), controlCPU, slope("follower_cpu@1.1")),
+		row("control at a scheduler: memory", "internal/member", "MB", fmt.Sprintf("%g MB", controlMB), controlMB, slope("follower_mb@1.1")),
+		row("control at a scheduler: link", "internal/fleetlink, internal/member", "bytes/s", fmt.Sprintf("%g bytes/s", controlBytes), controlBytes, slope("member_bytes@1.1")),
 		row(fmt.Sprintf("%g machines for control: the leader's processor", s.value("control_machines")), "internal/council", "cores", "1 core: one goroutine leads", 1, slope("leader_cpu@1.1")),
 	}
 	t.Roles = []Row{
 		row("dispatcher, all workers known: processor time at the peak", "internal/dispatch, internal/node, internal/platform", "cores", "1 core", 1,
-			func(n float64) (float64, string) { return idleCPU + cost*starts/n, costBasis }),
-		row("dispatcher, all workers known: a round that starts a job", "internal/dispatch", "ms", "5 ms (settings.granularity)", 5, func(float64) (float64, string) { return s.line("round_start@0", workers) }),
-		row("dispatcher, all workers known: the same while the list changes", "internal/dispatch", "ms", "5 ms (settings.granularity)", 5, func(float64) (float64, string) { return s.line("round_change@0", workers) }),
-		row("dispatcher: memory", "the same", "MB", fmt.Sprintf("%g MB", memory), memory, alike(knownMB, knownBasis)),
+			func(n float64) (float64, string) { return idleCPU + cpuPerStart*starts/n, costBasis }),
+		row("dispatcher, all workers known: a round that starts a job", "internal/dispatch", "ms", "5 ms (settings.granularity)", 5, func(float64) (float64, string) { return s.estimate("round_start@0", workers) }),
+		row("dispatcher, all workers known: the same while the list changes", "internal/dispatch", "ms", "5 ms (settings.granularity)", 5, func(float64) (float64, string) { return s.estimate("round_change@0", workers) }),
+		row("dispatcher: memory", "the same", "MB", fmt.Sprintf("%g MB", controlMB), controlMB, constant(knownMB, knownBasis)),
 		row("leader: processor time", "internal/council", "cores", "1 core", 1, slope("leader_cpu@1.1")),
 		row("leader: memory", "internal/council, internal/fleet", "MB", "192 MB (limits.memory_mb)", 192, slope("leader_mb@1.1")),
 		row("leader: messages", "internal/fleetlink", "reads/s", "", 0, slope("leader_reads@1.1")),
@@ -113,31 +113,31 @@
 		row("voter: processor time", "internal/council", "cores", "1 core", 1, slope("voter_cpu@1.1")),
 		row("voter: memory", "internal/council, internal/fleet", "MB", "192 MB", 192, slope("voter_mb@1.1")),
 		row("voter: bytes", "internal/fleetlink", "bytes/s", "", 0, slope("voter_bytes@1.1")),
-		row("follower: processor time", "internal/member", "cores", fmt.Sprintf("%g of a core", control), control, slope("follower_cpu@1.1")),
-		row("follower: memory", "internal/member", "MB", fmt.Sprintf("%g MB", memory), memory, slope("follower_mb@1.1")),
+		row("follower: processor time", "internal/member", "cores", fmt.Sprintf("%g of a core", controlCPU), controlCPU, slope("follower_cpu@1.1")),
+		row("follower: memory", "internal/member", "MB", fmt.Sprintf("%g MB", controlMB), controlMB, slope("follower_mb@1.1")),
 		row("follower: calls", "internal/fleetlink", "1/s", "", 0, slope("member_calls@1.1")),
-		row("discovery's agent: the list that a dispatcher's start asks for", "outside; stand-in in internal/scale", "bytes", "", 0, alike(workers*s.value("entry_bytes"), "assumed (entry_bytes)")),
-		row("worker's side: hand-offs and callbacks of one worker", "internal/platform", "1/s", "", 0, alike(starts/workers*4, "arithmetic: a request, its 202, two callbacks")),
-		lack("gangs, quotas, accelerators: who holds capacity for them", "a reservation over dispatchers"),
-		lack("region: who carries history between regions", "a relay; all members call the voters themselves"),
+		row("discovery's agent: the list that a dispatcher's start asks for", "outside; stand-in in internal/scale", "bytes", "", 0, constant(workers*s.value("entry_bytes"), "assumed (entry_bytes)")),
+		row("worker's side: hand-offs and callbacks of one worker", "internal/platform", "1/s", "", 0, constant(starts/workers*4, "arithmetic: a request, its 202, two callbacks")),
+		missingRow("gangs, quotas, accelerators: who holds capacity for them", "a reservation over dispatchers"),
+		missingRow("region: who carries history between regions", "a relay; all members call the voters themselves"),
 	}
 	restarts := s.value("restarts_day") + s.value("failures_day")
-	entry := s.value("admission_bytes")
+	admissionBytes := s.value("admission_bytes")
 	t.Failures = []Row{
 		row(fmt.Sprintf("%g machines fail and %g are restarted a day: admissions told to all", s.value("failures_day"), s.value("restarts_day")), "internal/council, internal/member", "bytes/s a member",
-			fmt.Sprintf("%g bytes/s", bytes), bytes, func(n float64) (float64, string) {
-				return restarts / 86400 * entry * min(n/(workers+n)*s.value("spread"), 1), "assumed (admission_bytes, spread)"
+			fmt.Sprintf("%g bytes/s", controlBytes), controlBytes, func(n float64) (float64, string) {
+				return restarts / 86400 * admissionBytes * min(n/(workers+n)*s.value("spread"), 1), "assumed (admission_bytes, spread)"
 			}),
 		row("a rack or switch: schedulers that start at once", "internal/council", "admissions", "", 0, func(n float64) (float64, string) { return math.Ceil(n / s.value("racks")), "assumed (racks)" }),
 		row("a zone: schedulers that start at once", "internal/council", "admissions", "", 0, func(n float64) (float64, string) { return n / s.value("zones"), "arithmetic" }),
-		row("the same: workers that come back cold", "internal/dispatch", "workers", "", 0, alike(workers/s.value("zones"), "arithmetic")),
+		row("the same: workers that come back cold", "internal/dispatch", "workers", "", 0, constant(workers/s.value("zones"), "arithmetic")),
 		row("an hour between regions: entries that the cut part is behind", "internal/council (1024 entries are kept, then a snapshot)", "entries", "", 0,
-			alike(s.value("changes_day")/24, "arithmetic")),
+			constant(s.value("changes_day")/24, "arithmetic")),
 		row("the same: members that catch up by a snapshot, 16 at once", "internal/council", "members", "", 0, func(n float64) (float64, string) { return n / s.value("regions"), "arithmetic" }),
 	}
-	if len(s.missed) > 0 {
-		slices.Sort(s.missed)
-		return nil, fmt.Errorf("capacity: the file has no %s", strings.Join(slices.Compact(s.missed), ", "))
+	if len(s.missing) > 0 {
+		slices.Sort(s.missing)
+		return nil, fmt.Errorf("capacity: the file has no %s", strings.Join(slices.Compact(s.missing), ", "))
 	}
 	return t, nil
 }
@@ -156,16 +156,16 @@
 // Text is the tables as the page has them.
 func (t *Tables) Text() string {
 	var b strings.Builder
-	three := func(x [3]float64) string {
+	formatThree := func(x [3]float64) string {
 		if x[0] == x[2] {
 			return scaletest.FormatNumber(x[1])
 		}
 		return scaletest.FormatNumber(x[0]) + ", " + scaletest.FormatNumber(x[1]) + ", " + scaletest.FormatNumber(x[2])
 	}
-	rows := func(head string, all []Row) {
+	writeRows := func(head string, all []Row) {
 		fmt.Fprintf(&b, "| %s | carried by | bound | comes to | ratio | basis |\n| --- | --- | --- | --- | --- | --- |\n", head)
 		for _, r := range all {
-			comes, ratio := three(r.Values)+" "+r.Unit, three(r.Ratios)
+			comes, ratio := formatThree(r.Values)+" "+r.Unit, formatThree(r.Ratios)
 			if strings.HasPrefix(r.Component, Missing) {
 				comes = ""
 			}
@@ -178,22 +178,22 @@
 	}
 	fmt.Fprintf(&b, "Three figures: with %s, %s and %s schedulers. One: the same with each.\n\n", scaletest.FormatNumber(t.Schedulers[0]), scaletest.FormatNumber(t.Schedulers[1]), scaletest.FormatNumber(t.Schedulers[2]))
 	b.WriteString("### Lines of the size\n\n")
-	rows("line", t.Requirements)
+	writeRows("line", t.Requirements)
 	b.WriteString("### Roles\n\n")
-	rows("role", t.Roles)
+	writeRows("role", t.Roles)
 	b.WriteString("### Failures\n\n")
-	rows("failure", t.Failures)
+	writeRows("failure", t.Failures)
 	b.WriteString("### Worst first, of what exists\n\n| row | ratio |\n| --- | --- |\n")
 	for _, r := range t.WorstFirst() {
-		fmt.Fprintf(&b, "| %s | %s |\n", r.Name, three(r.Ratios))
+		fmt.Fprintf(&b, "| %s | %s |\n", r.Name, formatThree(r.Ratios))
 	}
 	b.WriteString("\n### Slopes\n\n| slope | unit | at 0 | each | 95% of each | largest point | foretold from the others, off by | run |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, x := range t.Slopes {
-		held := fmt.Sprintf("%+.0f%%", 100*x.RelativeError)
-		if math.Abs(x.RelativeError) > offMost {
-			held += ", no line"
+		errorText := fmt.Sprintf("%+.0f%%", 100*x.RelativeError)
+		if math.Abs(x.RelativeError) > maxRelativeError {
+			errorText += ", no line"
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s to %s | %g | %s | %s |\n", x.Name, x.Unit, scaletest.FormatNumber(x.Intercept), scaletest.FormatNumber(x.PerUnit), scaletest.FormatNumber(x.Low), scaletest.FormatNumber(x.High), x.LargestSize, held, x.Run)
+		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s to %s | %g | %s | %s |\n", x.Name, x.Unit, scaletest.FormatNumber(x.Intercept), scaletest.FormatNumber(x.PerUnit), scaletest.FormatNumber(x.Low), scaletest.FormatNumber(x.High), x.LargestSize, errorText, x.Run)
 	}
 	b.WriteString("\n### Given and assumed\n\n| name | value | unit | |\n| --- | --- | --- | --- |\n")
 	for _, q := range t.Quantities {
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -25,17 +25,17 @@
 }
 
 // offMost is by how much the largest point may be off before the line is no line.
-const offMost = 0.15
+const maxRelativeError = 0.15
 
 // Holds tells whether the largest point was foretold well enough to multiply the slope up.
-func (f Fit) IsLinear() bool { return f.Points >= 3 && math.Abs(f.RelativeError) <= offMost }
+func (f Fit) IsLinear() bool { return f.Points >= 3 && math.Abs(f.RelativeError) <= maxRelativeError }
 
 // through is the line by least squares; one that falls is taken as flat: nothing here costs less for there being more of it.
-func through(x, y []float64) (at, slope float64) {
-	if at, slope = stat.LinearRegression(x, y, nil, false); slope < 0 {
+func leastSquares(x, y []float64) (intercept, slope float64) {
+	if intercept, slope = stat.LinearRegression(x, y, nil, false); slope < 0 {
 		return stat.Mean(y, nil), 0
 	}
-	return at, slope
+	return intercept, slope
 }
 
 // Line fits one through points in the order of their x.
@@ -45,7 +45,7 @@
 	if n < 2 {
 		return f
 	}
-	f.Intercept, f.Slope = through(x, y)
+	f.Intercept, f.Slope = leastSquares(x, y)
 	f.Low, f.High = math.Inf(-1), math.Inf(1)
 	if n > 2 {
 		mean, residual, spread := stat.Mean(x, nil), 0., 0.
@@ -53,11 +53,11 @@
 			residual += math.Pow(y[k]-f.Intercept-f.Slope*x[k], 2)
 			spread += math.Pow(x[k]-mean, 2)
 		}
-		free := float64(n - 2)
-		half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: free}.Quantile(0.975) * math.Sqrt(residual/free/spread)
-		f.Low, f.High = f.Slope-half, f.Slope+half
-		at, slope := through(x[:n-1], y[:n-1])
-		f.LargestX, f.Measured, f.Predicted = x[n-1], y[n-1], at+slope*x[n-1]
+		degrees := float64(n - 2)
+		halfWidth := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degrees}.Quantile(0.975) * math.Sqrt(residual/degrees/spread)
+		f.Low, f.High = f.Slope-halfWidth, f.Slope+halfWidth
+		intercept, slope := leastSquares(x[:n-1], y[:n-1])
+		f.LargestX, f.Measured, f.Predicted = x[n-1], y[n-1], intercept+slope*x[n-1]
 		if f.Measured != 0 {
 			f.RelativeError = f.Predicted/f.Measured - 1
 		}
--- a/internal/scaletest/plan.go
+++ b/internal/scaletest/plan.go
@@ -75,7 +75,7 @@
 	if len(p.VersionsUpTo) > 0 && len(p.VersionsUpTo) != len(p.VersionRates) {
 		d.AddFault("versions_up_to", "%d sizes for %d rates", len(p.VersionsUpTo), len(p.VersionRates))
 	}
-	if n := p.processes(); n > p.MaxProcesses {
+	if n := p.processCount(); n > p.MaxProcesses {
 		d.AddFault("processes", "the plan needs %d, %d are allowed", n, p.MaxProcesses)
 	}
 	return p, d.Err()
@@ -85,27 +85,27 @@
 const idleFollowers = 2
 
 // doorsEach is how many addresses of workers one hollow process listens at.
-const doorsEach = 1500
+const maxAddrs = 1500
 
 // processes are those that it has at most at once, the lab itself among them.
-func (p *Plan) processes() int {
+func (p *Plan) processCount() int {
 	fleet := 1
 	if len(p.Members) > 0 {
 		most := p.Members[len(p.Members)-1] - p.Voters - p.Dispatchers - idleFollowers
-		fleet += p.Voters + p.Dispatchers + idleFollowers + (most+p.StubsPerProcess-1)/p.StubsPerProcess + p.doors()
+		fleet += p.Voters + p.Dispatchers + idleFollowers + (most+p.StubsPerProcess-1)/p.StubsPerProcess + p.workerProcs()
 	}
 	known := 2
 	if len(p.Workers) > 0 {
-		known += (p.Workers[len(p.Workers)-1] + doorsEach - 1) / doorsEach
+		known += (p.Workers[len(p.Workers)-1] + maxAddrs - 1) / maxAddrs
 	}
 	return max(fleet, known)
 }
 
 // doors are the processes for the workers of the fleet series: each has an address for each dispatcher.
-func (p *Plan) doors() int { return (p.FleetWorkers*p.Dispatchers + doorsEach - 1) / doorsEach }
+func (p *Plan) workerProcs() int { return (p.FleetWorkers*p.Dispatchers + maxAddrs - 1) / maxAddrs }
 
 // needMB is what the plan is taken to need at most.
-func (p *Plan) needMB() float64 {
+func (p *Plan) estimatedMB() float64 {
 	fleet, known := 0., 0.
 	if n := len(p.Members); n > 0 {
 		fleet = float64(p.Voters+p.Dispatchers+idleFollowers)*p.RealMB + float64(p.Members[n-1])*p.MemberKB/1024 + float64(p.FleetWorkers*p.Dispatchers)*p.WorkerKB/1024
@@ -135,7 +135,7 @@
 	}
 	m = Machine{Cores: runtime.NumCPU(), MemoryMB: float64(*info.MemTotal) / 1024}
 	m.LimitMB = m.MemoryMB * p.MemoryShare
-	if need := p.needMB(); need > m.LimitMB {
+	if need := p.estimatedMB(); need > m.LimitMB {
 		return m, fmt.Errorf("memory: the plan needs %.0f MB by its own word, %.0f of the machine's %.0f are allowed", need, m.LimitMB, m.MemoryMB)
 	}
 	return m, nil
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -23,12 +23,12 @@
 }
 
 // figure is one that is drawn from a point; false: the point has none.
-type figure struct {
+type metric struct {
 	name, unit, series string
-	of                 func(p Point) (float64, bool)
+	value              func(p Point) (float64, bool)
 }
 
-func usage(role string, of func(Usage) float64) func(Point) (float64, bool) {
+func usageOf(role string, of func(Usage) float64) func(Point) (float64, bool) {
 	return func(p Point) (float64, bool) {
 		x, ok := p.Roles[role]
 		return of(x), ok
@@ -37,17 +37,17 @@
 
 // figures are those that lines are drawn through. What comes in by system calls is what the links bring, for roles that do
 // nothing else.
-var figures = []figure{
-	{"leader_cpu", "cores", "members", usage("leader", func(u Usage) float64 { return u.CPU })},
-	{"leader_mb", "MB", "members", usage("leader", func(u Usage) float64 { return u.ResidentMB })},
-	{"leader_bytes", "bytes/s", "members", usage("leader", func(u Usage) float64 { return u.Read + u.Written })},
-	{"leader_reads", "1/s", "members", usage("leader", func(u Usage) float64 { return u.Reads })},
-	{"voter_cpu", "cores", "members", usage("voter", func(u Usage) float64 { return u.CPU })},
-	{"voter_mb", "MB", "members", usage("voter", func(u Usage) float64 { return u.ResidentMB })},
-	{"voter_bytes", "bytes/s", "members", usage("voter", func(u Usage) float64 { return u.Read + u.Written })},
-	{"follower_cpu", "cores", "members", usage("follower", func(u Usage) float64 { return u.CPU })},
-	{"follower_mb", "MB", "members", usage("follower", func(u Usage) float64 { return u.ResidentMB })},
-	{"dispatcher_cpu", "cores", "members", usage("dispatcher", func(u Usage) float64 { return u.CPU })},
+var metrics = []metric{
+	{"leader_cpu", "cores", "members", usageOf("leader", func(u Usage) float64 { return u.CPU })},
+	{"leader_mb", "MB", "members", usageOf("leader", func(u Usage) float64 { return u.ResidentMB })},
+	{"leader_bytes", "bytes/s", "members", usageOf("leader", func(u Usage) float64 { return u.Read + u.Written })},
+	{"leader_reads", "1/s", "members", usageOf("leader", func(u Usage) float64 { return u.Reads })},
+	{"voter_cpu", "cores", "members", usageOf("voter", func(u Usage) float64 { return u.CPU })},
+	{"voter_mb", "MB", "members", usageOf("voter", func(u Usage) float64 { return u.ResidentMB })},
+	{"voter_bytes", "bytes/s", "members", usageOf("voter", func(u Usage) float64 { return u.Read + u.Written })},
+	{"follower_cpu", "cores", "members", usageOf("follower", func(u Usage) float64 { return u.CPU })},
+	{"follower_mb", "MB", "members", usageOf("follower", func(u Usage) float64 { return u.ResidentMB })},
+	{"dispatcher_cpu", "cores", "members", usageOf("dispatcher", func(u Usage) float64 { return u.CPU })},
 	{"member_bytes", "bytes/s", "members", func(p Point) (float64, bool) { return p.StubLink.Read + p.StubLink.Written, p.StubLink.Calls > 0 }},
 	{"member_calls", "1/s", "members", func(p Point) (float64, bool) { return p.StubLink.Calls, p.StubLink.Calls > 0 }},
 	{"in_force_p50", "ms", "members", func(p Point) (float64, bool) { return p.InForceP50, p.Published > 0 }},
@@ -57,16 +57,16 @@
 	{"round_start", "ms", "rounds", func(p Point) (float64, bool) { return p.Start, true }},
 	{"round_batch", "ms", "rounds", func(p Point) (float64, bool) { return p.Batch, p.Batch > 0 }},
 	{"round_change", "ms", "rounds", func(p Point) (float64, bool) { return p.Change, p.Change > 0 }},
-	{"known_cpu", "cores", "workers", usage("dispatcher", func(u Usage) float64 { return u.CPU })},
-	{"known_mb", "MB", "workers", usage("dispatcher", func(u Usage) float64 { return u.ResidentMB })},
-	{"team_cpu", "cores", "teams", usage("dispatcher", func(u Usage) float64 { return u.CPU })},
-	{"team_mb", "MB", "teams", usage("dispatcher", func(u Usage) float64 { return u.ResidentMB })},
+	{"known_cpu", "cores", "workers", usageOf("dispatcher", func(u Usage) float64 { return u.CPU })},
+	{"known_mb", "MB", "workers", usageOf("dispatcher", func(u Usage) float64 { return u.ResidentMB })},
+	{"team_cpu", "cores", "teams", usageOf("dispatcher", func(u Usage) float64 { return u.CPU })},
+	{"team_mb", "MB", "teams", usageOf("dispatcher", func(u Usage) float64 { return u.ResidentMB })},
 }
 
 // Slopes are the lines through a run's points: one for each figure, at each rate of versions or jobs that was played. The
 // name tells the rate: leader_cpu@1.1.
 func (r *Result) Slopes() (all []Slope) {
-	for _, f := range figures {
+	for _, f := range metrics {
 		x, y := map[float64][]float64{}, map[float64][]float64{}
 		var rates []float64
 		for _, p := range r.Points {
@@ -74,7 +74,7 @@
 			if p.Series == "members" {
 				rate = p.VersionRate
 			}
-			v, ok := f.of(p)
+			v, ok := f.value(p)
 			if p.Series != f.series || !ok {
 				continue
 			}
@@ -197,10 +197,10 @@
 	pl.X.Label.Text = "size, as part of the largest"
 	pl.Legend.Top, pl.Legend.Left = true, true
 	var lines []any
-	for _, f := range figures {
+	for _, f := range metrics {
 		var pts plotter.XYs
 		for _, p := range r.Points {
-			if v, ok := f.of(p); ok && p.Series == f.series && (p.Series != "members" || p.VersionRate > 0) {
+			if v, ok := f.value(p); ok && p.Series == f.series && (p.Series != "members" || p.VersionRate > 0) {
 				pts = append(pts, plotter.XY{X: float64(p.Size), Y: v})
 			}
 		}
--- a/internal/scaletest/rounds.go
+++ b/internal/scaletest/rounds.go
@@ -12,30 +12,30 @@
 )
 
 // rounder is the inbox and the writer of a dispatcher that is timed.
-type rounder struct {
-	in   func(dispatch.EventHandler)
-	sent []uint64 // handed off in this round
+type roundHarness struct {
+	input func(dispatch.EventHandler)
+	sent  []uint64 // handed off in this round
 }
 
-func (r *rounder) Deliver(to dispatch.EventHandler) {
-	if r.in != nil {
-		r.in(to)
+func (r *roundHarness) Deliver(to dispatch.EventHandler) {
+	if r.input != nil {
+		r.input(to)
 	}
 }
 
-func (r *rounder) HandOff(wi uint64, _ string, _ float64) { r.sent = append(r.sent, wi) }
-func (r *rounder) Cancel(uint64, int)                     {}
-func (r *rounder) Defer(uint64, float64)                  {}
-func (r *rounder) WriteOff(uint64)                        {}
-func (r *rounder) SetTimer(uint64, float64)               {}
-func (r *rounder) WatchDiscovery(bool)                    {}
-func (r *rounder) SendToPeer(int, []byte)                 {}
+func (r *roundHarness) HandOff(wi uint64, _ string, _ float64) { r.sent = append(r.sent, wi) }
+func (r *roundHarness) Cancel(uint64, int)                     {}
+func (r *roundHarness) Defer(uint64, float64)                  {}
+func (r *roundHarness) WriteOff(uint64)                        {}
+func (r *roundHarness) SetTimer(uint64, float64)               {}
+func (r *roundHarness) WatchDiscovery(bool)                    {}
+func (r *roundHarness) SendToPeer(int, []byte)                 {}
 
 // timedRounds is how many of each are timed in each of so many plays, and batch how many jobs come at once in some.
 const (
 	timedRounds = 400
-	timedPlays  = 7
-	batch       = 100
+	repetitions = 7
+	batchSize   = 100
 )
 
 // Rounds are mean times of rounds, in milliseconds, each the median of several plays.
@@ -47,15 +47,15 @@
 }
 
 func (t Rounds) text() string {
-	return fmt.Sprintf("%.4f ms with nothing, %.4f ms with a job, %.4f ms with %d at once, %.4f ms with a job and a change of the list", t.Idle, t.Start, t.Batch, batch, t.Change)
+	return fmt.Sprintf("%.4f ms with nothing, %.4f ms with a job, %.4f ms with %d at once, %.4f ms with a job and a change of the list", t.Idle, t.Start, t.Batch, batchSize, t.Change)
 }
 
 // timeRounds times them for a dispatcher that knows so many workers: of several plays, each by a dispatcher of its own, the
 // median. Where the system and the collector put things differs from play to play, and stays for the whole of one.
 func timeRounds(workers int) (t Rounds, err error) {
 	var all [4][]float64
-	for range timedPlays {
-		p, err := playRounds(workers)
+	for range repetitions {
+		p, err := timeRoundsOnce(workers)
 		if err != nil {
 			return t, err
 		}
@@ -65,14 +65,14 @@
 	}
 	for k, to := range []*float64{&t.Idle, &t.Start, &t.Batch, &t.Change} {
 		slices.Sort(all[k])
-		*to = all[k][timedPlays/2]
+		*to = all[k][repetitions/2]
 	}
 	return t, nil
 }
 
 // playRounds is one play.
-func playRounds(workers int) (t Rounds, err error) {
-	x, err := fleetmodel.ParseExperiment("base", []byte(base))
+func timeRoundsOnce(workers int) (t Rounds, err error) {
+	x, err := fleetmodel.ParseExperiment("base", []byte(baseExperiment))
 	if err != nil {
 		panic(err) // the text is our own
 	}
@@ -80,10 +80,10 @@
 	if err != nil {
 		return t, fmt.Errorf("scale: %w", err)
 	}
-	d, r, now := dispatch.New(s), &rounder{}, 1e6
-	round := func(in func(dispatch.EventHandler)) float64 {
+	d, r, now := dispatch.New(s), &roundHarness{}, 1e6
+	round := func(input func(dispatch.EventHandler)) float64 {
 		now += 5
-		r.in = in
+		r.input = input
 		began := time.Now()
 		d.Round(now, r, r)
 		return float64(time.Since(began)) / 1e6
@@ -93,42 +93,42 @@
 		entries[w] = dispatch.Entry{Worker: workerName(w)}
 	}
 	round(func(to dispatch.EventHandler) { to.Listed(dispatch.ListComplete, entries) })
-	jobs, handed := uint64(0), 0
-	work := func(n int, more func(dispatch.EventHandler)) float64 {
-		ended := r.sent
+	jobs, handedOff := uint64(0), 0
+	workRound := func(n int, extra func(dispatch.EventHandler)) float64 {
+		finished := r.sent
 		r.sent = nil
 		took := round(func(to dispatch.EventHandler) {
-			for _, wi := range ended {
+			for _, wi := range finished {
 				to.HandOffProgressed(wi, 0, true, 0)
 				to.HandOffEnded(dispatch.HandOffResult{WI: wi, Outcome: dispatch.Finished, Elapsed: 10, Final: true, Load: dispatch.UnknownLoad})
 			}
-			if more != nil {
-				more(to)
+			if extra != nil {
+				extra(to)
 			}
 			for range n {
 				jobs++
 				to.Arrived(dispatch.WorkItem{ID: jobs, Tenant: -1, TimeLeft: 5000, Hint: 20})
 			}
 		})
-		handed += len(r.sent)
+		handedOff += len(r.sent)
 		return took
 	}
 	for range timedRounds {
 		t.Idle += round(nil) / timedRounds
-		t.Start += work(1, nil) / timedRounds
+		t.Start += workRound(1, nil) / timedRounds
 	}
 	for k := range timedRounds {
 		e := entries[k/2%workers]
 		if e.State = dispatch.Draining; k%2 == 1 {
 			e.State = dispatch.Up
 		}
-		t.Change += work(1, func(to dispatch.EventHandler) { to.Listed(dispatch.ListChanges, []dispatch.Entry{e}) }) / timedRounds
+		t.Change += workRound(1, func(to dispatch.EventHandler) { to.Listed(dispatch.ListChanges, []dispatch.Entry{e}) }) / timedRounds
 	}
-	for range timedRounds / batch * b2i(workers >= 2*batch) { // fewer could not take them
-		t.Batch += work(batch, nil) / (timedRounds / batch)
+	for range timedRounds / batchSize * b2i(workers >= 2*batchSize) { // fewer could not take them
+		t.Batch += workRound(batchSize, nil) / (timedRounds / batchSize)
 	}
-	if handed < int(jobs)*9/10 {
-		return t, fmt.Errorf("%w: %d of %d jobs were handed off by a dispatcher that knows %d workers", ErrVoid, handed, jobs, workers)
+	if handedOff < int(jobs)*9/10 {
+		return t, fmt.Errorf("%w: %d of %d jobs were handed off by a dispatcher that knows %d workers", ErrVoid, handedOff, jobs, workers)
 	}
 	return t, nil
 }
@@ -141,15 +141,15 @@
 }
 
 // rounds is the series over workers known, for the decisions alone.
-func (u *run) rounds(res *Result) error {
-	for _, n := range u.p.Workers {
+func (u *run) measureRounds(res *Result) error {
+	for _, n := range u.plan.Workers {
 		began := time.Now()
 		t, err := timeRounds(n)
 		if err != nil {
 			return err
 		}
 		res.Points = append(res.Points, Point{Series: "rounds", Size: n, Seconds: time.Since(began).Seconds(), Rounds: t})
-		u.tell("rounds, %d workers known: %s", n, t.text())
+		u.progress("rounds, %d workers known: %s", n, t.text())
 	}
 	return nil
 }
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -95,27 +95,27 @@
 
 // process is one that the run has started.
 type process struct {
-	role  string
-	cmd   *exec.Cmd
-	in    io.WriteCloser // of a hollow one
-	out   *bufio.Reader
-	count int
-	ended chan struct{}
+	role   string
+	cmd    *exec.Cmd
+	stdin  io.WriteCloser // of a hollow one
+	stdout *bufio.Reader
+	stubs  int
+	ended  chan struct{}
 }
 
 type run struct {
-	p     *Plan
-	o     Options
-	ctx   context.Context
-	stop  context.CancelFunc
-	dir   string
-	bound float64
-	clock fleetagent.Clock
-	mu    sync.Mutex // of all below
-	all   []*process
-	most  float64
-	procs int
-	void  string
+	plan          *Plan
+	options       Options
+	ctx           context.Context
+	stop          context.CancelFunc
+	dir           string
+	limitMB       float64
+	clock         fleetagent.Clock
+	mu            sync.Mutex // of all below
+	processes     []*process
+	peakMB        float64
+	peakProcesses int
+	void          string
 }
 
 // ErrVoid: the run tells nothing.
@@ -124,7 +124,7 @@
 // Play carries out a plan. Whatever ends it, no process is left, and what was measured is there.
 func Run(ctx context.Context, p *Plan, o Options) (r *Result, err error) {
 	began := time.Now()
-	m, err := p.CheckMemory()
+	machine, err := p.CheckMemory()
 	if err != nil {
 		return nil, err
 	}
@@ -133,34 +133,34 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	u := &run{p: p, o: o, dir: dir, bound: m.LimitMB, clock: fleetagent.NewClock()}
+	u := &run{plan: p, options: o, dir: dir, limitMB: machine.LimitMB, clock: fleetagent.NewClock()}
 	u.ctx, u.stop = context.WithCancel(ctx)
-	r = &Result{Plan: p.About, StartedAt: began.UTC().Format(time.RFC3339), Machine: m}
-	var guard sync.WaitGroup
-	guard.Go(u.guard)
-	for _, series := range []func(*Result) error{u.members, u.workers, u.teams, u.rounds} {
+	r = &Result{Plan: p.About, StartedAt: began.UTC().Format(time.RFC3339), Machine: machine}
+	var memoryWatch sync.WaitGroup
+	memoryWatch.Go(u.limitMemory)
+	for _, series := range []func(*Result) error{u.measureMembers, u.measureWorkers, u.measureTeams, u.measureRounds} {
 		if err = series(r); err != nil || u.ctx.Err() != nil {
 			break
 		}
 	}
-	u.endAll()
+	u.killAll()
 	u.stop()
-	guard.Wait()
-	r.PeakMB, r.PeakProcesses, r.Seconds, r.Void = u.most, u.procs, time.Since(began).Seconds(), u.void
+	memoryWatch.Wait()
+	r.PeakMB, r.PeakProcesses, r.Seconds, r.Void = u.peakMB, u.peakProcesses, time.Since(began).Seconds(), u.void
 	if r.Interrupted = ctx.Err() != nil; r.Interrupted || r.Void != "" {
 		err = nil // what came of that is no fault of its own
 	}
 	return r, err
 }
 
-func (u *run) tell(format string, a ...any) {
-	if u.o.Progress != nil {
-		u.o.Progress(fmt.Sprintf(format, a...))
+func (u *run) progress(format string, a ...any) {
+	if u.options.Progress != nil {
+		u.options.Progress(fmt.Sprintf(format, a...))
 	}
 }
 
 // spoil voids the run and ends it.
-func (u *run) spoil(format string, a ...any) {
+func (u *run) voidRun(format string, a ...any) {
 	u.mu.Lock()
 	if u.void == "" {
 		u.void = fmt.Sprintf(format, a...)
@@ -170,21 +170,21 @@
 }
 
 // guard ends the run at its bound of memory.
-func (u *run) guard() {
+func (u *run) limitMemory() {
 	for u.ctx.Err() == nil {
-		total := u.total()
+		total := u.totalMB()
 		u.mu.Lock()
-		u.most, u.procs = max(u.most, total), max(u.procs, len(u.all)+1)
+		u.peakMB, u.peakProcesses = max(u.peakMB, total), max(u.peakProcesses, len(u.processes)+1)
 		u.mu.Unlock()
-		if total > u.bound {
-			u.spoil("memory: %.0f MB of all processes, %.0f are the bound", total, u.bound)
+		if total > u.limitMB {
+			u.voidRun("memory: %.0f MB of all processes, %.0f are the bound", total, u.limitMB)
 		}
 		u.sleep(500 * time.Millisecond)
 	}
 }
 
 // total is the resident memory of all processes of the run, this one's too.
-func (u *run) total() (mb float64) {
+func (u *run) totalMB() (mb float64) {
 	for _, pid := range append(u.pids(), os.Getpid()) {
 		if p, err := procfs.NewProc(pid); err == nil {
 			if s, err := p.Stat(); err == nil {
@@ -198,14 +198,14 @@
 func (u *run) pids() (all []int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, p := range u.all {
+	for _, p := range u.processes {
 		all = append(all, p.cmd.Process.Pid)
 	}
 	return all
 }
 
-func (u *run) sleep(span time.Duration) bool {
-	t := time.NewTimer(span)
+func (u *run) sleep(duration time.Duration) bool {
+	t := time.NewTimer(duration)
 	defer t.Stop()
 	select {
 	case <-u.ctx.Done():
@@ -223,14 +223,14 @@
 	p := &process{role: role, cmd: cmd, ended: make(chan struct{})}
 	var err error
 	if role == "hollow" {
-		if p.in, err = cmd.StdinPipe(); err != nil {
+		if p.stdin, err = cmd.StdinPipe(); err != nil {
 			return nil, fmt.Errorf("scale: %w", err)
 		}
 		out, err := cmd.StdoutPipe()
 		if err != nil {
 			return nil, fmt.Errorf("scale: %w", err)
 		}
-		p.out = bufio.NewReaderSize(out, 1<<20)
+		p.stdout = bufio.NewReaderSize(out, 1<<20)
 	}
 	log, err := os.Create(filepath.Join(u.dir, fmt.Sprintf("%s-%d.log", role, time.Now().UnixNano())))
 	if err != nil {
@@ -242,53 +242,53 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	u.mu.Lock()
-	u.all = append(u.all, p)
+	u.processes = append(u.processes, p)
 	u.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		close(p.ended)
 		u.mu.Lock()
-		meant := !slices.Contains(u.all, p)
+		expected := !slices.Contains(u.processes, p)
 		u.mu.Unlock()
-		if !meant {
+		if !expected {
 			text, _ := os.ReadFile(log.Name())
-			u.spoil("a %s process ended by itself: %v: %s", role, err, text[max(len(text)-400, 0):])
+			u.voidRun("a %s process ended by itself: %v: %s", role, err, text[max(len(text)-400, 0):])
 		}
 	}()
 	return p, nil
 }
 
 // end ends processes, by their ids.
-func (u *run) end(some []*process) {
+func (u *run) kill(processes []*process) {
 	u.mu.Lock()
-	u.all = slices.DeleteFunc(u.all, func(p *process) bool { return slices.Contains(some, p) })
+	u.processes = slices.DeleteFunc(u.processes, func(p *process) bool { return slices.Contains(processes, p) })
 	u.mu.Unlock()
-	for _, p := range some {
+	for _, p := range processes {
 		_ = p.cmd.Process.Kill() // one that has ended needs none
 	}
-	for _, p := range some {
+	for _, p := range processes {
 		<-p.ended
 	}
 }
 
-func (u *run) endAll() {
+func (u *run) killAll() {
 	u.mu.Lock()
-	all := slices.Clone(u.all)
+	all := slices.Clone(u.processes)
 	u.mu.Unlock()
-	u.end(all)
+	u.kill(all)
 }
 
 // hollow starts a hollow process and waits until it is what it is to be.
-func (u *run) hollow(t Task, count int) (*process, error) {
-	p, err := u.launch("hollow", []string{"GOMAXPROCS=2"}, u.o.StubCommand...)
+func (u *run) startStub(t Task, count int) (*process, error) {
+	p, err := u.launch("hollow", []string{"GOMAXPROCS=2"}, u.options.StubCommand...)
 	if err != nil {
 		return nil, err
 	}
-	p.count = count
-	if err := json.NewEncoder(p.in).Encode(t); err != nil {
+	p.stubs = count
+	if err := json.NewEncoder(p.stdin).Encode(t); err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
-	line, err := p.out.ReadString('\n')
+	line, err := p.stdout.ReadString('\n')
 	if err != nil || strings.TrimSpace(line) != "ready" {
 		return nil, fmt.Errorf("%w: a hollow process did not come up: %q %v", ErrVoid, line, err)
 	}
@@ -296,15 +296,15 @@
 }
 
 // reports asks hollow processes what they saw since the last time, all at once.
-func (u *run) reports(some []*process) (all []Report, err error) {
-	all = make([]Report, len(some))
-	errs := make([]error, len(some))
+func (u *run) collectReports(stubs []*process) (all []Report, err error) {
+	all = make([]Report, len(stubs))
+	errs := make([]error, len(stubs))
 	var wait sync.WaitGroup
-	for k, p := range some {
+	for k, p := range stubs {
 		wait.Go(func() {
-			if _, errs[k] = io.WriteString(p.in, "report\n"); errs[k] == nil {
+			if _, errs[k] = io.WriteString(p.stdin, "report\n"); errs[k] == nil {
 				var line []byte
-				if line, errs[k] = p.out.ReadBytes('\n'); errs[k] == nil {
+				if line, errs[k] = p.stdout.ReadBytes('\n'); errs[k] == nil {
 					errs[k] = json.Unmarshal(line, &all[k])
 				}
 			}
@@ -315,13 +315,13 @@
 }
 
 // taken is what a process had used at an instant.
-type taken struct {
+type processSample struct {
 	cpu float64
 	mb  float64
 	io  procfs.ProcIO
 }
 
-func take(pid int) (t taken, err error) {
+func readSample(pid int) (t processSample, err error) {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
 		return t, err
@@ -336,7 +336,7 @@
 }
 
 // busy is the processor time that the machine has spent, and had.
-func busy() (spent, had float64) {
+func machineTime() (busy, total float64) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		return 0, 0
@@ -346,45 +346,45 @@
 		return 0, 0
 	}
 	c := s.CPUTotal
-	spent = c.User + c.Nice + c.System + c.IRQ + c.SoftIRQ + c.Steal
-	return spent, spent + c.Idle + c.Iowait
+	busy = c.User + c.Nice + c.System + c.IRQ + c.SoftIRQ + c.Steal
+	return busy, busy + c.Idle + c.Iowait
 }
 
 // measure reads what processes cost over a span, by role; during is what goes on meanwhile.
-func (u *run) measure(pt *Point, role func(*process) string, hollows []*process, during func(ctx context.Context)) error {
-	if _, err := u.reports(hollows); err != nil {
+func (u *run) measure(pt *Point, role func(*process) string, stubs []*process, load func(ctx context.Context)) error {
+	if _, err := u.collectReports(stubs); err != nil {
 		return fmt.Errorf("%w: %w", ErrVoid, err)
 	}
 	u.mu.Lock()
-	all := slices.Clone(u.all)
+	all := slices.Clone(u.processes)
 	u.mu.Unlock()
-	before := map[*process]taken{}
+	before := map[*process]processSample{}
 	for _, p := range all {
-		t, err := take(p.cmd.Process.Pid)
+		t, err := readSample(p.cmd.Process.Pid)
 		if err != nil {
 			return fmt.Errorf("%w: %w", ErrVoid, err)
 		}
 		before[p] = t
 	}
-	spent, had := busy()
+	busy, total := machineTime()
 	began := time.Now()
 	ctx, stop := context.WithCancel(u.ctx)
 	var wait sync.WaitGroup
-	if during != nil {
-		wait.Go(func() { during(ctx) })
+	if load != nil {
+		wait.Go(func() { load(ctx) })
 	}
-	whole := u.sleep(time.Duration(u.p.MeasureTime * 1e6))
+	completed := u.sleep(time.Duration(u.plan.MeasureTime * 1e6))
 	stop()
 	wait.Wait()
-	if !whole {
+	if !completed {
 		return u.ctx.Err()
 	}
 	pt.Seconds = time.Since(began).Seconds()
-	spent2, had2 := busy()
-	pt.MachineBusy = (spent2 - spent) / max(had2-had, 1e-9)
+	busy2, total2 := machineTime()
+	pt.MachineBusy = (busy2 - busy) / max(total2-total, 1e-9)
 	pt.Roles = map[string]Usage{}
 	for _, p := range all {
-		t, err := take(p.cmd.Process.Pid)
+		t, err := readSample(p.cmd.Process.Pid)
 		if err != nil {
 			return fmt.Errorf("%w: %w", ErrVoid, err)
 		}
@@ -402,8 +402,8 @@
 		n := float64(x.Processes)
 		pt.Roles[name] = Usage{x.Processes, x.CPU / n, x.ResidentMB / n, x.Read / n, x.Written / n, x.Reads / n, x.Writes / n}
 	}
-	pt.TotalMB = u.total()
-	reports, err := u.reports(hollows)
+	pt.TotalMB = u.totalMB()
+	reports, err := u.collectReports(stubs)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrVoid, err)
 	}
@@ -413,8 +413,8 @@
 		pt.LateP99 = max(pt.LateP99, r.LateP99)
 		delays = append(delays, r.Delays...)
 		pt.Unmeasured, pt.Behind = pt.Unmeasured+r.Unknown, pt.Behind+r.Behind
-		if hollows[k].role == "hollow" && r.Calls > 0 {
-			count += hollows[k].count
+		if stubs[k].role == "hollow" && r.Calls > 0 {
+			count += stubs[k].stubs
 			pt.StubLink.Calls += float64(r.Calls) / pt.Seconds
 			pt.StubLink.Read += float64(r.Read) / pt.Seconds
 			pt.StubLink.Written += float64(r.Written) / pt.Seconds
@@ -426,8 +426,8 @@
 	}
 	slices.Sort(delays)
 	pt.InForceP50, pt.InForceP99, pt.InForceMax = quantile(delays, 0.5)/1000, quantile(delays, 0.99)/1000, quantile(delays, 1)/1000
-	if pt.LateP99 > float64(u.p.MaxLateness) {
-		u.spoil("a hollow process was late by %.0f ms at p99, %.0f are allowed, at %s %d", pt.LateP99, float64(u.p.MaxLateness), pt.Series, pt.Size)
+	if pt.LateP99 > float64(u.plan.MaxLateness) {
+		u.voidRun("a hollow process was late by %.0f ms at p99, %.0f are allowed, at %s %d", pt.LateP99, float64(u.plan.MaxLateness), pt.Series, pt.Size)
 		return ErrVoid
 	}
 	return nil
@@ -436,11 +436,11 @@
 // dispatcher is a real one's place.
 type dispatcher struct {
 	name, listen, file string
-	p                  *process
+	process            *process
 }
 
 // base is the deployment that all series have in common.
-const base = `
+const baseExperiment = `
 length = "1s"
 [dispatchers]
 grain = "5ms"
@@ -459,21 +459,21 @@
 `
 
 // configure writes a real dispatcher's configuration.
-func (u *run) configure(name, discovery string, siblings, number, teams, sockets int) (*dispatcher, error) {
-	x, err := fleetmodel.ParseExperiment("base", []byte(base))
+func (u *run) configure(name, discovery string, peers, index, teams, sockets int) (*dispatcher, error) {
+	x, err := fleetmodel.ParseExperiment("base", []byte(baseExperiment))
 	if err != nil {
 		panic(err) // the text is our own
 	}
-	x.Dispatchers.Count = siblings
+	x.Dispatchers.Count = peers
 	for k := range teams {
 		x.Tenants = append(x.Tenants, fleetmodel.Tenant{Name: fmt.Sprintf("team%03d", k), Share: 1, Allowance: 1e5})
 	}
-	listen, err := free("127.0.5.1")
+	listen, err := freeAddress("127.0.5.1")
 	if err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(map[string]any{"name": name, "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%016x", number+1),
-		"settings": x.Settings(number), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets}})
+	text, err := json.Marshal(map[string]any{"name": name, "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%016x", index+1),
+		"settings": x.Settings(index), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets}})
 	if err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
@@ -485,9 +485,9 @@
 }
 
 // free is an address of a host that nobody listens at, of ports that the system gives to nobody by itself.
-func free(host string) (string, error) {
+func freeAddress(host string) (string, error) {
 	for range 1000 {
-		at := fmt.Sprintf("%s:%d", host, 20000+(os.Getpid()*64+int(ports.Add(1)))%12000)
+		at := fmt.Sprintf("%s:%d", host, 20000+(os.Getpid()*64+int(portCounter.Add(1)))%12000)
 		l, err := net.Listen("tcp4", at)
 		if err == nil {
 			l.Close()
@@ -497,14 +497,14 @@
 	return "", fmt.Errorf("scale: no port is free at %s", host)
 }
 
-func (u *run) start(d *dispatcher, role, program, fleetFile string) (err error) {
-	d.p, err = u.launch(role, []string{"ROUTER_CONFIG=" + d.file, "ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_OPS=", "ROUTER_DISCOVERY=", "TMPDIR=", "WELDMAST_FILE=" + fleetFile},
+func (u *run) startDispatcher(d *dispatcher, role, program, fleetFile string) (err error) {
+	d.process, err = u.launch(role, []string{"ROUTER_CONFIG=" + d.file, "ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_OPS=", "ROUTER_DISCOVERY=", "TMPDIR=", "WELDMAST_FILE=" + fleetFile},
 		program, "serve")
 	return err
 }
 
 // ready waits until dispatchers say so.
-func (u *run) ready(all []*dispatcher) error {
+func (u *run) waitReady(all []*dispatcher) error {
 	for _, d := range all {
 		for began := time.Now(); ; {
 			status, _, err := fasthttp.GetTimeout(nil, "http://"+d.listen+"/ready", time.Second)
@@ -524,12 +524,12 @@
 
 // agent is discovery's stand-in: one list, which never changes, told to whoever asks; the last part of its port tells for
 // which dispatcher the addresses are.
-type agent struct {
-	l    net.Listener
-	list []byte
+type discoveryAgent struct {
+	listener net.Listener
+	list     []byte
 }
 
-func newAgent(dispatcher, workers, port int) (*agent, error) {
+func newDiscoveryAgent(dispatcher, workers, port int) (*discoveryAgent, error) {
 	var b strings.Builder
 	b.WriteString(`{"revision":1,"complete":true,"members":[`)
 	for w := range workers {
@@ -537,14 +537,14 @@
 			b.WriteByte(',')
 		}
 		fmt.Fprintf(&b, `{"id":%q,"host_port":%q,"locality":"a","flavor":"one","cell":0,"phase":"in_service","size":1.0,"up_since_ms":0}`,
-			workerName(w), doorAt(dispatcher, w, port))
+			workerName(w), workerAddress(dispatcher, w, port))
 	}
 	b.WriteString("]}\n")
 	l, err := net.Listen("tcp4", "127.0.6.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
-	a := &agent{l: l, list: []byte(b.String())}
+	a := &discoveryAgent{listener: l, list: []byte(b.String())}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -558,7 +558,7 @@
 }
 
 // serve tells the list, and that it is still there.
-func (a *agent) serve(c net.Conn) {
+func (a *discoveryAgent) serve(c net.Conn) {
 	defer c.Close()
 	if _, err := c.Read(make([]byte, 4096)); err != nil {
 		return
@@ -605,15 +605,15 @@
 }
 
 // doors starts the hollow workers of dispatchers.
-func (u *run) doors(to []*dispatcher, workers, port int) (all []*process, err error) {
+func (u *run) startWorkers(to []*dispatcher, workers, port int) (all []*process, err error) {
 	t := WorkersTask{Port: port, Run: 20}
 	for _, d := range to {
 		t.Dispatchers = append(t.Dispatchers, d.listen)
 	}
-	for each := max(doorsEach/len(to), 1); t.First < workers; t.First += t.Count {
+	for each := max(maxAddrs/len(to), 1); t.First < workers; t.First += t.Count {
 		t.Count = min(each, workers-t.First)
 		one := t
-		p, err := u.hollow(Task{Workers: &one}, t.Count)
+		p, err := u.startStub(Task{Workers: &one}, t.Count)
 		if err != nil {
 			return all, err
 		}
@@ -625,60 +625,60 @@
 const fleetName = "scale"
 
 // members is the series over members of a fleet and versions a second.
-func (u *run) members(res *Result) error {
-	p := u.p
+func (u *run) measureMembers(res *Result) error {
+	p := u.plan
 	if len(p.Members) == 0 {
 		return nil
 	}
-	port, err := freePort()
+	port, err := freeWorkerPort()
 	if err != nil {
 		return err
 	}
 	var voters []fleet.Voter
-	var seats []string
+	var voterLines []string
 	for v := range p.Voters {
-		addr, err := free("127.0.3.1")
+		addr, err := freeAddress("127.0.3.1")
 		if err != nil {
 			return err
 		}
 		voters = append(voters, fleet.Voter{Name: fmt.Sprintf("v%d", v), Address: addr})
-		seats = append(seats, fmt.Sprintf("%q", voters[v].Name+" "+addr))
+		voterLines = append(voterLines, fmt.Sprintf("%q", voters[v].Name+" "+addr))
 	}
 	file := filepath.Join(u.dir, "fleet.toml")
-	text := fmt.Sprintf("[fleet]\nname = %q\nvoters = [%s]\nfolder = %q\nbeat = %g\nlease = %g\n", fleetName, strings.Join(seats, ", "), u.dir, float64(p.Heartbeat), float64(p.Lease))
+	text := fmt.Sprintf("[fleet]\nname = %q\nvoters = [%s]\nfolder = %q\nbeat = %g\nlease = %g\n", fleetName, strings.Join(voterLines, ", "), u.dir, float64(p.Heartbeat), float64(p.Lease))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return fmt.Errorf("scale: %w", err)
 	}
-	var busy, all []*dispatcher
+	var loaded, all []*dispatcher
 	for k := range p.Voters + p.Dispatchers + idleFollowers {
-		name, role, program, sockets := fmt.Sprintf("d%d", k-p.Voters), "dispatcher", u.o.DispatcherProgram, 1024
+		name, role, program, sockets := fmt.Sprintf("d%d", k-p.Voters), "dispatcher", u.options.DispatcherProgram, 1024
 		switch {
 		case k < p.Voters:
-			name, role, program, sockets = voters[k].Name, "voter", u.o.VoterProgram, 16384
+			name, role, program, sockets = voters[k].Name, "voter", u.options.VoterProgram, 16384
 		case k >= p.Voters+p.Dispatchers:
 			role = "follower"
 		}
-		a, err := newAgent(max(k-p.Voters, 0), p.FleetWorkers, port)
+		a, err := newDiscoveryAgent(max(k-p.Voters, 0), p.FleetWorkers, port)
 		if err != nil {
 			return err
 		}
-		defer a.l.Close()
-		d, err := u.configure(name, a.l.Addr().String(), p.Dispatchers, max(min(k-p.Voters, p.Dispatchers-1), 0), 0, sockets)
+		defer a.listener.Close()
+		d, err := u.configure(name, a.listener.Addr().String(), p.Dispatchers, max(min(k-p.Voters, p.Dispatchers-1), 0), 0, sockets)
 		if err != nil {
 			return err
 		}
 		if role == "dispatcher" {
-			busy = append(busy, d)
+			loaded = append(loaded, d)
 		}
 		all = append(all, d)
-		if err := u.start(d, role, program, file); err != nil {
+		if err := u.startDispatcher(d, role, program, file); err != nil {
 			return err
 		}
 	}
-	if err := u.ready(all); err != nil {
+	if err := u.waitReady(all); err != nil {
 		return err
 	}
-	if _, err := u.doors(busy, p.FleetWorkers, port); err != nil {
+	if _, err := u.startWorkers(loaded, p.FleetWorkers, port); err != nil {
 		return err
 	}
 	client := fleetrpc.NewClient(fleetName, nil)
@@ -686,29 +686,29 @@
 	ctx, stop := context.WithCancel(u.ctx)
 	var jobs, served atomic.Int64
 	var wait sync.WaitGroup
-	wait.Go(func() { u.traffic(ctx, busy, p.JobRate, 0, &jobs, &served) })
+	wait.Go(func() { u.traffic(ctx, loaded, p.JobRate, 0, &jobs, &served) })
 	defer func() { stop(); wait.Wait() }()
-	var hollows []*process
+	var stubs []*process
 	count, request := 0, 0
 	for _, size := range p.Members {
 		for want := size - len(all); count < want; {
 			t := MembersTask{Fleet: fleetName, Voters: voters, First: count, Count: min(p.StubsPerProcess, want-count),
 				Apart:   1000 / p.StubsPerSecond,
 				Figures: fleet.Timing{Beat: float64(p.Heartbeat), Lease: float64(p.Lease), Drift: 0.01}}
-			h, err := u.hollow(Task{Members: &t}, t.Count)
+			h, err := u.startStub(Task{Members: &t}, t.Count)
 			if err != nil {
 				return err
 			}
-			hollows = append(hollows, h)
+			stubs = append(stubs, h)
 			count += t.Count
 		}
-		have, others, err := u.current(client, voters, size)
+		current, others, err := u.waitCurrent(client, voters, size)
 		if err != nil {
 			return err
 		}
-		if have < size { // a finding, no fault of the run
-			res.LimitReached = fmt.Sprintf("members %d: %d of them are current after %v; the others: %s", size, have, currentWithin, others)
-			u.tell("%s", res.LimitReached)
+		if current < size { // a finding, no fault of the run
+			res.LimitReached = fmt.Sprintf("members %d: %d of them are current after %v; the others: %s", size, current, currentTimeout, others)
+			u.progress("%s", res.LimitReached)
 			break
 		}
 		for k, rate := range p.VersionRates {
@@ -718,19 +718,19 @@
 			if !u.sleep(time.Duration(p.SettleTime * 1e6)) {
 				return u.ctx.Err()
 			}
-			leader := u.leader(client, voters)
+			leader := u.leaderName(client, voters)
 			pt := Point{Series: "members", Size: size, VersionRate: rate, JobRate: p.JobRate}
 			jobs.Store(0)
 			served.Store(0)
 			var published atomic.Int64
 			err := u.measure(&pt, func(x *process) string {
 				for k, d := range all {
-					if d.p == x && k < p.Voters && voters[k].Name == leader {
+					if d.process == x && k < p.Voters && voters[k].Name == leader {
 						return "leader"
 					}
 				}
 				return x.role
-			}, hollows, func(ctx context.Context) {
+			}, stubs, func(ctx context.Context) {
 				if rate == 0 {
 					return
 				}
@@ -760,18 +760,18 @@
 			}
 			pt.Published, pt.Jobs, pt.Served = int(published.Load()), int(jobs.Load()), int(served.Load())
 			res.Points = append(res.Points, pt)
-			u.tell("members %d, %g versions/s: leader %.1f%% of a core, %.1f MB; member reads %.0f, writes %.0f bytes/s; in force p50 %.0f, p99 %.0f, all %.0f ms; machine %.0f%% busy, %.0f MB",
+			u.progress("members %d, %g versions/s: leader %.1f%% of a core, %.1f MB; member reads %.0f, writes %.0f bytes/s; in force p50 %.0f, p99 %.0f, all %.0f ms; machine %.0f%% busy, %.0f MB",
 				size, rate, 100*pt.Roles["leader"].CPU, pt.Roles["leader"].ResidentMB, pt.StubLink.Read, pt.StubLink.Written, pt.InForceP50, pt.InForceP99, pt.InForceMax, 100*pt.MachineBusy, pt.TotalMB)
 		}
 	}
 	stop()
 	wait.Wait()
-	u.endAll()
+	u.killAll()
 	return nil
 }
 
 // status asks voters how the fleet stands.
-func (u *run) status(client *fleetrpc.Client, voters []fleet.Voter) *fleetrpc.FleetStatus {
+func (u *run) fleetStatus(client *fleetrpc.Client, voters []fleet.Voter) *fleetrpc.FleetStatus {
 	for _, v := range voters {
 		if a, err := client.Admin(v.Address, fleetrpc.AdminRequest{}, 4*time.Second); err == nil && a.Status != nil {
 			return a.Status
@@ -780,46 +780,46 @@
 	return nil
 }
 
-func (u *run) leader(client *fleetrpc.Client, voters []fleet.Voter) string {
-	if s := u.status(client, voters); s != nil {
+func (u *run) leaderName(client *fleetrpc.Client, voters []fleet.Voter) string {
+	if s := u.fleetStatus(client, voters); s != nil {
 		return s.Leader
 	}
 	return ""
 }
 
 // currentWithin is how long a fleet has until all stand as they should.
-const currentWithin = 45 * time.Second
+const currentTimeout = 45 * time.Second
 
 // current waits until so many members stand as they should, and tells how many do, and how the others stand.
-func (u *run) current(client *fleetrpc.Client, voters []fleet.Voter, members int) (have int, others string, err error) {
-	for began := time.Now(); time.Since(began) < currentWithin; {
-		have = 0
-		how := map[string]int{}
-		if s := u.status(client, voters); s != nil {
+func (u *run) waitCurrent(client *fleetrpc.Client, voters []fleet.Voter, members int) (current int, others string, err error) {
+	for began := time.Now(); time.Since(began) < currentTimeout; {
+		current = 0
+		states := map[string]int{}
+		if s := u.fleetStatus(client, voters); s != nil {
 			for _, m := range s.Members {
 				if m.State == fleet.MemberCurrent {
-					have++
+					current++
 				} else {
-					how[fmt.Sprintf("%s, %s", m.State, m.Cause)]++
+					states[fmt.Sprintf("%s, %s", m.State, m.Cause)]++
 				}
 			}
 		}
-		if have >= members {
-			return have, "", nil
+		if current >= members {
+			return current, "", nil
 		}
-		others = fmt.Sprintf("%v", how)
+		others = fmt.Sprintf("%v", states)
 		if !u.sleep(200 * time.Millisecond) {
-			return have, others, u.ctx.Err()
+			return current, others, u.ctx.Err()
 		}
 	}
-	return have, others, nil
+	return current, others, nil
 }
 
-var ports atomic.Int32
+var portCounter atomic.Int32
 
 // freePort is one that is free at addresses of workers.
-func freePort() (int, error) {
-	at, err := free("127.10.0.1")
+func freeWorkerPort() (int, error) {
+	at, err := freeAddress("127.10.0.1")
 	if err != nil {
 		return 0, err
 	}
@@ -828,35 +828,35 @@
 }
 
 // alone measures one real dispatcher outside a fleet, idle and then under traffic.
-func (u *run) alone(res *Result, series string, size, workers, teams int) error {
-	p := u.p
-	port, err := freePort()
+func (u *run) measureDispatcher(res *Result, series string, size, workers, teams int) error {
+	p := u.plan
+	port, err := freeWorkerPort()
 	if err != nil {
 		return err
 	}
-	a, err := newAgent(0, workers, port)
+	a, err := newDiscoveryAgent(0, workers, port)
 	if err != nil {
 		return err
 	}
-	defer a.l.Close()
-	d, err := u.configure("alone", a.l.Addr().String(), 1, 0, teams, 1024)
+	defer a.listener.Close()
+	d, err := u.configure("alone", a.listener.Addr().String(), 1, 0, teams, 1024)
 	if err != nil {
 		return err
 	}
 	all := []*dispatcher{d}
-	if _, err := u.doors(all, workers, port); err != nil {
+	if _, err := u.startWorkers(all, workers, port); err != nil {
 		return err
 	}
 	began := time.Now()
-	if err := u.start(d, "dispatcher", u.o.DispatcherProgram, ""); err != nil {
+	if err := u.startDispatcher(d, "dispatcher", u.options.DispatcherProgram, ""); err != nil {
 		return err
 	}
-	if err := u.ready(all); err != nil {
+	if err := u.waitReady(all); err != nil {
 		return err
 	}
-	up := time.Since(began)
+	startTime := time.Since(began)
 	if p.Watchers > 0 {
-		if _, err := u.hollow(Task{Watchers: &WatchersTask{Discovery: a.l.Addr().String(), Count: p.Watchers}}, p.Watchers); err != nil {
+		if _, err := u.startStub(Task{Watchers: &WatchersTask{Discovery: a.listener.Addr().String(), Count: p.Watchers}}, p.Watchers); err != nil {
 			return err
 		}
 	}
@@ -866,15 +866,15 @@
 		}
 		var jobs, served atomic.Int64
 		pt := Point{Series: series, Size: size, JobRate: rate}
-		var hollows []*process
+		var stubs []*process
 		u.mu.Lock()
-		for _, x := range u.all {
+		for _, x := range u.processes {
 			if x.role == "hollow" {
-				hollows = append(hollows, x)
+				stubs = append(stubs, x)
 			}
 		}
 		u.mu.Unlock()
-		if err := u.measure(&pt, func(x *process) string { return x.role }, hollows, func(ctx context.Context) {
+		if err := u.measure(&pt, func(x *process) string { return x.role }, stubs, func(ctx context.Context) {
 			u.traffic(ctx, all, rate, teams, &jobs, &served)
 		}); err != nil {
 			return err
@@ -882,17 +882,17 @@
 		pt.Jobs, pt.Served = int(jobs.Load()), int(served.Load())
 		res.Points = append(res.Points, pt)
 		x := pt.Roles["dispatcher"]
-		u.tell("%s %d, %g jobs/s: dispatcher %.2f%% of a core, %.1f MB, ready after %.2f s; %d of %d served; machine %.0f%% busy, %.0f MB", series, size, rate,
-			100*x.CPU, x.ResidentMB, up.Seconds(), pt.Served, pt.Jobs, 100*pt.MachineBusy, pt.TotalMB)
+		u.progress("%s %d, %g jobs/s: dispatcher %.2f%% of a core, %.1f MB, ready after %.2f s; %d of %d served; machine %.0f%% busy, %.0f MB", series, size, rate,
+			100*x.CPU, x.ResidentMB, startTime.Seconds(), pt.Served, pt.Jobs, 100*pt.MachineBusy, pt.TotalMB)
 	}
-	u.endAll()
+	u.killAll()
 	return nil
 }
 
 // workers is the series over workers known to a dispatcher.
-func (u *run) workers(res *Result) error {
-	for _, n := range u.p.Workers {
-		if err := u.alone(res, "workers", n, n, 0); err != nil {
+func (u *run) measureWorkers(res *Result) error {
+	for _, n := range u.plan.Workers {
+		if err := u.measureDispatcher(res, "workers", n, n, 0); err != nil {
 			return err
 		}
 	}
@@ -900,9 +900,9 @@
 }
 
 // teams is the series over tenants in the settings.
-func (u *run) teams(res *Result) error {
-	for _, n := range u.p.Teams {
-		if err := u.alone(res, "teams", n, 200, n); err != nil {
+func (u *run) measureTeams(res *Result) error {
+	for _, n := range u.plan.Teams {
+		if err := u.measureDispatcher(res, "teams", n, 200, n); err != nil {
 			return err
 		}
 	}
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-var program, voter string
+var dispatcherProgram, voterProgram string
 
 // TestMain builds the programs that runs measure, and is a hollow process where a run starts it as one.
 func TestMain(m *testing.M) {
@@ -29,7 +29,7 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	program, voter = filepath.Join(dir, "weldmast"), filepath.Join(dir, "weldmast-voter")
+	dispatcherProgram, voterProgram = filepath.Join(dir, "weldmast"), filepath.Join(dir, "weldmast-voter")
 	if out, err := exec.Command("go", "build", "-buildvcs=false", "-o", dir, "../../cmd/weldmast", "../../cmd/weldmast-voter").CombinedOutput(); err != nil {
 		log.Fatalf("build: %v\n%s", err, out)
 	}
@@ -39,11 +39,11 @@
 	os.Exit(code)
 }
 
-func options(tell func(string)) Options {
-	return Options{DispatcherProgram: program, VoterProgram: voter, StubCommand: []string{os.Args[0], "hollow"}, Progress: tell}
+func testOptions(tell func(string)) Options {
+	return Options{DispatcherProgram: dispatcherProgram, VoterProgram: voterProgram, StubCommand: []string{os.Args[0], "hollow"}, Progress: tell}
 }
 
-const small = `
+const smallPlan = `
 about = "small"
 voters = 3
 dispatchers = 2
@@ -64,8 +64,8 @@
 
 // TestRounds: each round is timed, and takes longer with something to do than with nothing, with a hundred jobs than with one.
 // Closer figures are not held beside each other here: times waver.
-func TestRounds(t *testing.T) {
-	r, err := timeRounds(2 * batch)
+func TestTimeRounds(t *testing.T) {
+	r, err := timeRounds(2 * batchSize)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 
 // TestBeside: slopes of two runs are paired by name; one that lies outside the other's interval is told, and whether the two
 // intervals still meet.
-func TestBeside(t *testing.T) {
+func TestPairSlopes(t *testing.T) {
 	run := func(slope, off float64) *Result {
 		r := &Result{}
 		for k, n := range []int{200, 1000, 4000, 18000} {
@@ -96,18 +96,18 @@
 	}
 }
 
-func plan(t *testing.T, more ...string) *Plan {
+func parsePlan(t *testing.T, overrides ...string) *Plan {
 	t.Helper()
-	text := small
-	for _, m := range more {
+	text := smallPlan
+	for _, m := range overrides {
 		key, _, _ := strings.Cut(m, " ")
-		var kept []string
+		var lines []string
 		for _, line := range strings.Split(text, "\n") {
 			if !strings.HasPrefix(line, key+" ") {
-				kept = append(kept, line)
+				lines = append(lines, line)
 			}
 		}
-		text = strings.Join(kept, "\n") + m + "\n"
+		text = strings.Join(lines, "\n") + m + "\n"
 	}
 	p, err := ParsePlan("small.toml", []byte(text))
 	if err != nil {
@@ -117,11 +117,11 @@
 }
 
 // left are processes of a run that are still there.
-func left(t *testing.T) (all []string) {
+func leftProcesses(t *testing.T) (all []string) {
 	t.Helper()
 	out, _ := exec.Command("ps", "-o", "pid=,args=", "--ppid", fmt.Sprint(os.Getpid())).Output()
 	for _, line := range strings.Split(string(out), "\n") {
-		if strings.Contains(line, filepath.Dir(program)) || strings.Contains(line, "hollow") {
+		if strings.Contains(line, filepath.Dir(dispatcherProgram)) || strings.Contains(line, "hollow") {
 			all = append(all, line)
 		}
 	}
@@ -130,8 +130,8 @@
 
 // TestPlay: a small run has each point, with the roles that belong there; hollow members have each version in force, jobs are
 // served, and no process is left.
-func TestPlay(t *testing.T) {
-	r, err := Run(t.Context(), plan(t), options(nil))
+func TestRun(t *testing.T) {
+	r, err := Run(t.Context(), parsePlan(t), testOptions(nil))
 	if err != nil || r.Void != "" || r.LimitReached != "" {
 		t.Fatal(err, r)
 	}
@@ -164,29 +164,29 @@
 	if err := r.Plot(filepath.Join(t.TempDir(), "p.svg")); err != nil {
 		t.Error(err)
 	}
-	if all := left(t); len(all) > 0 {
+	if all := leftProcesses(t); len(all) > 0 {
 		t.Errorf("left: %q", all)
 	}
 }
 
 // TestStop: a run that is interrupted has what it measured until then; one whose hollow process dies, or that passes its bound,
 // is void and says so. None leaves a process.
-func TestStop(t *testing.T) {
+func TestInterruptedAndVoidRuns(t *testing.T) {
 	for name, change := range map[string]struct {
 		more []string
 		do   func(stop func())
 		void string
 	}{
 		"interrupted":          {nil, func(stop func()) { stop() }, ""},
-		"a hollow one dies":    {nil, func(func()) { kill(t) }, "hollow process ended by itself"},
+		"a hollow one dies":    {nil, func(func()) { killStub(t) }, "hollow process ended by itself"},
 		"over its memory":      {[]string{"memory = 0.003", "real_mb = 0", "member_kb = 0", "worker_kb = 0"}, nil, "are the bound"},
-		"a hollow one is late": {[]string{`late = 1`, `members = [8, 12, 16]`}, func(func()) { freeze(t) }, "was late by"},
+		"a hollow one is late": {[]string{`late = 1`, `members = [8, 12, 16]`}, func(func()) { pauseStub(t) }, "was late by"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			done := 0
-			r, err := Run(ctx, plan(t, append(change.more, `workers = []`, `teams = []`)...), options(func(string) {
+			r, err := Run(ctx, parsePlan(t, append(change.more, `workers = []`, `teams = []`)...), testOptions(func(string) {
 				if done++; done == 2 && change.do != nil {
 					change.do(stop)
 				}
@@ -200,7 +200,7 @@
 			if change.void == "" && (!r.Interrupted || len(r.Points) != 2) {
 				t.Errorf("interrupted %v, %d points", r.Interrupted, len(r.Points))
 			}
-			if all := left(t); len(all) > 0 {
+			if all := leftProcesses(t); len(all) > 0 {
 				t.Errorf("left: %q", all)
 			}
 		})
@@ -208,8 +208,8 @@
 }
 
 // hollows are the ids of hollow processes.
-func hollows(t *testing.T) (all []int) {
-	for _, line := range left(t) {
+func stubPIDs(t *testing.T) (all []int) {
+	for _, line := range leftProcesses(t) {
 		var pid int
 		if strings.Contains(line, "hollow") {
 			fmt.Sscan(line, &pid)
@@ -219,20 +219,20 @@
 	return all
 }
 
-func kill(t *testing.T) {
-	_ = syscall.Kill(hollows(t)[0], syscall.SIGKILL)
+func killStub(t *testing.T) {
+	_ = syscall.Kill(stubPIDs(t)[0], syscall.SIGKILL)
 	time.Sleep(100 * time.Millisecond)
 }
 
 // freeze has a hollow process stand still for longer than it may be late.
-func freeze(t *testing.T) {
-	pid := hollows(t)[0]
+func pauseStub(t *testing.T) {
+	pid := stubPIDs(t)[0]
 	_ = syscall.Kill(pid, syscall.SIGSTOP)
 	time.AfterFunc(700*time.Millisecond, func() { _ = syscall.Kill(pid, syscall.SIGCONT) })
 }
 
 // TestRead: all faults of a plan at once, each with its line and key.
-func TestRead(t *testing.T) {
+func TestParsePlan(t *testing.T) {
 	_, err := ParsePlan("p.toml", []byte("voters = 2\nmembers = [3, 3]\nversions = [-1]\nprocesses = 2\nmeasur = 3\nlate = \"x\"\n"))
 	want := []string{"p.toml:3: versions.0: -1 is below 0", "p.toml:5: measur: is not known", "p.toml:6: late: \"x\" is no time"}
 	for _, w := range want {
@@ -246,17 +246,17 @@
 			t.Errorf("no %q in\n%v", w, err)
 		}
 	}
-	p := plan(t, "member_kb = 1000000000")
+	p := parsePlan(t, "member_kb = 1000000000")
 	if _, err := p.CheckMemory(); err == nil || !strings.Contains(err.Error(), "memory: the plan needs") {
 		t.Errorf("a plan over the machine: %v", err)
 	}
-	if _, err := Run(t.Context(), p, options(nil)); err == nil || errors.Is(err, ErrVoid) {
+	if _, err := Run(t.Context(), p, testOptions(nil)); err == nil || errors.Is(err, ErrVoid) {
 		t.Errorf("played: %v", err)
 	}
 }
 
 // TestLine: the line, its interval and what the others foretell of the largest point, against figures worked out by hand.
-func TestLine(t *testing.T) {
+func TestFitLine(t *testing.T) {
 	f := FitLine([]float64{1, 2, 3, 4}, []float64{3, 5, 7, 10})
 	// Slope 2.3, at 0.5; residuals 0.2, -0.1, -0.4, 0.3: 0.3; spread 5; t(0.975, 2) 4.3027.
 	half := 4.302653 * math.Sqrt(0.3/2/5)
--- a/internal/scaletest/stub.go
+++ b/internal/scaletest/stub.go
@@ -74,7 +74,7 @@
 }
 
 // hollow is one process's part.
-type hollow interface {
+type stubRole interface {
 	report(*Report)
 	close()
 }
@@ -91,15 +91,15 @@
 	if err := json.Unmarshal(lines.Bytes(), &t); err != nil {
 		return fmt.Errorf("hollow: task: %w", err)
 	}
-	var h hollow
+	var h stubRole
 	var err error
 	switch {
 	case t.Members != nil:
-		h, err = newMembers(t.Members)
+		h, err = newStubMembers(t.Members)
 	case t.Workers != nil:
-		h, err = newWorkers(t.Workers)
+		h, err = newStubWorkers(t.Workers)
 	case t.Watchers != nil:
-		h, err = newWatchers(t.Watchers)
+		h, err = newStubWatchers(t.Watchers)
 	default:
 		err = errors.New("hollow: a task of no kind")
 	}
@@ -107,7 +107,7 @@
 		return err
 	}
 	defer h.close()
-	l := watchLate(ctx)
+	l := measureLateness(ctx)
 	fmt.Fprintln(out, "ready")
 	for lines.Scan() && ctx.Err() == nil {
 		var r Report
@@ -121,28 +121,28 @@
 }
 
 // lateness is by how much the process's timers are late.
-type lateness struct {
+type timerLateness struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
 }
 
-const lateEvery = 10 * time.Millisecond
+const latenessInterval = 10 * time.Millisecond
 
-func watchLate(ctx context.Context) *lateness {
-	l := &lateness{hist: hdrhistogram.New(1, 60e6, 3)}
+func measureLateness(ctx context.Context) *timerLateness {
+	l := &timerLateness{hist: hdrhistogram.New(1, 60e6, 3)}
 	go func() {
 		for ctx.Err() == nil {
 			from := time.Now()
-			time.Sleep(lateEvery)
+			time.Sleep(latenessInterval)
 			l.mu.Lock()
-			_ = l.hist.RecordValue(max(int64((time.Since(from)-lateEvery)/1000), 1)) // of a minute at most
+			_ = l.hist.RecordValue(max(int64((time.Since(from)-latenessInterval)/1000), 1)) // of a minute at most
 			l.mu.Unlock()
 		}
 	}()
 	return l
 }
 
-func (l *lateness) report(r *Report) {
+func (l *timerLateness) report(r *Report) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r.LateP99, r.LateMax = float64(l.hist.ValueAtQuantile(99))/1000, float64(l.hist.Max())/1000
@@ -150,40 +150,40 @@
 }
 
 // members are hollow members.
-type members struct {
+type stubMembers struct {
 	clock  fleetagent.Clock
 	server *fleetrpc.Server
-	all    []*fleetagent.Agent
-
-	mu        sync.Mutex
-	published map[uint64]float64 // by version, on the clock of members
-	have      []uint64
-	delays    []int
-	unknown   int
-	newest    uint64
-	base      [3]uint64
+	agents []*fleetagent.Agent
+
+	mu              sync.Mutex
+	publishTimes    map[uint64]float64 // by version, on the clock of members
+	applied         []uint64
+	delays          []int
+	unmeasured      int
+	newest          uint64
+	reportedTraffic [3]uint64
 }
 
 // nobody answers operators at a hollow member.
-type nobody struct{}
+type noAdmin struct{}
 
-func (nobody) HandleAdmin(context.Context, fleetrpc.AdminRequest) fleetrpc.AdminReply {
+func (noAdmin) HandleAdmin(context.Context, fleetrpc.AdminRequest) fleetrpc.AdminReply {
 	return fleetrpc.AdminReply{NoLeader: true}
 }
 
-func newMembers(t *MembersTask) (*members, error) {
-	h := &members{clock: fleetagent.NewClock(), published: map[uint64]float64{}, have: make([]uint64, t.Count)}
+func newStubMembers(t *MembersTask) (*stubMembers, error) {
+	h := &stubMembers{clock: fleetagent.NewClock(), publishTimes: map[uint64]float64{}, applied: make([]uint64, t.Count)}
 	l, err := net.Listen("tcp4", "127.0.4.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("hollow: %w", err)
 	}
-	h.server = fleetrpc.Serve(l, t.Fleet, fleetrpc.ReservedDescriptors, nil, nobody{})
+	h.server = fleetrpc.Serve(l, t.Fleet, fleetrpc.ReservedDescriptors, nil, noAdmin{})
 	for k := range t.Count {
 		name := fmt.Sprintf("h%05d", t.First+k)
-		h.all = append(h.all, fleetagent.Start(fleetagent.Options{Fleet: t.Fleet, Name: name, Address: l.Addr().String(), IsolationPolicy: fleet.ServeWhenIsolated, Voters: t.Voters,
+		h.agents = append(h.agents, fleetagent.Start(fleetagent.Options{Fleet: t.Fleet, Name: name, Address: l.Addr().String(), IsolationPolicy: fleet.ServeWhenIsolated, Voters: t.Voters,
 			Timing: t.Figures, ProgramVersion: "0.2.0", RunID: fmt.Sprintf("%s-%d", name, time.Now().UnixNano()), Seed: uint64(t.First + k + 1), Clock: h.clock,
 			OwnsAddress: func() bool { return true }, CheckVersion: func([]byte) error { return nil },
-			ApplyVersion: func(v fleet.Version, applied func(string)) error { h.bring(k, v, applied); return nil }},
+			ApplyVersion: func(v fleet.Version, applied func(string)) error { h.versionApplied(k, v, applied); return nil }},
 			fleetagent.NewLeaseGuard(h.clock, name)))
 		time.Sleep(time.Duration(t.Apart * 1e6))
 	}
@@ -191,63 +191,63 @@
 }
 
 // mark is where a version of the lab's says when it was published.
-const mark = `{"mark":"t`
+const publishMark = `{"mark":"t`
 
 // Text is a version's, of so many bytes, published at the time.
-func VersionText(at float64, bytes int) []byte {
-	text := mark + strconv.FormatInt(int64(at*1000), 10) + `"`
-	return []byte(text + strings.Repeat(" ", max(bytes-len(text)-1, 0)) + "}")
+func VersionText(publishTime float64, size int) []byte {
+	text := publishMark + strconv.FormatInt(int64(publishTime*1000), 10) + `"`
+	return []byte(text + strings.Repeat(" ", max(size-len(text)-1, 0)) + "}")
 }
 
 // publishedAt reads it back.
-func publishedAt(text []byte) (at float64, ok bool) {
-	rest, ok := strings.CutPrefix(string(text[:min(len(text), 64)]), mark)
+func parsePublishTime(text []byte) (at float64, ok bool) {
+	rest, ok := strings.CutPrefix(string(text[:min(len(text), 64)]), publishMark)
 	number, _, _ := strings.Cut(rest, `"`)
 	n, err := strconv.ParseInt(number, 10, 64)
 	return float64(n) / 1000, ok && err == nil
 }
 
 // bring notes that a version, and with it all before it, is in force at a member.
-func (h *members) bring(k int, v fleet.Version, applied func(string)) {
+func (h *stubMembers) versionApplied(k int, v fleet.Version, applied func(string)) {
 	now := h.clock.Now()
 	h.mu.Lock()
-	if at, ok := publishedAt(v.Text); ok {
-		h.published[v.Number] = at
+	if at, ok := parsePublishTime(v.Text); ok {
+		h.publishTimes[v.Number] = at
 	}
-	for n := h.have[k] + 1; n <= v.Number; n++ {
-		if at, ok := h.published[n]; ok {
+	for n := h.applied[k] + 1; n <= v.Number; n++ {
+		if at, ok := h.publishTimes[n]; ok {
 			h.delays = append(h.delays, int((now-at)*1000))
 		} else {
-			h.unknown++
+			h.unmeasured++
 		}
 	}
-	h.have[k] = v.Number
+	h.applied[k] = v.Number
 	h.newest = max(h.newest, v.Number)
 	h.mu.Unlock()
 	go applied("")
 }
 
-func (h *members) report(r *Report) {
+func (h *stubMembers) report(r *Report) {
 	now := [3]uint64{}
-	for _, m := range h.all {
+	for _, m := range h.agents {
 		calls, read, written := m.Traffic()
 		now[0], now[1], now[2] = now[0]+calls, now[1]+read, now[2]+written
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r.Delays, r.Unknown, h.delays, h.unknown = h.delays, h.unknown, nil, 0
-	for _, n := range h.have {
+	r.Delays, r.Unknown, h.delays, h.unmeasured = h.delays, h.unmeasured, nil, 0
+	for _, n := range h.applied {
 		if n < h.newest {
 			r.Behind++
 		}
 	}
-	r.Calls, r.Read, r.Written = now[0]-h.base[0], now[1]-h.base[1], now[2]-h.base[2]
-	h.base = now
+	r.Calls, r.Read, r.Written = now[0]-h.reportedTraffic[0], now[1]-h.reportedTraffic[1], now[2]-h.reportedTraffic[2]
+	h.reportedTraffic = now
 }
 
-func (h *members) close() {
+func (h *stubMembers) close() {
 	var all sync.WaitGroup
-	for _, m := range h.all {
+	for _, m := range h.agents {
 		all.Go(m.Close)
 	}
 	all.Wait()
@@ -255,27 +255,27 @@
 }
 
 // workers are hollow workers.
-type workers struct {
+type stubWorkers struct {
 	t         *WorkersTask
 	listeners []net.Listener
-	calls     *fasthttp.Client
+	client    *fasthttp.Client
 	mu        sync.Mutex
 	jobs      int
 }
 
 // doorAt is the address of a worker for one dispatcher: all of 127.0.0.0/8 is loopback.
-func doorAt(dispatcher, worker, port int) string {
+func workerAddress(dispatcher, worker, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 10+dispatcher, worker/250, 1+worker%250, port)
 }
 
 func workerName(worker int) string { return fmt.Sprintf("w%05d", worker) }
 
-func newWorkers(t *WorkersTask) (*workers, error) {
-	h := &workers{t: t, calls: &fasthttp.Client{MaxConnsPerHost: 256, MaxIdemponentCallAttempts: 1, ReadTimeout: 5 * time.Second, NoDefaultUserAgentHeader: true}}
-	server := &fasthttp.Server{Handler: h.take, NoDefaultServerHeader: true, IdleTimeout: 15 * time.Second, ReadBufferSize: 2048, Logger: silent{}}
+func newStubWorkers(t *WorkersTask) (*stubWorkers, error) {
+	h := &stubWorkers{t: t, client: &fasthttp.Client{MaxConnsPerHost: 256, MaxIdemponentCallAttempts: 1, ReadTimeout: 5 * time.Second, NoDefaultUserAgentHeader: true}}
+	server := &fasthttp.Server{Handler: h.handleJob, NoDefaultServerHeader: true, IdleTimeout: 15 * time.Second, ReadBufferSize: 2048, Logger: discardLogger{}}
 	for d := range t.Dispatchers {
 		for w := t.First; w < t.First+t.Count; w++ {
-			l, err := net.Listen("tcp4", doorAt(d, w, t.Port))
+			l, err := net.Listen("tcp4", workerAddress(d, w, t.Port))
 			if err != nil {
 				h.close()
 				return nil, fmt.Errorf("hollow: %w", err)
@@ -298,12 +298,12 @@
 	return h, nil
 }
 
-type silent struct{}
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // take takes a job and tells the dispatcher, by whose address of this worker it came, that it is done.
-func (h *workers) take(ctx *fasthttp.RequestCtx) {
+func (h *stubWorkers) handleJob(ctx *fasthttp.RequestCtx) {
 	ctx.SetStatusCode(fasthttp.StatusAccepted)
 	if !ctx.IsPost() {
 		ctx.SetStatusCode(fasthttp.StatusOK)
@@ -312,47 +312,47 @@
 	ip := ctx.LocalAddr().(*net.TCPAddr).IP.To4()
 	id, from := string(ctx.Request.Header.Peek("X-Request-Id")), workerName(int(ip[2])*250+int(ip[3])-1)
 	to := h.t.Dispatchers[int(ip[1])-10]
-	time.AfterFunc(time.Millisecond, func() { h.tell(to, id, from, "started") })
+	time.AfterFunc(time.Millisecond, func() { h.sendCallback(to, id, from, "started") })
 	time.AfterFunc(time.Duration(h.t.Run*1e6), func() {
-		h.tell(to, id, from, "done")
+		h.sendCallback(to, id, from, "done")
 		h.mu.Lock()
 		h.jobs++
 		h.mu.Unlock()
 	})
 }
 
-func (h *workers) tell(to, id, from, state string) {
+func (h *stubWorkers) sendCallback(to, id, from, state string) {
 	q, r := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
 	defer fasthttp.ReleaseResponse(r)
 	q.SetRequestURI("http://" + to + "/callback")
 	q.Header.SetMethod(fasthttp.MethodPost)
 	q.SetBodyString(fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"ok"}`, id, from, state))
-	_ = h.calls.Do(q, r) // a dispatcher that has gone asks no more
+	_ = h.client.Do(q, r) // a dispatcher that has gone asks no more
 }
 
-func (h *workers) report(r *Report) {
+func (h *stubWorkers) report(r *Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r.Jobs, h.jobs = h.jobs, 0
 }
 
-func (h *workers) close() {
+func (h *stubWorkers) close() {
 	for _, l := range h.listeners {
 		l.Close()
 	}
 }
 
 // watchers are hollow dispatchers at discovery.
-type watchers struct {
+type stubWatchers struct {
 	conns []net.Conn
 	mu    sync.Mutex
 	lines int
 	bytes uint64
 }
 
-func newWatchers(t *WatchersTask) (*watchers, error) {
-	h := &watchers{}
+func newStubWatchers(t *WatchersTask) (*stubWatchers, error) {
+	h := &stubWatchers{}
 	for range t.Count {
 		c, err := net.Dial("tcp4", t.Discovery)
 		if err != nil {
@@ -378,13 +378,13 @@
 	return h, nil
 }
 
-func (h *watchers) report(r *Report) {
+func (h *stubWatchers) report(r *Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r.Lines, r.Read, h.lines, h.bytes = h.lines, h.bytes, 0, 0
 }
 
-func (h *watchers) close() {
+func (h *stubWatchers) close() {
 	for _, c := range h.conns {
 		c.Close()
 	}
