--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -1,5 +1,5 @@
-// This file owns the fits: a line through points by least squares, with the interval that its slope lies in, and whether it
-// foretells the largest point from the others.
+// This file fits a line to points by least squares, gives the confidence interval of its slope, and checks
+// whether a line through the other points predicts the largest one.
 
 package scaletest
 
@@ -10,27 +10,29 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Fit is a line y = At + Slope x. The interval is of 95%, by Student's distribution; with two points there is none.
+// Fit is a line y = Intercept + Slope x. The slope's interval is the 95% confidence interval by Student's
+// t-distribution; with two points it is infinite.
 type Fit struct {
 	Points    int     `json:"points"`
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
-	Low       float64 `json:"low"` // the slope's interval
+	Low       float64 `json:"low"` // the interval of the slope
 	High      float64 `json:"high"`
-	// The largest point, foretold by a line through the others, and as it was measured.
+	// The largest point, as measured and as predicted by a line through the other points.
 	LargestX      float64 `json:"largest"`
 	Predicted     float64 `json:"predicted"`
 	Measured      float64 `json:"measured"`
-	RelativeError float64 `json:"off"` // part of the measured
+	RelativeError float64 `json:"off"` // of the prediction, as a share of the measured value
 }
 
-// offMost is by how much the largest point may be off before the line is no line.
+// maxRelativeError is the largest error of the prediction with which the points count as linear.
 const maxRelativeError = 0.15
 
-// Holds tells whether the largest point was foretold well enough to multiply the slope up.
+// IsLinear tells whether the prediction of the largest point is close enough to extrapolate with the slope.
 func (f Fit) IsLinear() bool { return f.Points >= 3 && math.Abs(f.RelativeError) <= maxRelativeError }
 
-// through is the line by least squares; one that falls is taken as flat: nothing here costs less for there being more of it.
+// leastSquares returns the line by least squares. A falling line is replaced by a flat one, because no cost
+// here falls as the size grows.
 func leastSquares(x, y []float64) (intercept, slope float64) {
 	if intercept, slope = stat.LinearRegression(x, y, nil, false); slope < 0 {
 		return stat.Mean(y, nil), 0
@@ -38,7 +40,7 @@
 	return intercept, slope
 }
 
-// Line fits one through points in the order of their x.
+// FitLine fits a line to points that are sorted by x.
 func FitLine(x, y []float64) Fit {
 	n := len(x)
 	f := Fit{Points: n}
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -1,4 +1,4 @@
-// This file owns what a run says: its points, the lines through them, and a plot.
+// This file prints a run: its points, the lines fitted to them, and a plot.
 
 package scaletest
 
@@ -15,14 +15,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Slope is a line through points of one series: what of which role grows by what.
+// Slope is a line through the points of one series: how one cost of one role grows with the size.
 type Slope struct {
-	Name string `json:"name"` // as capacity files name it
-	Unit string `json:"unit"` // of y, for each member, worker or team
+	Name string `json:"name"` // as in the files of package capacity
+	Unit string `json:"unit"` // unit of y, which grows per member, worker or team
 	Fit  Fit    `json:"fit"`
 }
 
-// figure is one that is drawn from a point; false: the point has none.
+// metric is a value taken from a point of a series; value returns false when the point has none.
 type metric struct {
 	name, unit, series string
 	value              func(p Point) (float64, bool)
@@ -35,8 +35,8 @@
 	}
 }
 
-// figures are those that lines are drawn through. What comes in by system calls is what the links bring, for roles that do
-// nothing else.
+// metrics are the values that lines are fitted to. The bytes and reads of a role are those of its system calls. For a
+// role that does no other I/O, they are the traffic of its connections.
 var metrics = []metric{
 	{"leader_cpu", "cores", "members", usageOf("leader", func(u Usage) float64 { return u.CPU })},
 	{"leader_mb", "MB", "members", usageOf("leader", func(u Usage) float64 { return u.ResidentMB })},
@@ -63,8 +63,8 @@
 	{"team_mb", "MB", "teams", usageOf("dispatcher", func(u Usage) float64 { return u.ResidentMB })},
 }
 
-// Slopes are the lines through a run's points: one for each figure, at each rate of versions or jobs that was played. The
-// name tells the rate: leader_cpu@1.1.
+// Slopes returns the lines through a run's points: one for each metric and each rate of versions or jobs that
+// was measured. The name contains the rate, as in leader_cpu@1.1.
 func (r *Result) Slopes() (all []Slope) {
 	for _, f := range metrics {
 		x, y := map[float64][]float64{}, map[float64][]float64{}
@@ -93,7 +93,7 @@
 	return all
 }
 
-// Slope is the one of a name.
+// Slope returns the slope with the given name.
 func (r *Result) Slope(name string) (s Slope, ok bool) {
 	all := r.Slopes()
 	k := slices.IndexFunc(all, func(s Slope) bool { return s.Name == name })
@@ -103,21 +103,21 @@
 	return all[k], true
 }
 
-// Pair is a figure's slope by two runs of one plan.
+// SlopePair is the slope of one metric in two runs of the same plan.
 type SlopePair struct {
 	Name, Unit string
 	A, B       Fit
 }
 
-// Within tells whether each of the two slopes lies in the other's interval.
+// EachWithinOther tells whether each of the two slopes lies in the other's interval.
 func (p SlopePair) EachWithinOther() bool {
 	return p.A.Low <= p.B.Slope && p.B.Slope <= p.A.High && p.B.Low <= p.A.Slope && p.A.Slope <= p.B.High
 }
 
-// Overlap tells whether the two intervals have a part in common.
+// Overlap tells whether the two intervals overlap.
 func (p SlopePair) Overlap() bool { return p.A.Low <= p.B.High && p.B.Low <= p.A.High }
 
-// Beside pairs the slopes that both runs have an interval for.
+// PairSlopes pairs the slopes for which both runs have an interval.
 func PairSlopes(a, b *Result) (all []SlopePair) {
 	for _, x := range a.Slopes() {
 		if y, ok := b.Slope(x.Name); ok && x.Fit.Points >= 3 && y.Fit.Points >= 3 {
@@ -127,7 +127,7 @@
 	return all
 }
 
-// Number prints a figure to four digits.
+// FormatNumber formats a number with four digits.
 func FormatNumber(x float64) string {
 	switch a := math.Abs(x); {
 	case math.IsInf(x, 0) || math.IsNaN(x):
@@ -142,7 +142,7 @@
 	return fmt.Sprintf("%.4g", x)
 }
 
-// Text is a run for people.
+// Text formats a run as text for the terminal.
 func (r *Result) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n%d cores, %.0f MB; %d processes and %.0f MB at most of %.0f allowed; %.0f s\n", r.Plan, r.Machine.Cores, r.Machine.MemoryMB, r.PeakProcesses, r.PeakMB, r.Machine.LimitMB, r.Seconds)
@@ -190,7 +190,7 @@
 	return 0
 }
 
-// Plot draws each figure of the members' and the workers' series, as part of its largest value, into an SVG file.
+// Plot draws each metric of all series, as a share of its largest value, into an SVG file.
 func (r *Result) Plot(path string) error {
 	pl := plot.New()
 	pl.Title.Text = "How it grows: each figure as part of its largest"
--- a/internal/scaletest/rounds.go
+++ b/internal/scaletest/rounds.go
@@ -1,4 +1,5 @@
-// This file owns the time of a round by workers known: the dispatcher's decisions alone, in this process, without a socket.
+// This file measures the time of a dispatch round by the number of known workers. It runs the dispatcher's
+// decisions alone, in the current process, without sockets.
 
 package scaletest
 
@@ -11,10 +12,10 @@
 	"weldmast/internal/fleetmodel"
 )
 
-// rounder is the inbox and the writer of a dispatcher that is timed.
+// roundHarness is the inbox and the output of a dispatcher whose rounds are timed.
 type roundHarness struct {
 	input func(dispatch.EventHandler)
-	sent  []uint64 // handed off in this round
+	sent  []uint64 // handed off in the current round
 }
 
 func (r *roundHarness) Deliver(to dispatch.EventHandler) {
@@ -31,27 +32,31 @@
 func (r *roundHarness) WatchDiscovery(bool)                    {}
 func (r *roundHarness) SendToPeer(int, []byte)                 {}
 
-// timedRounds is how many of each are timed in each of so many plays, and batch how many jobs come at once in some.
+// timedRounds is how many rounds of each type are timed in each repetition; batchSize is how many jobs arrive
+// at once in the rounds of the type Batch.
 const (
 	timedRounds = 400
 	repetitions = 7
 	batchSize   = 100
 )
 
-// Rounds are mean times of rounds, in milliseconds, each the median of several plays.
+// Rounds are mean times of a round in milliseconds, each the median over the repetitions.
 type Rounds struct {
-	Idle   float64 `json:"round_idle_ms,omitempty"`   // nothing came in
-	Start  float64 `json:"round_start_ms,omitempty"`  // it takes in a job, sends it, and has the end of another
-	Batch  float64 `json:"round_batch_ms,omitempty"`  // the same with 100 jobs at once, where there are twice as many workers
-	Change float64 `json:"round_change_ms,omitempty"` // the same as with one, and the list changes: a worker drains or is back
+	Idle  float64 `json:"round_idle_ms,omitempty"`  // no input
+	Start float64 `json:"round_start_ms,omitempty"` // one job arrives and is handed off, and one other job ends
+	// the same with 100 jobs at once; only with at least twice as many workers
+	Batch float64 `json:"round_batch_ms,omitempty"`
+	// like Start, with a change of the worker list: a worker drains or is up again
+	Change float64 `json:"round_change_ms,omitempty"`
 }
 
 func (t Rounds) text() string {
 	return fmt.Sprintf("%.4f ms with nothing, %.4f ms with a job, %.4f ms with %d at once, %.4f ms with a job and a change of the list", t.Idle, t.Start, t.Batch, batchSize, t.Change)
 }
 
-// timeRounds times them for a dispatcher that knows so many workers: of several plays, each by a dispatcher of its own, the
-// median. Where the system and the collector put things differs from play to play, and stays for the whole of one.
+// timeRounds times the rounds of a dispatcher that knows the given number of workers, and returns the median
+// over several repetitions, each with a new dispatcher. The system and the garbage collector place memory
+// differently in each repetition, and the placement lasts until its end.
 func timeRounds(workers int) (t Rounds, err error) {
 	var all [4][]float64
 	for range repetitions {
@@ -70,11 +75,11 @@
 	return t, nil
 }
 
-// playRounds is one play.
+// timeRoundsOnce is one repetition.
 func timeRoundsOnce(workers int) (t Rounds, err error) {
 	x, err := fleetmodel.ParseExperiment("base", []byte(baseExperiment))
 	if err != nil {
-		panic(err) // the text is our own
+		panic(err) // the text is a constant of the package
 	}
 	s, err := x.DispatchSettings(0, 1)
 	if err != nil {
@@ -124,7 +129,7 @@
 		}
 		t.Change += workRound(1, func(to dispatch.EventHandler) { to.Listed(dispatch.ListChanges, []dispatch.Entry{e}) }) / timedRounds
 	}
-	for range timedRounds / batchSize * b2i(workers >= 2*batchSize) { // fewer could not take them
+	for range timedRounds / batchSize * b2i(workers >= 2*batchSize) { // fewer workers could not take a batch
 		t.Batch += workRound(batchSize, nil) / (timedRounds / batchSize)
 	}
 	if handedOff < int(jobs)*9/10 {
@@ -140,7 +145,7 @@
 	return 0
 }
 
-// rounds is the series over workers known, for the decisions alone.
+// measureRounds is the series over known workers that measures the decisions alone.
 func (u *run) measureRounds(res *Result) error {
 	for _, n := range u.plan.Workers {
 		began := time.Now()
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -1,4 +1,5 @@
-// This file owns a run: it starts processes, real and hollow, lets them grow, reads what they cost from outside, and ends them.
+// This file carries out a run. It starts real and stub processes, adds stubs in steps, reads the cost of each
+// process from /proc, and ends all processes.
 
 package scaletest
 
@@ -30,56 +31,59 @@
 	"weldmast/internal/fleetrpc"
 )
 
-// Options say what to run with.
+// Options are the programs that a run starts and the function that receives its progress lines.
 type Options struct {
-	DispatcherProgram string // bin/weldmast
+	DispatcherProgram string // path of bin/weldmast
 	VoterProgram      string
-	StubCommand       []string // the command that makes a hollow process
+	StubCommand       []string // the command that starts a stub process
 	Progress          func(string)
 }
 
-// Usage is what one role costs, the mean over its processes, in a second.
+// Usage is what one role costs: the mean over its processes. All but Processes, CPU and ResidentMB are per
+// second.
 type Usage struct {
 	Processes  int     `json:"processes"`
-	CPU        float64 `json:"cpu"` // part of a core
+	CPU        float64 `json:"cpu"` // share of one core
 	ResidentMB float64 `json:"resident_mb"`
-	Read       float64 `json:"read_bytes"` // by system calls that read and write: sockets, and for real members their folder
-	Written    float64 `json:"written_bytes"`
-	Reads      float64 `json:"reads"`
-	Writes     float64 `json:"writes"`
+	// bytes of read and write system calls: sockets, and for real members also files
+	Read    float64 `json:"read_bytes"`
+	Written float64 `json:"written_bytes"`
+	Reads   float64 `json:"reads"`
+	Writes  float64 `json:"writes"`
 }
 
-// Point is one size, measured.
+// Point is the measurement at one size of a series, with one rate of versions or jobs.
 type Point struct {
-	Series      string           `json:"series"` // members, workers, teams, rounds
+	Series      string           `json:"series"` // members, workers, teams or rounds
 	Size        int              `json:"size"`
-	VersionRate float64          `json:"versions,omitempty"` // a second, wanted
-	JobRate     float64          `json:"rate,omitempty"`     // jobs a second, wanted
+	VersionRate float64          `json:"versions,omitempty"` // published versions per second, requested
+	JobRate     float64          `json:"rate,omitempty"`     // jobs per second, requested
 	Seconds     float64          `json:"seconds"`
 	Roles       map[string]Usage `json:"roles"`
 	Published   int              `json:"published,omitempty"`
 	InForceP50  float64          `json:"in_force_p50_ms,omitempty"`
 	InForceP99  float64          `json:"in_force_p99_ms,omitempty"`
 	InForceMax  float64          `json:"in_force_all_ms,omitempty"`
-	Unmeasured  int              `json:"unknown,omitempty"` // passed over before it was known when they were published
-	Behind      int              `json:"behind,omitempty"`  // hollow members without the newest one at the end
-	StubLink    LinkUsage        `json:"member_link"`       // a hollow member's, mean
-	Rounds                       // of the decisions alone
-	Jobs        int              `json:"jobs,omitempty"`
-	Served      int              `json:"served,omitempty"`
-	LateP99     float64          `json:"late_p99_ms"`
-	TotalMB     float64          `json:"total_mb"`
-	MachineBusy float64          `json:"machine_busy"` // part of all cores
-}
-
-// Link is one member's link in a second.
+	// versions whose publish time was unknown when a member skipped them, so that no delay is known
+	Unmeasured  int       `json:"unknown,omitempty"`
+	Behind      int       `json:"behind,omitempty"` // stub members without the newest version at the end
+	StubLink    LinkUsage `json:"member_link"`      // mean of the stub members
+	Rounds                // the series "rounds" only
+	Jobs        int       `json:"jobs,omitempty"`
+	Served      int       `json:"served,omitempty"`
+	LateP99     float64   `json:"late_p99_ms"`
+	TotalMB     float64   `json:"total_mb"`
+	MachineBusy float64   `json:"machine_busy"` // share of all cores
+}
+
+// LinkUsage is the traffic of one member's connection to the voters, per second.
 type LinkUsage struct {
 	Calls   float64 `json:"calls"`
 	Read    float64 `json:"read_bytes"`
 	Written float64 `json:"written_bytes"`
 }
 
-// Result is a run.
+// Result is the outcome of a run.
 type Result struct {
 	Plan          string  `json:"plan"`
 	StartedAt     string  `json:"when"`
@@ -88,16 +92,17 @@
 	PeakMB        float64 `json:"most_mb"`
 	PeakProcesses int     `json:"most_processes"`
 	Seconds       float64 `json:"seconds"`
-	LimitReached  string  `json:"ends,omitempty"` // the size at which the fleet held no longer, and what was seen
-	Void          string  `json:"void,omitempty"`
-	Interrupted   bool    `json:"interrupted,omitempty"`
+	// the size at which members were no longer current in time, with their states
+	LimitReached string `json:"ends,omitempty"`
+	Void         string `json:"void,omitempty"`
+	Interrupted  bool   `json:"interrupted,omitempty"`
 }
 
-// process is one that the run has started.
+// process is a process that the run has started.
 type process struct {
 	role   string
 	cmd    *exec.Cmd
-	stdin  io.WriteCloser // of a hollow one
+	stdin  io.WriteCloser // stub processes only, as is stdout
 	stdout *bufio.Reader
 	stubs  int
 	ended  chan struct{}
@@ -111,17 +116,18 @@
 	dir           string
 	limitMB       float64
 	clock         fleetagent.Clock
-	mu            sync.Mutex // of all below
+	mu            sync.Mutex // protects all fields below
 	processes     []*process
 	peakMB        float64
 	peakProcesses int
 	void          string
 }
 
-// ErrVoid: the run tells nothing.
+// ErrVoid reports that a run is void: its measurements are not valid.
 var ErrVoid = errors.New("the run is void")
 
-// Play carries out a plan. Whatever ends it, no process is left, and what was measured is there.
+// Run carries out a plan. However the run ends, no process is left running, and the result holds the points
+// measured until then. A run that was interrupted or is void returns a result and no error.
 func Run(ctx context.Context, p *Plan, o Options) (r *Result, err error) {
 	began := time.Now()
 	machine, err := p.CheckMemory()
@@ -148,7 +154,7 @@
 	memoryWatch.Wait()
 	r.PeakMB, r.PeakProcesses, r.Seconds, r.Void = u.peakMB, u.peakProcesses, time.Since(began).Seconds(), u.void
 	if r.Interrupted = ctx.Err() != nil; r.Interrupted || r.Void != "" {
-		err = nil // what came of that is no fault of its own
+		err = nil // errors after an interruption or a void result are only its consequences
 	}
 	return r, err
 }
@@ -159,7 +165,7 @@
 	}
 }
 
-// spoil voids the run and ends it.
+// voidRun marks the run as void, with the first reason given, and stops it.
 func (u *run) voidRun(format string, a ...any) {
 	u.mu.Lock()
 	if u.void == "" {
@@ -169,7 +175,7 @@
 	u.stop()
 }
 
-// guard ends the run at its bound of memory.
+// limitMemory stops the run as void when its processes together use more memory than the limit.
 func (u *run) limitMemory() {
 	for u.ctx.Err() == nil {
 		total := u.totalMB()
@@ -183,7 +189,7 @@
 	}
 }
 
-// total is the resident memory of all processes of the run, this one's too.
+// totalMB is the resident memory of all processes of the run, including the current one.
 func (u *run) totalMB() (mb float64) {
 	for _, pid := range append(u.pids(), os.Getpid()) {
 		if p, err := procfs.NewProc(pid); err == nil {
@@ -215,7 +221,8 @@
 	}
 }
 
-// launch starts a process that does not outlive this one. One that ends before it is told to voids the run.
+// launch starts a process that the kernel kills when the current one ends. A process that ends without a call
+// of kill voids the run.
 func (u *run) launch(role string, env []string, args ...string) (*process, error) {
 	cmd := exec.Command(args[0], args[1:]...)
 	cmd.Env = append(os.Environ(), env...)
@@ -258,13 +265,13 @@
 	return p, nil
 }
 
-// end ends processes, by their ids.
+// kill ends processes by their process IDs and waits until they have ended.
 func (u *run) kill(processes []*process) {
 	u.mu.Lock()
 	u.processes = slices.DeleteFunc(u.processes, func(p *process) bool { return slices.Contains(processes, p) })
 	u.mu.Unlock()
 	for _, p := range processes {
-		_ = p.cmd.Process.Kill() // one that has ended needs none
+		_ = p.cmd.Process.Kill() // an error means that the process has already ended
 	}
 	for _, p := range processes {
 		<-p.ended
@@ -278,7 +285,7 @@
 	u.kill(all)
 }
 
-// hollow starts a hollow process and waits until it is what it is to be.
+// startStub starts a stub process with a task and waits until it reports that it is ready.
 func (u *run) startStub(t Task, count int) (*process, error) {
 	p, err := u.launch("hollow", []string{"GOMAXPROCS=2"}, u.options.StubCommand...)
 	if err != nil {
@@ -290,12 +297,13 @@
 	}
 	line, err := p.stdout.ReadString('\n')
 	if err != nil || strings.TrimSpace(line) != "ready" {
-		return nil, fmt.Errorf("%w: a hollow process did not come up: %q %v", ErrVoid, line, err)
+		return nil, fmt.Errorf("%w: a stub process did not get ready: answer %q, error %v", ErrVoid, line, err)
 	}
 	return p, nil
 }
 
-// reports asks hollow processes what they saw since the last time, all at once.
+// collectReports requests from all given stub processes, in parallel, their report since the previous
+// request.
 func (u *run) collectReports(stubs []*process) (all []Report, err error) {
 	all = make([]Report, len(stubs))
 	errs := make([]error, len(stubs))
@@ -314,7 +322,8 @@
 	return all, errors.Join(errs...)
 }
 
-// taken is what a process had used at an instant.
+// processSample is the cumulative processor time and I/O of a process, and its resident memory, at one
+// instant.
 type processSample struct {
 	cpu float64
 	mb  float64
@@ -335,7 +344,7 @@
 	return t, err
 }
 
-// busy is the processor time that the machine has spent, and had.
+// machineTime returns the processor time that the machine has spent busy, and in total, since it started.
 func machineTime() (busy, total float64) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -350,7 +359,8 @@
 	return busy, busy + c.Idle + c.Iowait
 }
 
-// measure reads what processes cost over a span, by role; during is what goes on meanwhile.
+// measure fills in what processes cost over the plan's measuring time, by role, while load runs. It voids the
+// run when a stub process's timers were later than the plan allows.
 func (u *run) measure(pt *Point, role func(*process) string, stubs []*process, load func(ctx context.Context)) error {
 	if _, err := u.collectReports(stubs); err != nil {
 		return fmt.Errorf("%w: %w", ErrVoid, err)
@@ -433,13 +443,13 @@
 	return nil
 }
 
-// dispatcher is a real one's place.
+// dispatcher is a real dispatcher, voter or follower: its address, configuration file and process.
 type dispatcher struct {
 	name, listen, file string
 	process            *process
 }
 
-// base is the deployment that all series have in common.
+// baseExperiment is the configuration that all series have in common.
 const baseExperiment = `
 length = "1s"
 [dispatchers]
@@ -458,11 +468,11 @@
 rate = 100
 `
 
-// configure writes a real dispatcher's configuration.
+// configure writes the configuration file of a real dispatcher.
 func (u *run) configure(name, discovery string, peers, index, teams, sockets int) (*dispatcher, error) {
 	x, err := fleetmodel.ParseExperiment("base", []byte(baseExperiment))
 	if err != nil {
-		panic(err) // the text is our own
+		panic(err) // the text is a constant of the package
 	}
 	x.Dispatchers.Count = peers
 	for k := range teams {
@@ -484,7 +494,8 @@
 	return d, nil
 }
 
-// free is an address of a host that nobody listens at, of ports that the system gives to nobody by itself.
+// freeAddress returns an address of a host that no process listens on. Its port is below the range that the
+// system assigns by itself.
 func freeAddress(host string) (string, error) {
 	for range 1000 {
 		at := fmt.Sprintf("%s:%d", host, 20000+(os.Getpid()*64+int(portCounter.Add(1)))%12000)
@@ -494,7 +505,7 @@
 			return at, nil
 		}
 	}
-	return "", fmt.Errorf("scale: no port is free at %s", host)
+	return "", fmt.Errorf("scale: no free port on %s", host)
 }
 
 func (u *run) startDispatcher(d *dispatcher, role, program, fleetFile string) (err error) {
@@ -503,7 +514,7 @@
 	return err
 }
 
-// ready waits until dispatchers say so.
+// waitReady waits until all given dispatchers report that they are ready, at most 20 s for each.
 func (u *run) waitReady(all []*dispatcher) error {
 	for _, d := range all {
 		for began := time.Now(); ; {
@@ -512,7 +523,7 @@
 				break
 			}
 			if time.Since(began) > 20*time.Second {
-				return fmt.Errorf("%w: %s is not ready: %d %v", ErrVoid, d.name, status, err)
+				return fmt.Errorf("%w: %s is not ready after 20 s: status %d, error %v", ErrVoid, d.name, status, err)
 			}
 			if !u.sleep(20 * time.Millisecond) {
 				return u.ctx.Err()
@@ -522,8 +533,8 @@
 	return nil
 }
 
-// agent is discovery's stand-in: one list, which never changes, told to whoever asks; the last part of its port tells for
-// which dispatcher the addresses are.
+// discoveryAgent is a stub of the discovery service. It serves one list of workers that never changes. The
+// second number of each worker's address tells for which dispatcher the address is.
 type discoveryAgent struct {
 	listener net.Listener
 	list     []byte
@@ -557,7 +568,7 @@
 	return a, nil
 }
 
-// serve tells the list, and that it is still there.
+// serve sends the list, then an empty line every 2 s as a sign that the connection is alive.
 func (a *discoveryAgent) serve(c net.Conn) {
 	defer c.Close()
 	if _, err := c.Read(make([]byte, 4096)); err != nil {
@@ -573,7 +584,7 @@
 	}
 }
 
-// traffic sends jobs at a rate, evenly, in turn to all, and counts them.
+// traffic sends jobs at an even rate, to the dispatchers in turn, and counts those sent and those served.
 func (u *run) traffic(ctx context.Context, to []*dispatcher, rate float64, teams int, jobs, served *atomic.Int64) {
 	if rate <= 0 {
 		return
@@ -604,7 +615,7 @@
 	}
 }
 
-// doors starts the hollow workers of dispatchers.
+// startWorkers starts the stub workers of dispatchers.
 func (u *run) startWorkers(to []*dispatcher, workers, port int) (all []*process, err error) {
 	t := WorkersTask{Port: port, Run: 20}
 	for _, d := range to {
@@ -624,7 +635,7 @@
 
 const fleetName = "scale"
 
-// members is the series over members of a fleet and versions a second.
+// measureMembers is the series over the members of a fleet and the versions published per second.
 func (u *run) measureMembers(res *Result) error {
 	p := u.plan
 	if len(p.Members) == 0 {
@@ -706,7 +717,7 @@
 		if err != nil {
 			return err
 		}
-		if current < size { // a finding, no fault of the run
+		if current < size { // this is a result, not an error of the run
 			res.LimitReached = fmt.Sprintf("members %d: %d of them are current after %v; the others: %s", size, current, currentTimeout, others)
 			u.progress("%s", res.LimitReached)
 			break
@@ -770,7 +781,7 @@
 	return nil
 }
 
-// status asks voters how the fleet stands.
+// fleetStatus asks the voters in turn for the fleet's status; nil: none answered.
 func (u *run) fleetStatus(client *fleetrpc.Client, voters []fleet.Voter) *fleetrpc.FleetStatus {
 	for _, v := range voters {
 		if a, err := client.Admin(v.Address, fleetrpc.AdminRequest{}, 4*time.Second); err == nil && a.Status != nil {
@@ -787,10 +798,11 @@
 	return ""
 }
 
-// currentWithin is how long a fleet has until all stand as they should.
+// currentTimeout is how long a fleet has until all its members are current.
 const currentTimeout = 45 * time.Second
 
-// current waits until so many members stand as they should, and tells how many do, and how the others stand.
+// waitCurrent waits until the given number of members are current. It returns how many are, and the states of
+// the others.
 func (u *run) waitCurrent(client *fleetrpc.Client, voters []fleet.Voter, members int) (current int, others string, err error) {
 	for began := time.Now(); time.Since(began) < currentTimeout; {
 		current = 0
@@ -817,7 +829,7 @@
 
 var portCounter atomic.Int32
 
-// freePort is one that is free at addresses of workers.
+// freeWorkerPort returns a port that is free at the addresses of workers.
 func freeWorkerPort() (int, error) {
 	at, err := freeAddress("127.10.0.1")
 	if err != nil {
@@ -827,7 +839,7 @@
 	return strconv.Atoi(port)
 }
 
-// alone measures one real dispatcher outside a fleet, idle and then under traffic.
+// measureDispatcher measures one real dispatcher outside a fleet, first idle and then under traffic.
 func (u *run) measureDispatcher(res *Result, series string, size, workers, teams int) error {
 	p := u.plan
 	port, err := freeWorkerPort()
@@ -889,7 +901,7 @@
 	return nil
 }
 
-// workers is the series over workers known to a dispatcher.
+// measureWorkers is the series over the workers that one dispatcher knows.
 func (u *run) measureWorkers(res *Result) error {
 	for _, n := range u.plan.Workers {
 		if err := u.measureDispatcher(res, "workers", n, n, 0); err != nil {
@@ -899,7 +911,7 @@
 	return nil
 }
 
-// teams is the series over tenants in the settings.
+// measureTeams is the series over the tenants in the settings.
 func (u *run) measureTeams(res *Result) error {
 	for _, n := range u.plan.Teams {
 		if err := u.measureDispatcher(res, "teams", n, 200, n); err != nil {
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -241,7 +241,7 @@
 		}
 	}
 	_, err = ParsePlan("p.toml", []byte("voters = 2\nmembers = [3, 3]\nprocesses = 2\n"))
-	for _, w := range []string{"p.toml:1: voters:", "p.toml:2: members.1: 3 does not grow", "p.toml:2: members.0: 3 are fewer", "versions: is missing", "p.toml:3: processes: the plan needs"} {
+	for _, w := range []string{"p.toml:1: voters:", "p.toml:2: members.1: 3 is not above the size before it", "p.toml:2: members.0: 3 is below the number of real members", "versions: is missing", "p.toml:3: processes: the plan needs"} {
 		if err == nil || !strings.Contains(err.Error(), w) {
 			t.Errorf("no %q in\n%v", w, err)
 		}
--- a/internal/scaletest/stub.go
+++ b/internal/scaletest/stub.go
@@ -1,6 +1,6 @@
-// This file owns the hollow processes: members that follow a fleet's history by the program's own packages, workers that
-// take, answer and call back, and dispatchers that have discovery tell them. They do what a line on their standard input says,
-// and end with it.
+// This file implements the stub processes: members that follow a fleet's versions with the program's own
+// packages, workers that accept jobs, answer and call back, and dispatchers that watch discovery. A stub
+// process gets its task as a line on standard input and ends when its input ends.
 
 package scaletest
 
@@ -27,24 +27,24 @@
 	"weldmast/internal/fleetrpc"
 )
 
-// Task is what a hollow process is to be: its first line.
+// Task is the work of a stub process, the first line that it reads. One of its fields is set.
 type Task struct {
 	Members  *MembersTask  `json:"members,omitempty"`
 	Workers  *WorkersTask  `json:"workers,omitempty"`
 	Watchers *WatchersTask `json:"watchers,omitempty"`
 }
 
-// MembersTask is a number of members of one fleet.
+// MembersTask is a range of members of one fleet.
 type MembersTask struct {
 	Fleet   string
 	Voters  []fleet.Voter
 	First   int
 	Count   int
 	Figures fleet.Timing
-	Apart   float64 // ms from one's beginning to the next one's
+	Apart   float64 // ms between the starts of two members
 }
 
-// WorkersTask is a number of workers, each with an address for each dispatcher.
+// WorkersTask is a range of workers, each with an address for each dispatcher.
 type WorkersTask struct {
 	First       int
 	Count       int
@@ -53,43 +53,44 @@
 	Run         float64 // ms that each job takes
 }
 
-// WatchersTask is a number of dispatchers that follow discovery's list.
+// WatchersTask is a number of dispatchers that watch discovery's list.
 type WatchersTask struct {
 	Discovery string
 	Count     int
 }
 
-// Report is what a hollow process says of the time since the last one.
+// Report is what a stub process observed since its previous report.
 type Report struct {
-	LateP99 float64 // ms by which its own timers were late
+	LateP99 float64 // ms by which the process's own timers were late
 	LateMax float64
-	Delays  []int // of each version at each member: microseconds from publish to in force
-	Unknown int   // versions that were passed over before anybody here knew when they were published
-	Behind  int   // members that do not have the newest version that is known here
+	Delays  []int // microseconds from publish to in force, for each version at each member
+	Unknown int   // versions that a member skipped before the process knew when they were published
+	Behind  int   // members without the newest version that the process knows
 	Calls   uint64
-	Read    uint64 // bytes of the link
+	Read    uint64 // bytes of the connections
 	Written uint64
 	Jobs    int
-	Lines   int // that discovery told
+	Lines   int // lines that discovery sent
 }
 
-// hollow is one process's part.
+// stubRole is the part that a stub process plays: members, workers or watchers.
 type stubRole interface {
 	report(*Report)
 	close()
 }
 
-// Hollow is a hollow process: it reads its task, says "ready", answers each further line with a report, and ends with its input.
+// RunStub is the body of a stub process. It reads its task, writes "ready", answers each further line with a
+// report, and returns when its input ends.
 func RunStub(ctx context.Context, in io.Reader, out io.Writer) error {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 8<<20)
 	if !lines.Scan() {
-		return errors.New("hollow: no task")
+		return errors.New("hollow: no task on standard input")
 	}
 	var t Task
 	if err := json.Unmarshal(lines.Bytes(), &t); err != nil {
-		return fmt.Errorf("hollow: task: %w", err)
+		return fmt.Errorf("hollow: decode task: %w", err)
 	}
 	var h stubRole
 	var err error
@@ -101,7 +102,7 @@
 	case t.Watchers != nil:
 		h, err = newStubWatchers(t.Watchers)
 	default:
-		err = errors.New("hollow: a task of no kind")
+		err = errors.New("hollow: the task names no members, workers or watchers")
 	}
 	if err != nil {
 		return err
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// lateness is by how much the process's timers are late.
+// timerLateness samples by how much the process's timers are late.
 type timerLateness struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
@@ -135,7 +136,8 @@
 			from := time.Now()
 			time.Sleep(latenessInterval)
 			l.mu.Lock()
-			_ = l.hist.RecordValue(max(int64((time.Since(from)-latenessInterval)/1000), 1)) // of a minute at most
+			// fails only above the largest value, one minute
+			_ = l.hist.RecordValue(max(int64((time.Since(from)-latenessInterval)/1000), 1))
 			l.mu.Unlock()
 		}
 	}()
@@ -149,14 +151,14 @@
 	l.hist.Reset()
 }
 
-// members are hollow members.
+// stubMembers are the stub members of one process.
 type stubMembers struct {
 	clock  fleetagent.Clock
 	server *fleetrpc.Server
 	agents []*fleetagent.Agent
 
 	mu              sync.Mutex
-	publishTimes    map[uint64]float64 // by version, on the clock of members
+	publishTimes    map[uint64]float64 // by version, in ms of the members' clock
 	applied         []uint64
 	delays          []int
 	unmeasured      int
@@ -164,7 +166,7 @@
 	reportedTraffic [3]uint64
 }
 
-// nobody answers operators at a hollow member.
+// noAdmin answers every administrative request to a stub member that it knows no leader.
 type noAdmin struct{}
 
 func (noAdmin) HandleAdmin(context.Context, fleetrpc.AdminRequest) fleetrpc.AdminReply {
@@ -190,16 +192,16 @@
 	return h, nil
 }
 
-// mark is where a version of the lab's says when it was published.
+// publishMark starts the text of a published version; its publish time follows.
 const publishMark = `{"mark":"t`
 
-// Text is a version's, of so many bytes, published at the time.
+// VersionText returns the text of a version, of the given size in bytes, with its publish time in ms.
 func VersionText(publishTime float64, size int) []byte {
 	text := publishMark + strconv.FormatInt(int64(publishTime*1000), 10) + `"`
 	return []byte(text + strings.Repeat(" ", max(size-len(text)-1, 0)) + "}")
 }
 
-// publishedAt reads it back.
+// parsePublishTime returns the publish time from the text of a version.
 func parsePublishTime(text []byte) (at float64, ok bool) {
 	rest, ok := strings.CutPrefix(string(text[:min(len(text), 64)]), publishMark)
 	number, _, _ := strings.Cut(rest, `"`)
@@ -207,7 +209,7 @@
 	return float64(n) / 1000, ok && err == nil
 }
 
-// bring notes that a version, and with it all before it, is in force at a member.
+// versionApplied records that a version, and with it all earlier ones, is in force at a member.
 func (h *stubMembers) versionApplied(k int, v fleet.Version, applied func(string)) {
 	now := h.clock.Now()
 	h.mu.Lock()
@@ -254,7 +256,7 @@
 	h.server.Close()
 }
 
-// workers are hollow workers.
+// stubWorkers are the stub workers of one process.
 type stubWorkers struct {
 	t         *WorkersTask
 	listeners []net.Listener
@@ -263,7 +265,8 @@
 	jobs      int
 }
 
-// doorAt is the address of a worker for one dispatcher: all of 127.0.0.0/8 is loopback.
+// workerAddress is the address of a worker for one dispatcher. All of 127.0.0.0/8 is loopback, so each worker
+// gets its own IP address.
 func workerAddress(dispatcher, worker, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 10+dispatcher, worker/250, 1+worker%250, port)
 }
@@ -288,7 +291,7 @@
 						return
 					}
 					go func() {
-						_ = server.ServeConn(c) // how a connection ends is of no account
+						_ = server.ServeConn(c) // errors of a connection don't matter here
 						c.Close()
 					}()
 				}
@@ -302,7 +305,8 @@
 
 func (discardLogger) Printf(string, ...any) {}
 
-// take takes a job and tells the dispatcher, by whose address of this worker it came, that it is done.
+// handleJob accepts a job and sends the dispatcher the callbacks "started" and "done". The IP address that
+// the job came to identifies the dispatcher and the worker.
 func (h *stubWorkers) handleJob(ctx *fasthttp.RequestCtx) {
 	ctx.SetStatusCode(fasthttp.StatusAccepted)
 	if !ctx.IsPost() {
@@ -328,7 +332,7 @@
 	q.SetRequestURI("http://" + to + "/callback")
 	q.Header.SetMethod(fasthttp.MethodPost)
 	q.SetBodyString(fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"ok"}`, id, from, state))
-	_ = h.client.Do(q, r) // a dispatcher that has gone asks no more
+	_ = h.client.Do(q, r) // a failed callback needs no retry: the dispatcher has ended
 }
 
 func (h *stubWorkers) report(r *Report) {
@@ -343,7 +347,7 @@
 	}
 }
 
-// watchers are hollow dispatchers at discovery.
+// stubWatchers are stub dispatchers that watch discovery.
 type stubWatchers struct {
 	conns []net.Conn
 	mu    sync.Mutex
@@ -390,7 +394,7 @@
 	}
 }
 
-// quantile of sorted values.
+// quantile returns a quantile of sorted values; 0 without values.
 func quantile(sorted []int, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
