--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -15,14 +15,14 @@
 
 // Row is a line of the size, or a role.
 type Row struct {
-	Name      string     `json:"line"`
-	Component string     `json:"carrier"`         // the package, or missing
-	Bound     string     `json:"bound,omitempty"` // in words, with its figure
-	Unit      string     `json:"unit,omitempty"`
-	Values    [3]float64 `json:"comes"` // at half, once and double the schedulers that are assumed
-	Ratios    [3]float64 `json:"ratio"` // to the bound; 0: there is none
-	Basis     string     `json:"basis"`
-	limit     float64
+	Name       string     `json:"line"`
+	Component  string     `json:"carrier"`         // the package, or missing
+	Bound      string     `json:"bound,omitempty"` // in words, with its figure
+	Unit       string     `json:"unit,omitempty"`
+	Values     [3]float64 `json:"comes"` // at half, once and double the schedulers that are assumed
+	Ratios     [3]float64 `json:"ratio"` // to the bound; 0: there is none
+	Basis      string     `json:"basis"`
+	limitValue float64
 }
 
 // Tables are all that a page shows.
@@ -44,11 +44,11 @@
 	n := s.value("schedulers")
 	t.Schedulers = [3]float64{n / 2, n, 2 * n}
 	// row works one out at the three sizes.
-	row := func(line, carrier, unit, bound string, limit float64, of func(schedulers float64) (float64, string)) Row {
-		r := Row{Name: line, Component: carrier, Unit: unit, Bound: bound, limit: limit}
+	row := func(name, component, unit, bound string, limit float64, value func(schedulers float64) (float64, string)) Row {
+		r := Row{Name: name, Component: component, Unit: unit, Bound: bound, limitValue: limit}
 		for k, size := range t.Schedulers {
 			var basis string
-			if r.Values[k], basis = of(size); k == 0 || strings.HasPrefix(basis, "fitted") {
+			if r.Values[k], basis = value(size); k == 0 || strings.HasPrefix(basis, "fitted") {
 				r.Basis = basis // the least that is known of any of the three
 			}
 			if limit > 0 {
@@ -60,20 +60,20 @@
 	constant := func(x float64, basis string) func(float64) (float64, string) {
 		return func(float64) (float64, string) { return x, basis }
 	}
-	missingRow := func(line, what string) Row { return Row{Name: line, Component: Missing + ": " + what, Basis: "none"} }
+	missingRow := func(name, why string) Row { return Row{Name: name, Component: Missing + ": " + why, Basis: "none"} }
 	slope := func(name string) func(float64) (float64, string) {
 		return func(size float64) (float64, string) { return s.estimate(name, size) }
 	}
 	controlCPU, controlMB, controlBytes := s.value("control_cpu"), s.value("control_memory"), s.value("control_bytes")
 	workers, starts, running, teams := s.value("workers"), s.value("starts"), s.value("running"), s.value("teams")
-	perStart := func() (float64, string) { // CPU seconds of a start where all workers are known
+	startCost := func() (float64, string) { // CPU seconds of a start where all workers are known
 		idle, _ := s.estimate("known_cpu@0", workers)
 		at, basis := s.estimate("known_cpu@100", workers)
 		return (at - idle) / 100, basis
 	}
 	idleCPU, idleBasis := s.estimate("known_cpu@0", workers)
 	knownMB, knownBasis := s.estimate("known_mb@100", workers)
-	cpuPerStart, costBasis := perStart()
+	cpuPerStart, costBasis := startCost()
 	teamMB0, _ := s.estimate("team_mb@100", 0)
 	teamMB, teamBasis := s.estimate("team_mb@100", teams)
 
@@ -145,7 +145,7 @@
 // Worst are the rows that have a bound and a carrier, worst first, by the ratio at the schedulers that are assumed.
 func (t *Tables) WorstFirst() (all []Row) {
 	for _, r := range slices.Concat(t.Requirements, t.Roles, t.Failures) {
-		if r.limit > 0 && !slices.ContainsFunc(all, func(x Row) bool { return x.Values == r.Values && x.Bound == r.Bound }) {
+		if r.limitValue > 0 && !slices.ContainsFunc(all, func(x Row) bool { return x.Values == r.Values && x.Bound == r.Bound }) {
 			all = append(all, r)
 		}
 	}
@@ -162,14 +162,14 @@
 		}
 		return scaletest.FormatNumber(x[0]) + ", " + scaletest.FormatNumber(x[1]) + ", " + scaletest.FormatNumber(x[2])
 	}
-	writeRows := func(head string, all []Row) {
-		fmt.Fprintf(&b, "| %s | carried by | bound | comes to | ratio | basis |\n| --- | --- | --- | --- | --- | --- |\n", head)
+	writeRows := func(header string, all []Row) {
+		fmt.Fprintf(&b, "| %s | carried by | bound | comes to | ratio | basis |\n| --- | --- | --- | --- | --- | --- |\n", header)
 		for _, r := range all {
 			comes, ratio := formatThree(r.Values)+" "+r.Unit, formatThree(r.Ratios)
 			if strings.HasPrefix(r.Component, Missing) {
 				comes = ""
 			}
-			if r.limit == 0 {
+			if r.limitValue == 0 {
 				ratio = ""
 			}
 			fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s |\n", r.Name, r.Component, r.Bound, comes, ratio, r.Basis)
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -361,7 +361,7 @@
 
 // measure fills in what processes cost over the plan's measuring time, by role, while load runs. It voids the
 // run when a stub process's timers were later than the plan allows.
-func (u *run) measure(pt *Point, role func(*process) string, stubs []*process, load func(ctx context.Context)) error {
+func (u *run) measure(point *Point, roleOf func(*process) string, stubs []*process, load func(ctx context.Context)) error {
 	if _, err := u.collectReports(stubs); err != nil {
 		return fmt.Errorf("%w: %w", ErrVoid, err)
 	}
@@ -389,30 +389,30 @@
 	if !completed {
 		return u.ctx.Err()
 	}
-	pt.Seconds = time.Since(began).Seconds()
+	point.Seconds = time.Since(began).Seconds()
 	busy2, total2 := machineTime()
-	pt.MachineBusy = (busy2 - busy) / max(total2-total, 1e-9)
-	pt.Roles = map[string]Usage{}
+	point.MachineBusy = (busy2 - busy) / max(total2-total, 1e-9)
+	point.Roles = map[string]Usage{}
 	for _, p := range all {
 		t, err := readSample(p.cmd.Process.Pid)
 		if err != nil {
 			return fmt.Errorf("%w: %w", ErrVoid, err)
 		}
-		x, b := pt.Roles[role(p)], before[p]
+		x, b := point.Roles[roleOf(p)], before[p]
 		x.Processes++
-		x.CPU += (t.cpu - b.cpu) / pt.Seconds
+		x.CPU += (t.cpu - b.cpu) / point.Seconds
 		x.ResidentMB += t.mb
-		x.Read += float64(t.io.RChar-b.io.RChar) / pt.Seconds
-		x.Written += float64(t.io.WChar-b.io.WChar) / pt.Seconds
-		x.Reads += float64(t.io.SyscR-b.io.SyscR) / pt.Seconds
-		x.Writes += float64(t.io.SyscW-b.io.SyscW) / pt.Seconds
-		pt.Roles[role(p)] = x
+		x.Read += float64(t.io.RChar-b.io.RChar) / point.Seconds
+		x.Written += float64(t.io.WChar-b.io.WChar) / point.Seconds
+		x.Reads += float64(t.io.SyscR-b.io.SyscR) / point.Seconds
+		x.Writes += float64(t.io.SyscW-b.io.SyscW) / point.Seconds
+		point.Roles[roleOf(p)] = x
 	}
-	for name, x := range pt.Roles {
+	for name, x := range point.Roles {
 		n := float64(x.Processes)
-		pt.Roles[name] = Usage{x.Processes, x.CPU / n, x.ResidentMB / n, x.Read / n, x.Written / n, x.Reads / n, x.Writes / n}
+		point.Roles[name] = Usage{x.Processes, x.CPU / n, x.ResidentMB / n, x.Read / n, x.Written / n, x.Reads / n, x.Writes / n}
 	}
-	pt.TotalMB = u.totalMB()
+	point.TotalMB = u.totalMB()
 	reports, err := u.collectReports(stubs)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrVoid, err)
@@ -420,24 +420,24 @@
 	var delays []int
 	count := 0
 	for k, r := range reports {
-		pt.LateP99 = max(pt.LateP99, r.LateP99)
+		point.LateP99 = max(point.LateP99, r.LateP99)
 		delays = append(delays, r.Delays...)
-		pt.Unmeasured, pt.Behind = pt.Unmeasured+r.Unknown, pt.Behind+r.Behind
+		point.Unmeasured, point.Behind = point.Unmeasured+r.Unknown, point.Behind+r.Behind
 		if stubs[k].role == "hollow" && r.Calls > 0 {
 			count += stubs[k].stubs
-			pt.StubLink.Calls += float64(r.Calls) / pt.Seconds
-			pt.StubLink.Read += float64(r.Read) / pt.Seconds
-			pt.StubLink.Written += float64(r.Written) / pt.Seconds
+			point.StubLink.Calls += float64(r.Calls) / point.Seconds
+			point.StubLink.Read += float64(r.Read) / point.Seconds
+			point.StubLink.Written += float64(r.Written) / point.Seconds
 		}
 	}
 	if count > 0 {
 		n := float64(count)
-		pt.StubLink = LinkUsage{pt.StubLink.Calls / n, pt.StubLink.Read / n, pt.StubLink.Written / n}
+		point.StubLink = LinkUsage{point.StubLink.Calls / n, point.StubLink.Read / n, point.StubLink.Written / n}
 	}
 	slices.Sort(delays)
-	pt.InForceP50, pt.InForceP99, pt.InForceMax = quantile(delays, 0.5)/1000, quantile(delays, 0.99)/1000, quantile(delays, 1)/1000
-	if pt.LateP99 > float64(u.plan.MaxLateness) {
-		u.voidRun("a hollow process was late by %.0f ms at p99, %.0f are allowed, at %s %d", pt.LateP99, float64(u.plan.MaxLateness), pt.Series, pt.Size)
+	point.InForceP50, point.InForceP99, point.InForceMax = quantile(delays, 0.5)/1000, quantile(delays, 0.99)/1000, quantile(delays, 1)/1000
+	if point.LateP99 > float64(u.plan.MaxLateness) {
+		u.voidRun("a hollow process was late by %.0f ms at p99, %.0f are allowed, at %s %d", point.LateP99, float64(u.plan.MaxLateness), point.Series, point.Size)
 		return ErrVoid
 	}
 	return nil
@@ -445,8 +445,8 @@
 
 // dispatcher is a real dispatcher, voter or follower: its address, configuration file and process.
 type dispatcher struct {
-	name, listen, file string
-	process            *process
+	name, address, configFile string
+	process                   *process
 }
 
 // baseExperiment is the configuration that all series have in common.
@@ -487,8 +487,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
-	d := &dispatcher{name: name, listen: listen, file: filepath.Join(u.dir, name+".json")}
-	if err := os.WriteFile(d.file, text, 0o600); err != nil {
+	d := &dispatcher{name: name, address: listen, configFile: filepath.Join(u.dir, name+".json")}
+	if err := os.WriteFile(d.configFile, text, 0o600); err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	return d, nil
@@ -509,7 +509,7 @@
 }
 
 func (u *run) startDispatcher(d *dispatcher, role, program, fleetFile string) (err error) {
-	d.process, err = u.launch(role, []string{"ROUTER_CONFIG=" + d.file, "ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_OPS=", "ROUTER_DISCOVERY=", "TMPDIR=", "WELDMAST_FILE=" + fleetFile},
+	d.process, err = u.launch(role, []string{"ROUTER_CONFIG=" + d.configFile, "ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_OPS=", "ROUTER_DISCOVERY=", "TMPDIR=", "WELDMAST_FILE=" + fleetFile},
 		program, "serve")
 	return err
 }
@@ -518,7 +518,7 @@
 func (u *run) waitReady(all []*dispatcher) error {
 	for _, d := range all {
 		for began := time.Now(); ; {
-			status, _, err := fasthttp.GetTimeout(nil, "http://"+d.listen+"/ready", time.Second)
+			status, _, err := fasthttp.GetTimeout(nil, "http://"+d.address+"/ready", time.Second)
 			if err == nil && status == fasthttp.StatusOK {
 				break
 			}
@@ -585,7 +585,7 @@
 }
 
 // traffic sends jobs at an even rate, to the dispatchers in turn, and counts those sent and those served.
-func (u *run) traffic(ctx context.Context, to []*dispatcher, rate float64, teams int, jobs, served *atomic.Int64) {
+func (u *run) traffic(ctx context.Context, dispatchers []*dispatcher, rate float64, teams int, sent, served *atomic.Int64) {
 	if rate <= 0 {
 		return
 	}
@@ -599,7 +599,7 @@
 			q, r := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 			defer fasthttp.ReleaseRequest(q)
 			defer fasthttp.ReleaseResponse(r)
-			q.SetRequestURI("http://" + to[n%len(to)].listen + "/job/x")
+			q.SetRequestURI("http://" + dispatchers[n%len(dispatchers)].address + "/job/x")
 			q.Header.SetMethod(fasthttp.MethodPost)
 			q.Header.Set("X-Request-Id", fmt.Sprintf("%x-%x", began.UnixNano(), n))
 			q.Header.Set("X-Cost-Hint", "20000")
@@ -610,18 +610,18 @@
 			if client.DoTimeout(q, r, 5*time.Second) == nil && r.StatusCode() == fasthttp.StatusOK {
 				served.Add(1)
 			}
-			jobs.Add(1)
+			sent.Add(1)
 		})
 	}
 }
 
 // startWorkers starts the stub workers of dispatchers.
-func (u *run) startWorkers(to []*dispatcher, workers, port int) (all []*process, err error) {
+func (u *run) startWorkers(dispatchers []*dispatcher, workers, port int) (all []*process, err error) {
 	t := WorkersTask{Port: port, Run: 20}
-	for _, d := range to {
-		t.Dispatchers = append(t.Dispatchers, d.listen)
+	for _, d := range dispatchers {
+		t.Dispatchers = append(t.Dispatchers, d.address)
 	}
-	for each := max(maxAddrs/len(to), 1); t.First < workers; t.First += t.Count {
+	for each := max(maxAddrs/len(dispatchers), 1); t.First < workers; t.First += t.Count {
 		t.Count = min(each, workers-t.First)
 		one := t
 		p, err := u.startStub(Task{Workers: &one}, t.Count)
@@ -713,12 +713,12 @@
 			stubs = append(stubs, h)
 			count += t.Count
 		}
-		current, others, err := u.waitCurrent(client, voters, size)
+		current, otherStates, err := u.waitCurrent(client, voters, size)
 		if err != nil {
 			return err
 		}
 		if current < size { // this is a result, not an error of the run
-			res.LimitReached = fmt.Sprintf("members %d: %d of them are current after %v; the others: %s", size, current, currentTimeout, others)
+			res.LimitReached = fmt.Sprintf("members %d: %d of them are current after %v; the others: %s", size, current, currentTimeout, otherStates)
 			u.progress("%s", res.LimitReached)
 			break
 		}
@@ -730,11 +730,11 @@
 				return u.ctx.Err()
 			}
 			leader := u.leaderName(client, voters)
-			pt := Point{Series: "members", Size: size, VersionRate: rate, JobRate: p.JobRate}
+			point := Point{Series: "members", Size: size, VersionRate: rate, JobRate: p.JobRate}
 			jobs.Store(0)
 			served.Store(0)
 			var published atomic.Int64
-			err := u.measure(&pt, func(x *process) string {
+			err := u.measure(&point, func(x *process) string {
 				for k, d := range all {
 					if d.process == x && k < p.Voters && voters[k].Name == leader {
 						return "leader"
@@ -769,10 +769,10 @@
 			if err != nil {
 				return err
 			}
-			pt.Published, pt.Jobs, pt.Served = int(published.Load()), int(jobs.Load()), int(served.Load())
-			res.Points = append(res.Points, pt)
+			point.Published, point.Jobs, point.Served = int(published.Load()), int(jobs.Load()), int(served.Load())
+			res.Points = append(res.Points, point)
 			u.progress("members %d, %g versions/s: leader %.1f%% of a core, %.1f MB; member reads %.0f, writes %.0f bytes/s; in force p50 %.0f, p99 %.0f, all %.0f ms; machine %.0f%% busy, %.0f MB",
-				size, rate, 100*pt.Roles["leader"].CPU, pt.Roles["leader"].ResidentMB, pt.StubLink.Read, pt.StubLink.Written, pt.InForceP50, pt.InForceP99, pt.InForceMax, 100*pt.MachineBusy, pt.TotalMB)
+				size, rate, 100*point.Roles["leader"].CPU, point.Roles["leader"].ResidentMB, point.StubLink.Read, point.StubLink.Written, point.InForceP50, point.InForceP99, point.InForceMax, 100*point.MachineBusy, point.TotalMB)
 		}
 	}
 	stop()
@@ -803,7 +803,7 @@
 
 // waitCurrent waits until the given number of members are current. It returns how many are, and the states of
 // the others.
-func (u *run) waitCurrent(client *fleetrpc.Client, voters []fleet.Voter, members int) (current int, others string, err error) {
+func (u *run) waitCurrent(client *fleetrpc.Client, voters []fleet.Voter, members int) (current int, otherStates string, err error) {
 	for began := time.Now(); time.Since(began) < currentTimeout; {
 		current = 0
 		states := map[string]int{}
@@ -819,12 +819,12 @@
 		if current >= members {
 			return current, "", nil
 		}
-		others = fmt.Sprintf("%v", states)
+		otherStates = fmt.Sprintf("%v", states)
 		if !u.sleep(200 * time.Millisecond) {
-			return current, others, u.ctx.Err()
+			return current, otherStates, u.ctx.Err()
 		}
 	}
-	return current, others, nil
+	return current, otherStates, nil
 }
 
 var portCounter atomic.Int32
@@ -877,7 +877,7 @@
 			return u.ctx.Err()
 		}
 		var jobs, served atomic.Int64
-		pt := Point{Series: series, Size: size, JobRate: rate}
+		point := Point{Series: series, Size: size, JobRate: rate}
 		var stubs []*process
 		u.mu.Lock()
 		for _, x := range u.processes {
@@ -886,16 +886,16 @@
 			}
 		}
 		u.mu.Unlock()
-		if err := u.measure(&pt, func(x *process) string { return x.role }, stubs, func(ctx context.Context) {
+		if err := u.measure(&point, func(x *process) string { return x.role }, stubs, func(ctx context.Context) {
 			u.traffic(ctx, all, rate, teams, &jobs, &served)
 		}); err != nil {
 			return err
 		}
-		pt.Jobs, pt.Served = int(jobs.Load()), int(served.Load())
-		res.Points = append(res.Points, pt)
-		x := pt.Roles["dispatcher"]
+		point.Jobs, point.Served = int(jobs.Load()), int(served.Load())
+		res.Points = append(res.Points, point)
+		x := point.Roles["dispatcher"]
 		u.progress("%s %d, %g jobs/s: dispatcher %.2f%% of a core, %.1f MB, ready after %.2f s; %d of %d served; machine %.0f%% busy, %.0f MB", series, size, rate,
-			100*x.CPU, x.ResidentMB, startTime.Seconds(), pt.Served, pt.Jobs, 100*pt.MachineBusy, pt.TotalMB)
+			100*x.CPU, x.ResidentMB, startTime.Seconds(), point.Served, point.Jobs, 100*point.MachineBusy, point.TotalMB)
 	}
 	u.killAll()
 	return nil
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -39,8 +39,8 @@
 	os.Exit(code)
 }
 
-func testOptions(tell func(string)) Options {
-	return Options{DispatcherProgram: dispatcherProgram, VoterProgram: voterProgram, StubCommand: []string{os.Args[0], "hollow"}, Progress: tell}
+func testOptions(progress func(string)) Options {
+	return Options{DispatcherProgram: dispatcherProgram, VoterProgram: voterProgram, StubCommand: []string{os.Args[0], "hollow"}, Progress: progress}
 }
 
 const smallPlan = `
@@ -185,9 +185,9 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			done := 0
+			progressLines := 0
 			r, err := Run(ctx, parsePlan(t, append(change.more, `workers = []`, `teams = []`)...), testOptions(func(string) {
-				if done++; done == 2 && change.do != nil {
+				if progressLines++; progressLines == 2 && change.do != nil {
 					change.do(stop)
 				}
 			}))
