--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -10,7 +10,8 @@
 	"weldmast/internal/scaletest"
 )
 
-// run is one whose leader costs 0.002 of a core a member, and as text.
+// leaderRun returns a run whose leader uses 0.002 of a core per member, and a function that opens it as JSON
+// under the name run.json.
 func leaderRun(t *testing.T) (*scaletest.Result, func(string) ([]byte, error)) {
 	t.Helper()
 	r := &scaletest.Result{}
@@ -32,7 +33,8 @@
 
 const leaderSlope = "[[slope]]\nname = \"leader_cpu@1.1\"\nunit = \"cores\"\nrun = \"run.json\"\nat = 0\neach = 0.002\nlow = 0.002\nhigh = 0.002\noff = 0\nto = 400\n"
 
-// TestRead: faults are told all at once, each with file, line and key; a slope has to be what its run gives.
+// TestParseInputs checks that an error lists all faults, each with file, line and key, and that a slope must
+// match its run.
 func TestParseInputs(t *testing.T) {
 	_, open := leaderRun(t)
 	if _, err := ParseInputs("s.toml", []byte(leaderSlope), open); err != nil {
@@ -42,26 +44,27 @@
 		text string
 		want []string
 	}{
-		"cannot be read": {"[[size]]\nname = \"a\"\nvalue = \"many\"\n[[size]]\nname = \"b\"\nvalue = -1\nunit = \"x\"\n",
+		"wrong types and values": {"[[size]]\nname = \"a\"\nvalue = \"many\"\n[[size]]\nname = \"b\"\nvalue = -1\nunit = \"x\"\n",
 			[]string{"s.toml:3: size.0.value: is a text, wanted a number", "s.toml:1: size.0.unit: is missing", "s.toml:6: size.1.value: -1 is below 0"}},
-		"no unit, twice, no reason": {"[[size]]\nname = \"a\"\nvalue = 1\nunit = \"\"\n[[assumption]]\nname = \"a\"\nvalue = 1\nunit = \"x\"\n",
-			[]string{"s.toml:4: size.0.unit: a has no unit", "s.toml:6: assumption.0.name: \"a\" is there twice", "s.toml:5: assumption.0: a: why it is assumed is missing"}},
-		"negative":             {strings.Replace(leaderSlope, "each = 0.002", "each = -0.002", 1), []string{"s.toml:6: slope.0.each: -0.002 is below 0"}},
-		"its run is not there": {strings.Replace(leaderSlope, "run.json", "other.json", 1), []string{"s.toml:4: slope.0.run: the slope leader_cpu@1.1 misses its run: no file other.json"}},
-		"not in its run":       {strings.Replace(leaderSlope, "leader_cpu@1.1", "leader_cpu@7", 1), []string{"s.toml:2: slope.0.name: the run run.json has no slope leader_cpu@7"}},
-		"another figure":       {strings.Replace(leaderSlope, "each = 0.002\n", "each = 0.001\n", 1), []string{"s.toml:1: slope.0: leader_cpu@1.1 is not what its run run.json gives"}},
-		"another unit":         {strings.Replace(leaderSlope, "cores", "MB", 1), []string{"s.toml:3: slope.0.unit: leader_cpu@1.1 is in MB, the run has it in cores"}},
+		"no unit, duplicate name, no reason": {"[[size]]\nname = \"a\"\nvalue = 1\nunit = \"\"\n[[assumption]]\nname = \"a\"\nvalue = 1\nunit = \"x\"\n",
+			[]string{"s.toml:4: size.0.unit: a has no unit", "s.toml:6: assumption.0.name: \"a\" is empty or is defined twice", "s.toml:5: assumption.0: a: an assumption needs its reason (why)"}},
+		"negative slope":             {strings.Replace(leaderSlope, "each = 0.002", "each = -0.002", 1), []string{"s.toml:6: slope.0.each: -0.002 is below 0"}},
+		"missing run":                {strings.Replace(leaderSlope, "run.json", "other.json", 1), []string{"s.toml:4: slope.0.run: the slope leader_cpu@1.1 misses its run: no file other.json"}},
+		"slope missing in its run":   {strings.Replace(leaderSlope, "leader_cpu@1.1", "leader_cpu@7", 1), []string{"s.toml:2: slope.0.name: the run run.json has no slope leader_cpu@7"}},
+		"value differs from the run": {strings.Replace(leaderSlope, "each = 0.002\n", "each = 0.001\n", 1), []string{"s.toml:1: slope.0: leader_cpu@1.1 is not what its run run.json gives"}},
+		"unit differs from the run":  {strings.Replace(leaderSlope, "cores", "MB", 1), []string{"s.toml:3: slope.0.unit: leader_cpu@1.1 has the unit MB, in its run cores"}},
 	} {
 		_, err := ParseInputs("s.toml", []byte(c.text), open)
 		for _, w := range c.want {
 			if err == nil || !strings.Contains(err.Error(), w) {
-				t.Errorf("%s: no %q in\n%v", name, w, err)
+				t.Errorf("%s: the error lacks %q:\n%v", name, w, err)
 			}
 		}
 	}
 }
 
-// TestLacks: what the arithmetic needs and the file does not say is named; no table comes of it.
+// TestMissingInputs checks that the error names each input that the tables need and the file lacks, and that
+// no tables are returned.
 func TestMissingInputs(t *testing.T) {
 	_, open := leaderRun(t)
 	s, err := ParseInputs("s.toml", []byte(leaderSlope), open)
@@ -69,13 +72,13 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Tables(); err == nil || !strings.Contains(err.Error(), "schedulers") || !strings.Contains(err.Error(), "known_mb@100") {
-		t.Errorf("%v", err)
+		t.Errorf("the error does not name the missing inputs: %v", err)
 	}
 }
 
 const inputsFile, pageFile = "../../docs/capacity/size.toml", "../../docs/CAPACITY.md"
 
-// TestPage: the tables of the page are what the command prints, to the digit.
+// TestPage checks that the tables of the page are exactly what the command prints.
 func TestPage(t *testing.T) {
 	s, err := LoadInputs(inputsFile, os.ReadFile)
 	if err != nil {
@@ -90,12 +93,13 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(text), tables.Text()) {
-		t.Errorf("%s does not hold what bin/weldlab capacity prints:\n%s", pageFile, tables.Text())
+		t.Errorf("%s does not contain the tables that bin/weldlab capacity prints:\n%s", pageFile, tables.Text())
 	}
 }
 
-// TestArithmetic: rows against figures worked out by hand from the file's own slopes: a ratio is what we come to over its bound,
-// at half, once and double the schedulers; what is carried on beyond the run is called fitted.
+// TestArithmetic checks rows against values computed from the file's own slopes: a ratio is the value over
+// its bound, at half, once and double the schedulers, and a value beyond the sizes of the run is called
+// fitted.
 func TestArithmetic(t *testing.T) {
 	s, err := LoadInputs(inputsFile, os.ReadFile)
 	if err != nil {
@@ -108,7 +112,7 @@
 	n := s.value("schedulers")
 	for k, size := range []float64{n / 2, n, 2 * n} {
 		if tables.Schedulers[k] != size {
-			t.Errorf("schedulers %v", tables.Schedulers)
+			t.Errorf("numbers of schedulers: %v", tables.Schedulers)
 		}
 		for _, r := range tables.Requirements {
 			if !strings.Contains(r.Name, "control at a scheduler: link") {
@@ -117,7 +121,7 @@
 			for _, x := range s.Slopes {
 				if x.Name == "member_bytes@1.1" {
 					if want := x.Intercept + x.PerUnit*size; r.Values[k] != want || r.Ratios[k] != want/s.value("control_bytes") {
-						t.Errorf("%s: %v and %v at %v, wanted %v", r.Name, r.Values, r.Ratios, size, want)
+						t.Errorf("%s: values %v and ratios %v at %v schedulers, want value %v", r.Name, r.Values, r.Ratios, size, want)
 					}
 				}
 			}
@@ -126,7 +130,7 @@
 	last := 1e300
 	for _, r := range tables.WorstFirst() {
 		if r.Ratios[1] > last {
-			t.Errorf("%s stands behind a smaller ratio", r.Name)
+			t.Errorf("%s comes after a smaller ratio", r.Name)
 		}
 		last = r.Ratios[1]
 	}
@@ -136,7 +140,7 @@
 		var at float64
 		fmt.Sscan(name, &slope, &at)
 		if y, basis := s.estimate(slope, at); basis != want || y != 1+at {
-			t.Errorf("%s: %v, %s", name, y, basis)
+			t.Errorf("%s: value %v, basis %q", name, y, basis)
 		}
 	}
 }
--- a/internal/capacity/inputs.go
+++ b/internal/capacity/inputs.go
@@ -1,8 +1,10 @@
-// Package capacity works out what a size comes to, from slopes that runs have measured: a file says the size, what is assumed
-// and which slope comes from which run; the tables say what each line and each role come to, beside its bound. It is pure but
-// for Load, and must never hold a figure of its own: what is not in the file or in a run cannot come out.
+// Package capacity estimates the load and the memory of a deployment of a given size, from slopes that runs
+// of package scaletest have measured. A file gives the size, the assumptions, and which slope comes from
+// which run. The tables show the value of each requirement and each role beside its bound. The package does
+// no I/O except in LoadInputs. It must never contain a parameter of its own: every value in the tables comes
+// from the file or from a run.
 //
-// This file owns the file: what it may say, and whether its slopes are those of their runs.
+// This file defines the input file, and checks that its slopes are those of their runs.
 package capacity
 
 import (
@@ -15,7 +17,7 @@
 	"weldmast/internal/tomlfile"
 )
 
-// Quantity is a figure of the size, or an assumption.
+// Quantity is a parameter of the deployment's size, or an assumption.
 type Quantity struct {
 	Name  string  `toml:"name" need:"true"`
 	Value float64 `toml:"value" need:"true" min:"0"`
@@ -23,38 +25,40 @@
 	Why   string  `toml:"why"`
 }
 
-// Slope is a line through points of a run.
+// Slope is a line through the points of a run: y = Intercept + PerUnit x.
 type Slope struct {
 	Name      string  `toml:"name" need:"true"`
 	Unit      string  `toml:"unit" need:"true"`
-	Run       string  `toml:"run" need:"true"` // beside the file
-	Intercept float64 `toml:"at" need:"true"`  // at size 0
+	Run       string  `toml:"run" need:"true"` // path of the run's result, relative to the file
+	Intercept float64 `toml:"at" need:"true"`  // value at size 0
 	PerUnit   float64 `toml:"each" need:"true" min:"0"`
-	Low       float64 `toml:"low"` // of the slope, 95%
+	Low       float64 `toml:"low"` // 95% interval of PerUnit, as is High
 	High      float64 `toml:"high"`
-	// Off is by which part the line through the other points misses the largest one.
+	// RelativeError is the error of a line through the other points at the largest one, as a share of the
+	// measured value.
 	RelativeError float64 `toml:"off"`
-	// To is the largest size that was measured; beyond it the line is carried on.
+	// LargestSize is the largest size that was measured; values beyond it are extrapolated.
 	LargestSize float64 `toml:"to" need:"true" min:"1"`
 }
 
-// Sheet is the file.
+// Inputs is the input file.
 type Inputs struct {
 	About       string     `toml:"about"`
 	Quantities  []Quantity `toml:"size"`
 	Assumptions []Quantity `toml:"assumption"`
 	Slopes      []Slope    `toml:"slope"`
 
-	missing []string // names that were asked for and are not there
+	missing []string // names that were requested and are not in the file
 }
 
-// near tells whether a figure of the file is the run's, to the four digits that files are written with.
+// matches tells whether a number in the file is that of the run, to the four digits that such files are
+// written with.
 func matches(a, b float64) bool {
 	return math.Abs(a-b) <= 6e-4*max(math.Abs(a), math.Abs(b))+1e-12 || math.IsInf(a, 0) && math.IsInf(b, 0)
 }
 
-// Read makes a sheet of a file's text; open gives the text of a run that it names. An error lists every fault with its line and
-// key.
+// ParseInputs parses the text of an input file; open returns the text of a run that the file names. An error
+// lists every fault with its line and key.
 func ParseInputs(file string, text []byte, open func(run string) ([]byte, error)) (*Inputs, error) {
 	s := &Inputs{}
 	d := tomlfile.Parse(file, text)
@@ -65,7 +69,7 @@
 	seen := map[string]bool{}
 	checkName := func(key, name, unit string) {
 		if name == "" || seen[name] {
-			d.AddFault(key+".name", "%q is there twice, or is no name", name)
+			d.AddFault(key+".name", "%q is empty or is defined twice", name)
 		}
 		if seen[name] = true; unit == "" {
 			d.AddFault(key+".unit", "%s has no unit", name)
@@ -77,7 +81,7 @@
 	for k, q := range s.Assumptions {
 		checkName(fmt.Sprintf("assumption.%d", k), q.Name, q.Unit)
 		if q.Why == "" {
-			d.AddFault(fmt.Sprintf("assumption.%d", k), "%s: why it is assumed is missing", q.Name)
+			d.AddFault(fmt.Sprintf("assumption.%d", k), "%s: an assumption needs its reason (why)", q.Name)
 		}
 	}
 	runs := map[string]*scaletest.Result{}
@@ -104,7 +108,7 @@
 		case r.Void != "":
 			d.AddFault(key+".run", "the run %s is void: %s", x.Run, r.Void)
 		case measured.Unit != x.Unit:
-			d.AddFault(key+".unit", "%s is in %s, the run has it in %s", x.Name, x.Unit, measured.Unit)
+			d.AddFault(key+".unit", "%s has the unit %s, in its run %s", x.Name, x.Unit, measured.Unit)
 		case !matches(x.Intercept, measured.Fit.Intercept) || !matches(x.PerUnit, measured.Fit.Slope) || !matches(x.Low, measured.Fit.Low) || !matches(x.High, measured.Fit.High) || math.Abs(x.RelativeError-measured.Fit.RelativeError) > 0.006 || x.LargestSize != measured.Fit.LargestX:
 			d.AddFault(key, "%s is not what its run %s gives: at %s, each %s, low %s, high %s, off %.2f, to %g", x.Name, x.Run, scaletest.FormatNumber(measured.Fit.Intercept),
 				scaletest.FormatNumber(measured.Fit.Slope), scaletest.FormatNumber(measured.Fit.Low), scaletest.FormatNumber(measured.Fit.High), measured.Fit.RelativeError, measured.Fit.LargestX)
@@ -113,7 +117,7 @@
 	return s, d.Err()
 }
 
-// Load reads a file and the runs beside it.
+// LoadInputs reads an input file and the runs that it names.
 func LoadInputs(path string, read func(string) ([]byte, error)) (*Inputs, error) {
 	text, err := read(path)
 	if err != nil {
@@ -122,7 +126,7 @@
 	return ParseInputs(path, text, func(run string) ([]byte, error) { return read(filepath.Join(filepath.Dir(path), run)) })
 }
 
-// value is a figure of the size or an assumption.
+// value returns a quantity or an assumption. A name that the file lacks gives NaN and is added to missing.
 func (s *Inputs) value(name string) float64 {
 	for _, all := range [][]Quantity{s.Quantities, s.Assumptions} {
 		for _, q := range all {
@@ -135,7 +139,8 @@
 	return math.NaN()
 }
 
-// line is what a slope comes to at a size, and how that is known.
+// estimate returns the value of a slope at a size, and whether that size was measured or is extrapolated. A
+// name that the file lacks gives NaN and is added to missing.
 func (s *Inputs) estimate(name string, size float64) (y float64, basis string) {
 	for _, x := range s.Slopes {
 		if x.Name != name {
@@ -154,5 +159,6 @@
 	return math.NaN(), "missing"
 }
 
-// offMost is by how much the largest point may be off before its line may not be multiplied up.
+// maxRelativeError is the largest RelativeError with which a slope may be extrapolated; above it the basis
+// says "not held".
 const maxRelativeError = 0.15
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -1,4 +1,5 @@
-// This file owns the tables: each row's arithmetic. A ratio is what we come to over its bound; over 1 does not hold.
+// This file computes the rows of the tables. A ratio is the estimated value over its bound; above 1 the bound
+// is broken.
 
 package capacity
 
@@ -13,19 +14,19 @@
 	"weldmast/internal/scaletest"
 )
 
-// Row is a line of the size, or a role.
+// Row is a requirement of the deployment's size, the load of a role, or the consequence of a failure.
 type Row struct {
 	Name       string     `json:"line"`
-	Component  string     `json:"carrier"`         // the package, or missing
-	Bound      string     `json:"bound,omitempty"` // in words, with its figure
+	Component  string     `json:"carrier"`         // the package that does the work, or Missing with the reason
+	Bound      string     `json:"bound,omitempty"` // as text, with its number
 	Unit       string     `json:"unit,omitempty"`
-	Values     [3]float64 `json:"comes"` // at half, once and double the schedulers that are assumed
-	Ratios     [3]float64 `json:"ratio"` // to the bound; 0: there is none
+	Values     [3]float64 `json:"comes"` // at half, once and double the assumed number of schedulers
+	Ratios     [3]float64 `json:"ratio"` // value over bound; 0 without a bound
 	Basis      string     `json:"basis"`
 	limitValue float64
 }
 
-// Tables are all that a page shows.
+// Tables are the tables of the capacity page.
 type Tables struct {
 	Schedulers   [3]float64 `json:"schedulers"`
 	Requirements []Row      `json:"lines"`
@@ -35,21 +36,21 @@
 	Quantities   []Quantity `json:"-"`
 }
 
-// Missing is a carrier that is not there yet.
+// Missing is the component of a row whose feature does not exist yet.
 const Missing = "**missing**"
 
-// Tables works the tables out; an error names what the file lacks.
+// Tables computes the tables; an error names the inputs that the file lacks.
 func (s *Inputs) Tables() (*Tables, error) {
 	t := &Tables{Slopes: s.Slopes, Quantities: append(slices.Clone(s.Quantities), s.Assumptions...)}
 	n := s.value("schedulers")
 	t.Schedulers = [3]float64{n / 2, n, 2 * n}
-	// row works one out at the three sizes.
+	// row computes a row at the three numbers of schedulers.
 	row := func(name, component, unit, bound string, limit float64, value func(schedulers float64) (float64, string)) Row {
 		r := Row{Name: name, Component: component, Unit: unit, Bound: bound, limitValue: limit}
 		for k, size := range t.Schedulers {
 			var basis string
 			if r.Values[k], basis = value(size); k == 0 || strings.HasPrefix(basis, "fitted") {
-				r.Basis = basis // the least that is known of any of the three
+				r.Basis = basis // an extrapolated value decides the basis of the row
 			}
 			if limit > 0 {
 				r.Ratios[k] = r.Values[k] / limit
@@ -66,7 +67,7 @@
 	}
 	controlCPU, controlMB, controlBytes := s.value("control_cpu"), s.value("control_memory"), s.value("control_bytes")
 	workers, starts, running, teams := s.value("workers"), s.value("starts"), s.value("running"), s.value("teams")
-	startCost := func() (float64, string) { // CPU seconds of a start where all workers are known
+	startCost := func() (float64, string) { // CPU seconds per start of a job, with all workers known
 		idle, _ := s.estimate("known_cpu@0", workers)
 		at, basis := s.estimate("known_cpu@100", workers)
 		return (at - idle) / 100, basis
@@ -142,7 +143,8 @@
 	return t, nil
 }
 
-// Worst are the rows that have a bound and a carrier, worst first, by the ratio at the schedulers that are assumed.
+// WorstFirst returns the rows that have a bound, without repeated ones, sorted by their ratio at the assumed
+// number of schedulers, highest first.
 func (t *Tables) WorstFirst() (all []Row) {
 	for _, r := range slices.Concat(t.Requirements, t.Roles, t.Failures) {
 		if r.limitValue > 0 && !slices.ContainsFunc(all, func(x Row) bool { return x.Values == r.Values && x.Bound == r.Bound }) {
@@ -153,7 +155,7 @@
 	return all
 }
 
-// Text is the tables as the page has them.
+// Text formats the tables as they stand on the capacity page.
 func (t *Tables) Text() string {
 	var b strings.Builder
 	formatThree := func(x [3]float64) string {
