--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -265,7 +265,7 @@
 	// Slope 2.3, intercept 0.5; residuals 0.2, -0.1, -0.4, 0.3 with squares that sum to 0.3; squared
 	// deviations of x sum to 5; t(0.975, 2) = 4.3027.
 	half := 4.302653 * math.Sqrt(0.3/2/5)
-	for what, x := range map[string][2]float64{"slope": {f.Slope, 2.3}, "at": {f.Intercept, 0.5}, "low": {f.Low, 2.3 - half}, "high": {f.High, 2.3 + half}, "predicted": {f.Predicted, 9}, "off": {f.RelativeError, -0.1}} {
+	for what, x := range map[string][2]float64{"slope": {f.Slope, 2.3}, "intercept": {f.Intercept, 0.5}, "low": {f.Low, 2.3 - half}, "high": {f.High, 2.3 + half}, "predicted": {f.Predicted, 9}, "relative error": {f.RelativeError, -0.1}} {
 		if math.Abs(x[0]-x[1]) > 1e-6 {
 			t.Errorf("%s is %v, want %v", what, x[0], x[1])
 		}
