--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -585,7 +585,7 @@
 }
 
 // traffic sends jobs at an even rate, to the dispatchers in turn, and counts those sent and those served.
-func (u *run) traffic(ctx context.Context, dispatchers []*dispatcher, rate float64, teams int, sent, served *atomic.Int64) {
+func (u *run) traffic(ctx context.Context, dispatchers []*dispatcher, rate float64, teams int, ended, served *atomic.Int64) {
 	if rate <= 0 {
 		return
 	}
@@ -610,7 +610,7 @@
 			if client.DoTimeout(q, r, 5*time.Second) == nil && r.StatusCode() == fasthttp.StatusOK {
 				served.Add(1)
 			}
-			sent.Add(1)
+			ended.Add(1)
 		})
 	}
 }
