--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -50,7 +50,7 @@
 		for k, size := range t.Schedulers {
 			var basis string
 			if r.Values[k], basis = value(size); k == 0 || strings.HasPrefix(basis, "fitted") {
-				r.Basis = basis // an extrapolated value decides the basis of the row
+				r.Basis = basis // the least certain basis of the three
 			}
 			if limit > 0 {
 				r.Ratios[k] = r.Values[k] / limit
--- a/internal/scaletest/plan.go
+++ b/internal/scaletest/plan.go
@@ -19,29 +19,29 @@
 type Plan struct {
 	About  string `toml:"about"`
 	Voters int    `toml:"voters" min:"1" max:"5"`
-	// real ones, under traffic; two more followers get none
+	// Dispatchers is the number of real dispatchers, all under traffic. Two more followers get none.
 	Dispatchers  int             `toml:"dispatchers" min:"1" max:"100"`
 	JobRate      float64         `toml:"rate" min:"0"`          // jobs per second over all dispatchers
 	FleetWorkers int             `toml:"fleet_workers" min:"1"` // stub workers that all dispatchers share
 	Heartbeat    tomlfile.Millis `toml:"beat" min:"20"`
 	Lease        tomlfile.Millis `toml:"lease" min:"100"`
-	Members      []int           `toml:"members" min:"1"` // series: number of members of the fleet, growing
-	// published versions per second, each measured at each size
+	Members      []int           `toml:"members" min:"1"` // a series: the number of members of the fleet, growing
+	// VersionRates are numbers of versions published per second. Each is measured at each number of members.
 	VersionRates []float64 `toml:"versions" min:"0"`
-	// the largest size at which each rate is measured; empty: all sizes
+	// VersionsUpTo is, for each rate, the largest number of members at which it is measured. Empty: at all.
 	VersionsUpTo []int `toml:"versions_up_to" min:"1"`
 	VersionBytes int   `toml:"text" min:"64" max:"65536"` // size of a version
-	// series: number of workers known to one dispatcher, growing
+	// Workers is a series: the number of workers known to one dispatcher, growing.
 	Workers   []int   `toml:"workers" min:"1" max:"60000"`
 	KnownRate float64 `toml:"known_rate" min:"0"` // jobs per second in the series of workers and teams
-	// stub dispatchers that also watch discovery, in the series of workers and teams
+	// Watchers is the number of stub dispatchers that also watch discovery, in the series of workers and teams.
 	Watchers        int             `toml:"watchers" min:"0"`
-	Teams           []int           `toml:"teams" min:"1"` // series: number of tenants in the settings, growing
+	Teams           []int           `toml:"teams" min:"1"` // a series: the number of tenants, growing
 	StubsPerSecond  float64         `toml:"grow" min:"1"`  // stub members started per second
 	StubsPerProcess int             `toml:"each" min:"1"`  // stub members in one process
 	SettleTime      tomlfile.Millis `toml:"settle" min:"0"`
 	MeasureTime     tomlfile.Millis `toml:"measure" min:"100"`
-	MaxLateness     tomlfile.Millis `toml:"late" min:"1"`             // a stub process whose timers are later at p99 voids the run
+	MaxLateness     tomlfile.Millis `toml:"late" min:"1"`             // of a stub process's timers at p99; above it the run is void
 	MemoryShare     float64         `toml:"memory" min:"0" max:"0.5"` // largest share of the machine's memory
 	MaxProcesses    int             `toml:"processes" min:"1" max:"300"`
 	// Estimated memory of each real process, stub member and stub worker address. They serve only to refuse a
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// metrics are the values that lines are fitted to. The bytes and reads of a role are those of its system calls. For a
-// role that does no other I/O, they are the traffic of its connections.
+// metrics are the values that lines are fitted to. The bytes and reads of a role are those of its system calls.
+// For a role that does no other I/O, they are the traffic of its connections.
 var metrics = []metric{
 	{"leader_cpu", "cores", "members", usageOf("leader", func(u Usage) float64 { return u.CPU })},
 	{"leader_mb", "MB", "members", usageOf("leader", func(u Usage) float64 { return u.ResidentMB })},
--- a/internal/scaletest/rounds.go
+++ b/internal/scaletest/rounds.go
@@ -44,9 +44,9 @@
 type Rounds struct {
 	Idle  float64 `json:"round_idle_ms,omitempty"`  // no input
 	Start float64 `json:"round_start_ms,omitempty"` // one job arrives and is handed off, and one other job ends
-	// the same with 100 jobs at once; only with at least twice as many workers
+	// Batch is like Start with 100 jobs at once. It needs at least twice as many workers.
 	Batch float64 `json:"round_batch_ms,omitempty"`
-	// like Start, with a change of the worker list: a worker drains or is up again
+	// Change is like Start, with a change of the worker list: a worker drains or is up again.
 	Change float64 `json:"round_change_ms,omitempty"`
 }
 
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -45,7 +45,7 @@
 	Processes  int     `json:"processes"`
 	CPU        float64 `json:"cpu"` // share of one core
 	ResidentMB float64 `json:"resident_mb"`
-	// bytes of read and write system calls: sockets, and for real members also files
+	// The system calls that read and write, and their bytes: of sockets, and for real members also of files.
 	Read    float64 `json:"read_bytes"`
 	Written float64 `json:"written_bytes"`
 	Reads   float64 `json:"reads"`
@@ -64,7 +64,7 @@
 	InForceP50  float64          `json:"in_force_p50_ms,omitempty"`
 	InForceP99  float64          `json:"in_force_p99_ms,omitempty"`
 	InForceMax  float64          `json:"in_force_all_ms,omitempty"`
-	// versions whose publish time was unknown when a member skipped them, so that no delay is known
+	// Unmeasured counts versions whose publish time was unknown when a member skipped them. They have no delay.
 	Unmeasured  int       `json:"unknown,omitempty"`
 	Behind      int       `json:"behind,omitempty"` // stub members without the newest version at the end
 	StubLink    LinkUsage `json:"member_link"`      // mean of the stub members
@@ -92,7 +92,7 @@
 	PeakMB        float64 `json:"most_mb"`
 	PeakProcesses int     `json:"most_processes"`
 	Seconds       float64 `json:"seconds"`
-	// the size at which members were no longer current in time, with their states
+	// LimitReached is the size at which not all members became current in time, with the states of the others.
 	LimitReached string `json:"ends,omitempty"`
 	Void         string `json:"void,omitempty"`
 	Interrupted  bool   `json:"interrupted,omitempty"`
@@ -108,6 +108,7 @@
 	ended  chan struct{}
 }
 
+// run is the state of one run.
 type run struct {
 	plan          *Plan
 	options       Options
@@ -584,7 +585,8 @@
 	}
 }
 
-// traffic sends jobs at an even rate, to the dispatchers in turn, and counts those sent and those served.
+// traffic sends jobs at an even rate, to the dispatchers in turn, and counts those that have ended and those
+// served.
 func (u *run) traffic(ctx context.Context, dispatchers []*dispatcher, rate float64, teams int, ended, served *atomic.Int64) {
 	if rate <= 0 {
 		return
--- a/internal/scaletest/stub.go
+++ b/internal/scaletest/stub.go
@@ -291,7 +291,7 @@
 						return
 					}
 					go func() {
-						_ = server.ServeConn(c) // errors of a connection don't matter here
+						_ = server.ServeConn(c) // how a connection ends does not matter
 						c.Close()
 					}()
 				}
@@ -332,7 +332,7 @@
 	q.SetRequestURI("http://" + to + "/callback")
 	q.Header.SetMethod(fasthttp.MethodPost)
 	q.SetBodyString(fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"ok"}`, id, from, state))
-	_ = h.client.Do(q, r) // a failed callback needs no retry: the dispatcher has ended
+	_ = h.client.Do(q, r) // no retry: a dispatcher that has ended needs no callback
 }
 
 func (h *stubWorkers) report(r *Report) {
