--- a/cmd/weldlab/commands.go
+++ b/cmd/weldlab/commands.go
@@ -12,7 +12,7 @@
 
 	"weldmast/internal/fleetmodel"
 	"weldmast/internal/lab"
-	"weldmast/internal/sockets"
+	"weldmast/internal/realtime"
 )
 
 // output is where results go besides the terminal.
@@ -74,9 +74,9 @@
 	LateMost    float64 `default:"100" help:"On sockets: the same at most."`
 }
 
-func (p *program) options() sockets.Options {
-	return sockets.Options{Program: p.Program, File: p.File, Logs: p.Logs, MemoryMB: p.MemoryMB, Descriptors: p.Descriptors,
-		Cores: p.Cores, LateP99: p.LateP99, LateMost: p.LateMost}
+func (p *program) options() realtime.Options {
+	return realtime.Options{Program: p.Program, OperatorFile: p.File, LogDir: p.Logs, MemoryMB: p.MemoryMB, Descriptors: p.Descriptors,
+		Cores: p.Cores, MaxLatenessP99: p.LateP99, MaxLateness: p.LateMost}
 }
 
 // verdict is the error to end with after results.
@@ -104,21 +104,21 @@
 }
 
 func (c *runCommand) Run(ctx context.Context, s *streams) error {
-	x, err := lab.Load(c.Path, c.Set...)
+	x, err := lab.LoadExperiment(c.Path, c.Set...)
 	if err != nil {
 		return err
 	}
-	if c.Sockets && c.Policy != lab.Own {
+	if c.Sockets && c.Policy != lab.OwnPolicy {
 		return fmt.Errorf("baselines are played in virtual time only")
 	}
-	progress, done := s.bar(lab.Name(c.Path))
+	progress, done := s.bar(lab.ExperimentName(c.Path))
 	var r *lab.Result
 	if c.Sockets {
 		o := c.options()
 		o.Progress = progress
-		r, err = lab.Sockets(ctx, lab.Name(c.Path), x, c.Seed, o)
+		r, err = lab.RunRealTime(ctx, lab.ExperimentName(c.Path), x, c.Seed, o)
 	} else {
-		r, err = lab.Virtual(ctx, lab.Name(c.Path), x, c.Seed, c.Policy, progress)
+		r, err = lab.RunVirtual(ctx, lab.ExperimentName(c.Path), x, c.Seed, c.Policy, progress)
 	}
 	done()
 	if err != nil {
@@ -154,18 +154,18 @@
 }
 
 func (c *compareCommand) Run(ctx context.Context, s *streams) error {
-	x, err := lab.Load(c.Path, c.Set...)
+	x, err := lab.LoadExperiment(c.Path, c.Set...)
 	if err != nil {
 		return err
 	}
-	progress, done := s.bar(lab.Name(c.Path))
+	progress, done := s.bar(lab.ExperimentName(c.Path))
 	var as, bs []*lab.Result
 	if c.Sockets {
 		a, b := c.options(), c.options()
 		a.Program, b.Program = c.A, c.B
-		as, bs, err = lab.CompareBuilds(ctx, lab.Name(c.Path), x, a, b, seeds(c.Seed, c.Seeds))
+		as, bs, err = lab.CompareBuilds(ctx, lab.ExperimentName(c.Path), x, a, b, seeds(c.Seed, c.Seeds))
 	} else {
-		as, bs, err = lab.Compare(ctx, lab.Name(c.Path), x, c.A, c.B, seeds(c.Seed, c.Seeds), progress)
+		as, bs, err = lab.Compare(ctx, lab.ExperimentName(c.Path), x, c.A, c.B, seeds(c.Seed, c.Seeds), progress)
 	}
 	done()
 	if err != nil {
@@ -188,14 +188,14 @@
 func (c *sweepCommand) Run(ctx context.Context, s *streams) error {
 	var xs []*fleetmodel.Experiment
 	for _, v := range c.Values {
-		x, err := lab.Load(c.File, c.Key+"="+v)
+		x, err := lab.LoadExperiment(c.File, c.Key+"="+v)
 		if err != nil {
 			return err
 		}
 		xs = append(xs, x)
 	}
 	progress, done := s.bar(c.Key)
-	all, err := lab.Sweep(ctx, lab.Name(c.File), c.Key, c.Values, xs, c.Policy, seeds(c.Seed, c.Seeds), progress)
+	all, err := lab.Sweep(ctx, lab.ExperimentName(c.File), c.Key, c.Values, xs, c.Policy, seeds(c.Seed, c.Seeds), progress)
 	done()
 	if err != nil {
 		return err
@@ -218,14 +218,14 @@
 	var names []string
 	var xs []*fleetmodel.Experiment
 	for _, f := range c.Files {
-		x, err := lab.Load(f)
+		x, err := lab.LoadExperiment(f)
 		if err != nil {
 			return err
 		}
-		names, xs = append(names, lab.Name(f)), append(xs, x)
+		names, xs = append(names, lab.ExperimentName(f)), append(xs, x)
 	}
 	progress, done := s.bar("table")
-	table, err := lab.Table(ctx, names, xs, c.Policies, seeds(c.Seed, c.Seeds), progress)
+	table, err := lab.RunTable(ctx, names, xs, c.Policies, seeds(c.Seed, c.Seeds), progress)
 	done()
 	if err != nil {
 		return err
@@ -241,7 +241,7 @@
 
 func (c *theoryCommand) Run(ctx context.Context, s *streams) error {
 	progress, done := s.bar("theory")
-	laws, err := lab.Theory(ctx, c.Repeats, c.Jobs, progress)
+	laws, err := lab.CheckTheory(ctx, c.Repeats, c.Jobs, progress)
 	done()
 	if err != nil {
 		return err
@@ -259,14 +259,14 @@
 func (c *worldsCommand) Run(ctx context.Context, s *streams) error {
 	progress, done := s.bar("worlds")
 	began := time.Now()
-	t, err := lab.Worlds(ctx, c.First, c.Count, c.Crowded, progress)
+	t, err := lab.RunScenarios(ctx, c.First, c.Count, c.Crowded, progress)
 	done()
-	fmt.Fprintf(s.out, "%d worlds, %d jobs, %d faults in %.1f s: %d worlds with a broken rule\n", t.Worlds, t.Jobs, t.Faults,
-		time.Since(began).Seconds(), len(t.Broken))
-	for _, b := range t.Broken[:min(len(t.Broken), 60)] {
-		fmt.Fprintf(s.out, "world %d: %v\n", b.World, b.Verdict)
+	fmt.Fprintf(s.out, "%d worlds, %d jobs, %d faults in %.1f s: %d worlds with a broken rule\n", t.Scenarios, t.Jobs, t.Faults,
+		time.Since(began).Seconds(), len(t.Failed))
+	for _, b := range t.Failed[:min(len(t.Failed), 60)] {
+		fmt.Fprintf(s.out, "world %d: %v\n", b.Number, b.Violation)
 	}
-	if err == nil && len(t.Broken) > 0 {
+	if err == nil && len(t.Failed) > 0 {
 		return errBroken
 	}
 	return err
--- a/cmd/weldlab/live.go
+++ b/cmd/weldlab/live.go
@@ -14,7 +14,7 @@
 
 	"weldmast/internal/fleetmodel"
 	"weldmast/internal/lab"
-	"weldmast/internal/sockets"
+	"weldmast/internal/realtime"
 )
 
 type ceilingCommand struct {
@@ -42,20 +42,20 @@
 		if err != nil {
 			return fmt.Errorf("profile: %w", err)
 		}
-		o.File = filepath.Join(dir, "operator.toml")
-		if err := os.WriteFile(o.File, fmt.Appendf(nil, "[profile]\ncpu = %q\n", path), 0o600); err != nil {
+		o.OperatorFile = filepath.Join(dir, "operator.toml")
+		if err := os.WriteFile(o.OperatorFile, fmt.Appendf(nil, "[profile]\ncpu = %q\n", path), 0o600); err != nil {
 			return fmt.Errorf("profile: %w", err)
 		}
-		o.Gentle = true
+		o.GracefulStop = true
 	}
-	fmt.Fprintln(s.out, lab.StepHead)
-	steps, err := lab.Ceiling(ctx, c.Path, c.Set, o, c.From, c.Factor, c.Bound, func(x lab.Step) { x.Print(s.out) })
+	fmt.Fprintln(s.out, lab.StepHeader)
+	steps, err := lab.FindCeiling(ctx, c.Path, c.Set, o, c.From, c.Factor, c.Bound, func(x lab.Step) { x.Print(s.out) })
 	if err != nil {
 		return err
 	}
 	var best *lab.Step
 	for k := range steps {
-		if steps[k].Within(c.Bound) {
+		if steps[k].WithinBound(c.Bound) {
 			best = &steps[k]
 		}
 	}
@@ -63,7 +63,7 @@
 		fmt.Fprintln(s.out, "not even the first rate was carried")
 	} else {
 		fmt.Fprintf(s.out, "ceiling: %.0f work items a second with %.2f CPUs, %.1f us each, added p99 %.2f ms; the next rate passed the bound\n",
-			best.Rate, best.Busy, best.CPU, best.Added.P99)
+			best.Rate, best.CPUsUsed, best.CPUPerItem, best.Added.P99)
 	}
 	if c.Profile != "" {
 		return lab.TopCPU(s.out, c.Profile, 15)
@@ -107,7 +107,7 @@
 	}
 	inject := make(chan func(*fleetmodel.Model), 16)
 	o := c.options()
-	o.Inject, o.Endless, o.LateP99, o.LateMost = inject, c.Seconds == 0, 1e6, 1e6
+	o.Inject, o.Endless, o.MaxLatenessP99, o.MaxLateness = inject, c.Seconds == 0, 1e6, 1e6
 	strike := func(f fleetmodel.Fault) { inject <- func(w *fleetmodel.Model) { w.InjectFault(f) } }
 	if c.Fault != "" {
 		found := false
@@ -165,12 +165,12 @@
 			fmt.Fprintln(s.out, count(x, w))
 		}
 	}
-	p, err := sockets.Play(ctx, x, 1, o)
+	p, err := realtime.Run(ctx, x, 1, o)
 	if err != nil {
 		return err
 	}
-	r := lab.Count(p.World, p.Start)
-	r.Experiment, r.Driver, r.Policy, r.Interrupted = "demo", "sockets", o.Program, c.Seconds > 0 && !p.Whole
+	r := lab.Summarize(p.Model, p.ArrivalStart)
+	r.Experiment, r.Driver, r.Policy, r.Interrupted = "demo", "sockets", o.Program, c.Seconds > 0 && !p.Complete
 	var text strings.Builder
 	r.Print(&text)
 	fmt.Fprint(s.out, newline+strings.ReplaceAll(text.String(), "\n", newline))
--- a/cmd/weldlab/storm.go
+++ b/cmd/weldlab/storm.go
@@ -26,7 +26,7 @@
 }
 
 func (c *stormCommand) Run(ctx context.Context, s *streams) error {
-	x, err := lab.Load(c.Path, c.Set...)
+	x, err := lab.LoadExperiment(c.Path, c.Set...)
 	if err != nil {
 		return err
 	}
@@ -34,32 +34,32 @@
 		return fmt.Errorf("a fleet is played on sockets only: say --sockets")
 	}
 	o := c.options()
-	o.Voter = c.Voter
-	all, err := lab.Storms(ctx, x, c.Seed, c.Count, c.Side, o, s.out)
+	o.VoterProgram = c.Voter
+	all, err := lab.RunChaosSeries(ctx, x, c.Seed, c.Count, c.Side, o, s.out)
 	if err != nil {
 		return err
 	}
-	var broken []lab.Stormed
+	var broken []lab.ChaosResult
 	void, late := 0, 0
 	for _, b := range all {
-		late += b.Late
-		if len(b.Verdicts) > 0 {
+		late += b.LateActions
+		if len(b.Violations) > 0 {
 			broken = append(broken, b)
 		} else if b.Void != "" {
 			void++
 		}
 	}
 	for _, b := range broken {
-		for k, v := range b.Verdicts {
+		for k, v := range b.Violations {
 			if k == 10 {
-				fmt.Fprintf(s.out, "seed %d: and %d more\n", b.Seed, len(b.Verdicts)-k)
+				fmt.Fprintf(s.out, "seed %d: and %d more\n", b.Seed, len(b.Violations)-k)
 				break
 			}
 			fmt.Fprintf(s.out, "seed %d: %s\n", b.Seed, v)
 		}
 	}
 	if c.Cut && len(broken) > 0 {
-		faults, err := lab.Cut(ctx, broken[0], o, s.out)
+		faults, err := lab.MinimizeFaults(ctx, broken[0], o, s.out)
 		if err != nil {
 			return err
 		}
@@ -68,7 +68,7 @@
 		}
 	}
 	if x.Fleet != nil {
-		found, up := lab.StallFigures(all, float64(x.Fleet.HeartbeatInterval))
+		found, up := lab.PauseDelays(all, float64(x.Fleet.HeartbeatInterval))
 		fmt.Fprintf(s.out, "stalls: found %s; current again after going on %s; late acts %d\n", quantiles(found), quantiles(up), late)
 	}
 	fmt.Fprintf(s.out, "void %d\nstorms %d, broken %d\n", void, c.Count, len(broken))
--- a/internal/lab/ceiling.go
+++ b/internal/lab/ceiling.go
@@ -11,17 +11,17 @@
 
 	"github.com/google/pprof/profile"
 
-	"weldmast/internal/sockets"
+	"weldmast/internal/realtime"
 )
 
 // Step is one rate that was played.
 type Step struct {
 	Rate        float64     `json:"rate"` // work items a second that were wanted
-	Done        float64     `json:"done"` // that were finished in time
+	Completed   float64     `json:"done"` // that were finished in time
 	Service     float64     `json:"service"`
 	Added       Percentiles `json:"added"` // latency beyond the work itself
-	CPU         float64     `json:"cpu"`   // microseconds of CPU for each work item
-	Busy        float64     `json:"busy"`  // CPU seconds in a second
+	CPUPerItem  float64     `json:"cpu"`   // microseconds of CPU for each work item
+	CPUsUsed    float64     `json:"busy"`  // CPU seconds in a second
 	MemoryMB    float64     `json:"memory_mb"`
 	IdleMB      float64     `json:"idle_mb"`
 	Descriptors int         `json:"descriptors"`
@@ -29,7 +29,7 @@
 }
 
 // Within tells whether the step kept the bound on what is added at p99, and served nearly all in time.
-func (s *Step) Within(bound float64) bool {
+func (s *Step) WithinBound(bound float64) bool {
 	return s.Added.P99 <= bound && s.Service >= 0.99 && s.Void == ""
 }
 
@@ -37,15 +37,15 @@
 const tries = 3
 
 // Ceiling raises the open-loop rate by a factor until the added p99 passes the bound in milliseconds.
-func Ceiling(ctx context.Context, path string, sets []string, o sockets.Options, from, factor, bound float64, tell func(Step)) ([]Step, error) {
+func FindCeiling(ctx context.Context, path string, sets []string, o realtime.Options, from, factor, bound float64, tell func(Step)) ([]Step, error) {
 	var steps []Step
 	tried := 0
 	for rate := from; ctx.Err() == nil; {
-		x, err := Load(path, append(slices.Clone(sets), fmt.Sprintf("arrivals.rate=%.1f", rate))...)
+		x, err := LoadExperiment(path, append(slices.Clone(sets), fmt.Sprintf("arrivals.rate=%.1f", rate))...)
 		if err != nil {
 			return steps, err
 		}
-		r, err := Sockets(ctx, Name(path), x, 1, o)
+		r, err := RunRealTime(ctx, ExperimentName(path), x, 1, o)
 		if err != nil {
 			return steps, err
 		}
@@ -58,11 +58,11 @@
 			jobs += s.Jobs
 		}
 		s := Step{Rate: rate, Service: r.Service, Added: r.Added, MemoryMB: p.MemoryMB, IdleMB: p.IdleMB, Descriptors: p.Descriptors,
-			Done: float64(r.InTime) / (float64(x.Length-x.Warmup) / 1000), CPU: p.CPU * 1e6 / float64(max(jobs, 1)),
-			Busy: p.CPU / (float64(x.Length) / 1000), Void: r.Void}
+			Completed: float64(r.InTime) / (float64(x.Length-x.Warmup) / 1000), CPUPerItem: p.CPU * 1e6 / float64(max(jobs, 1)),
+			CPUsUsed: p.CPU / (float64(x.Length) / 1000), Void: r.Void}
 		steps = append(steps, s)
 		tell(s)
-		if s.Within(bound) {
+		if s.WithinBound(bound) {
 			tried, rate = 0, rate*factor
 		} else if tried++; tried == tries { // a machine's hiccup does not come three times
 			break
@@ -72,7 +72,7 @@
 }
 
 // StepHead and Print write steps as lines.
-const StepHead = "   rate/s   done/s  service  added p50    p99 ms  CPU us/item  busy  memory MB  idle MB  descriptors"
+const StepHeader = "   rate/s   done/s  service  added p50    p99 ms  CPU us/item  busy  memory MB  idle MB  descriptors"
 
 // Print writes the step.
 func (s *Step) Print(out io.Writer) {
@@ -80,8 +80,8 @@
 	if s.Void != "" {
 		void = "  VOID: " + s.Void
 	}
-	fmt.Fprintf(out, "%9.0f %8.0f  %.4f  %9.2f %9.2f  %11.1f  %4.2f  %9.1f  %7.1f  %11d%s\n", s.Rate, s.Done, s.Service, s.Added.P50, s.Added.P99,
-		s.CPU, s.Busy, s.MemoryMB, s.IdleMB, s.Descriptors, void)
+	fmt.Fprintf(out, "%9.0f %8.0f  %.4f  %9.2f %9.2f  %11.1f  %4.2f  %9.1f  %7.1f  %11d%s\n", s.Rate, s.Completed, s.Service, s.Added.P50, s.Added.P99,
+		s.CPUPerItem, s.CPUsUsed, s.MemoryMB, s.IdleMB, s.Descriptors, void)
 }
 
 // TopCPU reads a CPU profile and writes the functions that most time was spent in, themselves and with all they called.
--- a/internal/lab/storm.go
+++ b/internal/lab/chaos.go
@@ -17,11 +17,11 @@
 
 	"weldmast/internal/fleetmodel"
 	"weldmast/internal/invariants"
-	"weldmast/internal/sockets"
+	"weldmast/internal/realtime"
 )
 
 // Drawn is the experiment with the faults of a number in place of its storm.
-func Drawn(x *fleetmodel.Experiment, number uint64) *fleetmodel.Experiment {
+func WithSampledFaults(x *fleetmodel.Experiment, number uint64) *fleetmodel.Experiment {
 	y := *x
 	y.Faults = slices.Clone(x.Faults)
 	s := x.Chaos
@@ -74,31 +74,31 @@
 }
 
 // Stormed is what became of one storm.
-type Stormed struct {
-	Seed     uint64
-	Faults   int
-	Jobs     int
-	Answers  int
-	Versions int
-	Fences   int // told to be complete
-	Late     int // hand-offs of processes that stood still between look and write
-	Stalled  int // work items that only a standstill kept from their answer
-	Verdicts []invariants.Violation
-	Void     string
-	Stalls   []sockets.Stall
-	played   *fleetmodel.Experiment
+type ChaosResult struct {
+	Seed                  uint64
+	Faults                int
+	Jobs                  int
+	Answers               int
+	Versions              int
+	CompletedFences       int // told to be complete
+	LateActions           int // hand-offs of processes that stood still between look and write
+	UnansweredWhilePaused int // work items that only a standstill kept from their answer
+	Violations            []invariants.Violation
+	Void                  string
+	Pauses                []realtime.Pause
+	played                *fleetmodel.Experiment
 }
 
 // StallFigures are of stalls of more than two beats: how many, how long until one was found and, from its going on, until
 // its process was current again. Sorted.
-func StallFigures(all []Stormed, beat float64) (found, up []float64) {
+func PauseDelays(all []ChaosResult, beat float64) (found, up []float64) {
 	for _, s := range all {
-		for _, x := range s.Stalls {
-			if x.To-x.From > 2*beat+100 && x.Found > 0 {
-				found = append(found, x.Found-x.From)
+		for _, x := range s.Pauses {
+			if x.End-x.Start > 2*beat+100 && x.DetectedAt > 0 {
+				found = append(found, x.DetectedAt-x.Start)
 			}
-			if x.To > 0 && x.Up > 0 {
-				up = append(up, x.Up-x.To)
+			if x.End > 0 && x.RecoveredAt > 0 {
+				up = append(up, x.RecoveredAt-x.End)
 			}
 		}
 	}
@@ -108,37 +108,37 @@
 }
 
 // Storm plays one number on sockets.
-func Storm(ctx context.Context, x *fleetmodel.Experiment, seed uint64, o sockets.Options) (Stormed, error) {
-	y := Drawn(x, seed)
-	if o.Logs != "" { // one folder for each number
-		o.Logs = filepath.Join(o.Logs, strconv.FormatUint(seed, 10))
-		if err := os.MkdirAll(o.Logs, 0o755); err != nil {
-			return Stormed{Seed: seed}, fmt.Errorf("logs: %w", err)
+func RunChaos(ctx context.Context, x *fleetmodel.Experiment, seed uint64, o realtime.Options) (ChaosResult, error) {
+	y := WithSampledFaults(x, seed)
+	if o.LogDir != "" { // one folder for each number
+		o.LogDir = filepath.Join(o.LogDir, strconv.FormatUint(seed, 10))
+		if err := os.MkdirAll(o.LogDir, 0o755); err != nil {
+			return ChaosResult{Seed: seed}, fmt.Errorf("logs: %w", err)
 		}
 	}
-	p, err := sockets.Play(ctx, y, seed, o)
+	p, err := realtime.Run(ctx, y, seed, o)
 	if err != nil {
-		return Stormed{Seed: seed}, err
+		return ChaosResult{Seed: seed}, err
 	}
-	s := Stormed{Seed: seed, Faults: len(y.Faults), Jobs: len(p.World.Jobs), Answers: p.World.Checker.Answers, Stalled: p.World.Checker.UnansweredWhilePaused, Void: p.Void, Stalls: p.Stalls, played: y}
-	s.Verdicts = append(s.Verdicts, p.World.Checker.Violations...)
+	s := ChaosResult{Seed: seed, Faults: len(y.Faults), Jobs: len(p.Model.Jobs), Answers: p.Model.Checker.Answers, UnansweredWhilePaused: p.Model.Checker.UnansweredWhilePaused, Void: p.Void, Pauses: p.Pauses, played: y}
+	s.Violations = append(s.Violations, p.Model.Checker.Violations...)
 	if f := p.Fleet; f != nil {
-		s.Verdicts = append(s.Verdicts, f.Violations...)
-		s.Late, s.Fences, s.Versions = f.LateAfterResume, len(f.FenceCompleted), len(f.VersionByRelease)-1
+		s.Violations = append(s.Violations, f.Violations...)
+		s.LateActions, s.CompletedFences, s.Versions = f.LateAfterResume, len(f.FenceCompleted), len(f.VersionByRelease)-1
 	}
-	if !p.Whole {
+	if !p.Complete {
 		return s, ctx.Err()
 	}
 	return s, nil
 }
 
 // Line says it in one.
-func (s Stormed) Line() string {
+func (s ChaosResult) Summary() string {
 	head := fmt.Sprintf("seed %d: faults %d, jobs %d, answers %d, versions %d, fences complete %d, late acts %d, stalled %d", s.Seed, s.Faults, s.Jobs, s.Answers,
-		s.Versions, s.Fences, s.Late, s.Stalled)
+		s.Versions, s.CompletedFences, s.LateActions, s.UnansweredWhilePaused)
 	switch {
-	case len(s.Verdicts) > 0:
-		return fmt.Sprintf("%s: broken %d: %s", head, len(s.Verdicts), s.Verdicts[0])
+	case len(s.Violations) > 0:
+		return fmt.Sprintf("%s: broken %d: %s", head, len(s.Violations), s.Violations[0])
 	case s.Void != "":
 		return head + ": void: " + s.Void
 	}
@@ -149,7 +149,7 @@
 
 // Storms plays so many, some side by side, and prints a line for each. One on which the lab itself was late is void and
 // played once more.
-func Storms(ctx context.Context, x *fleetmodel.Experiment, first uint64, count, side int, o sockets.Options, out io.Writer) (all []Stormed, err error) {
+func RunChaosSeries(ctx context.Context, x *fleetmodel.Experiment, first uint64, count, side int, o realtime.Options, out io.Writer) (all []ChaosResult, err error) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	seeds := make(chan uint64)
@@ -157,16 +157,16 @@
 		wait.Go(func() {
 			time.Sleep(time.Duration(k) * apart) // so many processes started at once would keep one another waiting
 			for seed := range seeds {
-				s, e := Storm(ctx, x, seed, o)
-				for again := 0; again < 2 && ctx.Err() == nil && (e != nil || s.Void != "" && len(s.Verdicts) == 0); again++ {
-					s, e = Storm(ctx, x, seed, o)
+				s, e := RunChaos(ctx, x, seed, o)
+				for again := 0; again < 2 && ctx.Err() == nil && (e != nil || s.Void != "" && len(s.Violations) == 0); again++ {
+					s, e = RunChaos(ctx, x, seed, o)
 				}
 				mu.Lock()
 				switch {
 				case e != nil:
 					err = fmt.Errorf("seed %d: %w", seed, e)
 				default:
-					fmt.Fprintln(out, s.Line())
+					fmt.Fprintln(out, s.Summary())
 				}
 				all = append(all, s)
 				mu.Unlock()
@@ -185,16 +185,16 @@
 
 // Cut leaves out one fault after another for as long as the day still breaks without it. On sockets a day does not repeat
 // exactly; what is left broke it at least twice.
-func Cut(ctx context.Context, s Stormed, o sockets.Options, out io.Writer) ([]fleetmodel.Fault, error) {
+func MinimizeFaults(ctx context.Context, s ChaosResult, o realtime.Options, out io.Writer) ([]fleetmodel.Fault, error) {
 	y := *s.played
 	for k := len(y.Faults) - 1; k >= 0 && ctx.Err() == nil; k-- {
 		less := y
 		less.Faults = slices.Delete(slices.Clone(y.Faults), k, k+1)
-		p, err := sockets.Play(ctx, &less, s.Seed, o)
+		p, err := realtime.Run(ctx, &less, s.Seed, o)
 		if err != nil {
 			return y.Faults, err
 		}
-		if !p.World.Checker.Clean() || p.Fleet != nil && len(p.Fleet.Violations) > 0 {
+		if !p.Model.Checker.Clean() || p.Fleet != nil && len(p.Fleet.Violations) > 0 {
 			y.Faults = less.Faults
 		}
 		fmt.Fprintf(out, "cut: %d faults left\n", len(y.Faults))
--- a/internal/lab/storm_test.go
+++ b/internal/lab/chaos_test.go
@@ -11,11 +11,11 @@
 
 	"weldmast/internal/fleetmodel"
 	"weldmast/internal/invariants"
-	"weldmast/internal/sockets"
+	"weldmast/internal/realtime"
 )
 
 // built holds the two programs of one build, with a change of the source or without.
-func built(t *testing.T, change func(read func(path string) string) map[string]string) sockets.Options {
+func built(t *testing.T, change func(read func(path string) string) map[string]string) realtime.Options {
 	t.Helper()
 	dir := t.TempDir()
 	root, err := filepath.Abs("../..")
@@ -56,13 +56,13 @@
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	return sockets.Options{Program: filepath.Join(dir, "weldmast"), Voter: filepath.Join(dir, "weldmast-voter"), LateP99: 10, LateMost: 200}
+	return realtime.Options{Program: filepath.Join(dir, "weldmast"), VoterProgram: filepath.Join(dir, "weldmast-voter"), MaxLatenessP99: 10, MaxLateness: 200}
 }
 
 // short is the day of lab/fleet-audit.toml in small: three voters and two followers, twelve seconds.
 func short(t *testing.T, sets ...string) *fleetmodel.Experiment {
 	t.Helper()
-	x, err := Load("../../lab/fleet-audit.toml", append([]string{`length="12s"`, `dispatchers.count=5`, `fleet.voters=3`, `arrivals.rate=80`, `storm.until="6s"`,
+	x, err := LoadExperiment("../../lab/fleet-audit.toml", append([]string{`length="12s"`, `dispatchers.count=5`, `fleet.voters=3`, `arrivals.rate=80`, `storm.until="6s"`,
 		`storm.span="1500ms"`, `storm.faults=10`, `storm.most=2`}, sets...)...)
 	if err != nil {
 		t.Fatal(err)
@@ -78,16 +78,16 @@
 	for seed := range uint64(4) {
 		// A day on which this machine kept the lab itself waiting shows nothing of the fleet: it is played again.
 		for range 3 {
-			s, err := Storm(context.Background(), x, seed, o)
+			s, err := RunChaos(context.Background(), x, seed, o)
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Log(s.Line())
+			t.Log(s.Summary())
 			if s.Void != "" {
 				continue
 			}
 			judged++
-			for _, v := range s.Verdicts {
+			for _, v := range s.Violations {
 				t.Errorf("seed %d: %s", s.Seed, v)
 			}
 			break
@@ -128,11 +128,11 @@
 			})
 			x := short(t, append([]string{`length="10s"`, `fleet.heal="3s"`}, w.sets...)...)
 			for seed := w.first; seed < w.first+w.count; seed++ {
-				s, err := Storm(context.Background(), x, seed, o)
+				s, err := RunChaos(context.Background(), x, seed, o)
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, v := range s.Verdicts {
+				for _, v := range s.Violations {
 					for _, rule := range w.rules {
 						if v.Rule == rule {
 							t.Logf("after %d storms: %s", seed-w.first+1, v)
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/gonum/stat"
 
 	"weldmast/internal/fleetmodel"
-	"weldmast/internal/sockets"
+	"weldmast/internal/realtime"
 )
 
 const (
@@ -28,7 +28,7 @@
 }
 
 // Noise tells that the interval holds 0: a difference that may be chance.
-func (i Interval) Noise() bool { return i.Low <= 0 && i.High >= 0 }
+func (i Interval) IncludesZero() bool { return i.Low <= 0 && i.High >= 0 }
 
 // Bootstrap draws the values again and again, by the percentile method; the same values give the same interval.
 func Bootstrap(values []float64) Interval {
@@ -50,21 +50,21 @@
 }
 
 // Figure is one thing that is compared.
-type Figure struct {
-	Name   string
-	Better int // 1: more is better, -1: less
-	Of     func(*Result) float64
+type Metric struct {
+	Name      string
+	Direction int // 1: more is better, -1: less
+	Value     func(*Result) float64
 }
 
 // Figures are what comparisons show.
-var Figures = []Figure{
+var Metrics = []Metric{
 	{"service", 1, func(r *Result) float64 { return r.Service }},
 	{"p50 ms", -1, func(r *Result) float64 { return r.Latency.P50 }},
 	{"p99 ms", -1, func(r *Result) float64 { return r.Latency.P99 }},
-	{"mean ms", -1, func(r *Result) float64 { return r.Response }},
-	{"slowdown", -1, func(r *Result) float64 { return r.Slowdown }},
+	{"mean ms", -1, func(r *Result) float64 { return r.MeanLatency }},
+	{"slowdown", -1, func(r *Result) float64 { return r.MeanSlowdown }},
 	{"added p99 ms", -1, func(r *Result) float64 { return r.Added.P99 }},
-	{"CPU us/job", -1, func(r *Result) float64 { return r.CPUEach() }},
+	{"CPU us/job", -1, func(r *Result) float64 { return r.CPUPerJob() }},
 	{"broken rules", -1, func(r *Result) float64 { return float64(r.Broken()) }},
 }
 
@@ -85,13 +85,13 @@
 }
 
 // CompareBuilds plays two programs in real time over the same seeds, one day after the other, each first in turn.
-func CompareBuilds(ctx context.Context, name string, x *fleetmodel.Experiment, a, b sockets.Options, seeds []uint64) (as, bs []*Result, err error) {
+func CompareBuilds(ctx context.Context, name string, x *fleetmodel.Experiment, a, b realtime.Options, seeds []uint64) (as, bs []*Result, err error) {
 	for k, s := range seeds {
-		pair := []sockets.Options{a, b}
+		pair := []realtime.Options{a, b}
 		sides := []*[]*Result{&as, &bs}
 		for n := range pair {
 			side := (n + k) % 2
-			r, err := Sockets(ctx, name, x, s, pair[side])
+			r, err := RunRealTime(ctx, name, x, s, pair[side])
 			if err != nil {
 				return as, bs, err
 			}
@@ -112,10 +112,10 @@
 	}
 	fmt.Fprintf(out, "%s: A = %s, B = %s, %d paired seeds, %s\n", as[0].Experiment, as[0].Policy, bs[0].Policy, len(as), as[0].Driver)
 	fmt.Fprintf(out, "%-14s %12s %12s %12s   95%% interval\n", "", "A", "B", "B - A")
-	for _, f := range Figures {
+	for _, f := range Metrics {
 		var va, vb, diff []float64
 		for k := range as {
-			va, vb = append(va, f.Of(as[k])), append(vb, f.Of(bs[k]))
+			va, vb = append(va, f.Value(as[k])), append(vb, f.Value(bs[k]))
 			diff = append(diff, vb[k]-va[k])
 		}
 		i := Bootstrap(diff)
@@ -123,9 +123,9 @@
 		switch {
 		case i.Mean == 0 && i.Low == 0 && i.High == 0:
 			verdict = "the same"
-		case !i.Noise() && (i.Mean > 0) == (f.Better > 0):
+		case !i.IncludesZero() && (i.Mean > 0) == (f.Direction > 0):
 			verdict = "B is better"
-		case !i.Noise():
+		case !i.IncludesZero():
 			verdict = "A is better"
 		}
 		fmt.Fprintf(out, "%-14s %12.4f %12.4f %+12.4f   [%+.4f, %+.4f]  %s\n", f.Name, stat.Mean(va, nil), stat.Mean(vb, nil), i.Mean, i.Low, i.High, verdict)
@@ -142,12 +142,12 @@
 // Cell is one policy on one experiment.
 type Cell struct {
 	Service, Slowdown Interval
-	Broken            int
-	Against           Interval // its service less the first policy's, seed by seed
+	Violations        int
+	ServiceDifference Interval // its service less the first policy's, seed by seed
 }
 
 // Table plays every policy on every experiment over the same seeds.
-func Table(ctx context.Context, names []string, xs []*fleetmodel.Experiment, policies []string, seeds []uint64, progress func(float64)) ([][]Cell, error) {
+func RunTable(ctx context.Context, names []string, xs []*fleetmodel.Experiment, policies []string, seeds []uint64, progress func(float64)) ([][]Cell, error) {
 	var days []day
 	for k, x := range xs {
 		for _, s := range seeds {
@@ -169,12 +169,12 @@
 				first := all[(k*len(seeds)+s)*len(policies)]
 				r := all[(k*len(seeds)+s)*len(policies)+p]
 				service = append(service, r.Service)
-				slowdown = append(slowdown, r.Slowdown)
+				slowdown = append(slowdown, r.MeanSlowdown)
 				against = append(against, r.Service-first.Service)
-				table[k][p].Broken += r.Broken()
+				table[k][p].Violations += r.Broken()
 			}
 			c := &table[k][p]
-			c.Service, c.Slowdown, c.Against = Bootstrap(service), Bootstrap(slowdown), Bootstrap(against)
+			c.Service, c.Slowdown, c.ServiceDifference = Bootstrap(service), Bootstrap(slowdown), Bootstrap(against)
 		}
 	}
 	return table, nil
@@ -196,15 +196,15 @@
 		for p, c := range table[k] {
 			sign := ""
 			switch {
-			case p == 0 || c.Against.Noise():
-			case c.Against.Mean > 0:
+			case p == 0 || c.ServiceDifference.IncludesZero():
+			case c.ServiceDifference.Mean > 0:
 				sign = " +"
 			default:
 				sign = " -"
 			}
 			broken := ""
-			if c.Broken > 0 {
-				broken = fmt.Sprintf(" (broken %d)", c.Broken)
+			if c.Violations > 0 {
+				broken = fmt.Sprintf(" (broken %d)", c.Violations)
 			}
 			fmt.Fprintf(out, " %.3f ±%.3f%s%s |", c.Service.Mean, (c.Service.High-c.Service.Low)/2, sign, broken)
 		}
@@ -226,16 +226,16 @@
 // PrintSweep writes a line for each value.
 func PrintSweep(out io.Writer, key string, values []string, seeds int, all []*Result) {
 	fmt.Fprintf(out, "%-24s", key)
-	for _, f := range Figures {
+	for _, f := range Metrics {
 		fmt.Fprintf(out, " %20s", f.Name)
 	}
 	fmt.Fprintln(out)
 	for k, v := range values {
 		fmt.Fprintf(out, "%-24s", v)
-		for _, f := range Figures {
+		for _, f := range Metrics {
 			var of []float64
 			for _, r := range all[k*seeds : (k+1)*seeds] {
-				of = append(of, f.Of(r))
+				of = append(of, f.Value(r))
 			}
 			i := Bootstrap(of)
 			fmt.Fprintf(out, " %11.3f ±%7.3f", i.Mean, (i.High-i.Low)/2)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -16,8 +16,8 @@
 
 	"weldmast/internal/baseline"
 	"weldmast/internal/fleetmodel"
+	"weldmast/internal/realtime"
 	"weldmast/internal/scaletest"
-	"weldmast/internal/sockets"
 )
 
 // program is bin/weldmast as it stands, for the tests on sockets.
@@ -60,7 +60,7 @@
 
 func load(t *testing.T, name string, sets ...string) *fleetmodel.Experiment {
 	t.Helper()
-	x, err := Load("../../lab/"+name+".toml", sets...)
+	x, err := LoadExperiment("../../lab/"+name+".toml", sets...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 	}
 	var days []day
 	for _, s := range []uint64{5, 6, 5, 7} {
-		days = append(days, day{"x", x, s, Own})
+		days = append(days, day{"x", x, s, OwnPolicy})
 	}
 	var first string
 	for _, cores := range []int{1, 8} {
@@ -103,13 +103,13 @@
 
 // TestTheory: the model's means lie within four standard errors of theory, and these are small.
 func TestTheory(t *testing.T) {
-	all, err := Theory(t.Context(), 16, 10000, nil)
+	all, err := CheckTheory(t.Context(), 16, 10000, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, l := range all {
-		if part := l.Err / l.Want; math.Abs(l.Off()) > 4*part || part > 0.06 {
-			t.Errorf("%s at %.1f: %.3f, theory %.3f (%+.1f%%, standard error %.1f%%)", l.Name, l.Load, l.Got, l.Want, 100*l.Off(), 100*part)
+		if part := l.StdError / l.Expected; math.Abs(l.RelativeError()) > 4*part || part > 0.06 {
+			t.Errorf("%s at %.1f: %.3f, theory %.3f (%+.1f%%, standard error %.1f%%)", l.Name, l.Load, l.Measured, l.Expected, 100*l.RelativeError(), 100*part)
 		}
 	}
 }
@@ -123,8 +123,8 @@
 		t.Fatal(err)
 	}
 	for k := range as {
-		if bs[k].Slowdown > as[k].Slowdown/2 || bs[k].Response > as[k].Response {
-			t.Errorf("seed %d: random %.1f and %.1f ms, sita %.1f and %.1f ms", as[k].Seed, as[k].Slowdown, as[k].Response, bs[k].Slowdown, bs[k].Response)
+		if bs[k].MeanSlowdown > as[k].MeanSlowdown/2 || bs[k].MeanLatency > as[k].MeanLatency {
+			t.Errorf("seed %d: random %.1f and %.1f ms, sita %.1f and %.1f ms", as[k].Seed, as[k].MeanSlowdown, as[k].MeanLatency, bs[k].MeanSlowdown, bs[k].MeanLatency)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 		t.Fatalf("%d experiments, %v", len(files), err)
 	}
 	for _, f := range files {
-		name := Name(f)
+		name := ExperimentName(f)
 		if strings.HasPrefix(name, "capacity") { // a plan of a scale run, which internal/scale plays
 			text, err := os.ReadFile(f)
 			if err == nil {
@@ -152,7 +152,7 @@
 			continue
 		}
 		x := load(t, name)
-		r, err := Virtual(t.Context(), name, x, 3, Own, nil)
+		r, err := RunVirtual(t.Context(), name, x, 3, OwnPolicy, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -161,7 +161,7 @@
 			least = 0.99
 		}
 		if r.Broken() > 0 || r.Jobs < 1000 || r.Service < least || len(r.Marks) < len(x.Faults) {
-			t.Errorf("%s: service %.3f, %d jobs, %d marks, %v", name, r.Service, r.Jobs, len(r.Marks), r.Verdicts)
+			t.Errorf("%s: service %.3f, %d jobs, %d marks, %v", name, r.Service, r.Jobs, len(r.Marks), r.Violations)
 		}
 	}
 }
@@ -171,16 +171,16 @@
 	for _, name := range []string{"calm", "cold-fleet", "zone-lost"} {
 		x := load(t, name)
 		for _, p := range baseline.Names {
-			r, err := Virtual(t.Context(), name, x, 2, p, nil)
+			r, err := RunVirtual(t.Context(), name, x, 2, p, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if r.Broken() > 0 || r.Service < 0.5 {
-				t.Errorf("%s, %s: service %.3f, %v", name, p, r.Service, r.Verdicts[:min(3, len(r.Verdicts))])
+				t.Errorf("%s, %s: service %.3f, %v", name, p, r.Service, r.Violations[:min(3, len(r.Violations))])
 			}
 		}
 	}
-	if _, err := Virtual(t.Context(), "x", load(t, "calm"), 1, "best", nil); err == nil || !strings.Contains(err.Error(), "omniscient") {
+	if _, err := RunVirtual(t.Context(), "x", load(t, "calm"), 1, "best", nil); err == nil || !strings.Contains(err.Error(), "omniscient") {
 		t.Errorf("an unknown policy: %v", err)
 	}
 }
@@ -189,13 +189,13 @@
 // baselines', push workers over by the sum of all, by the operators' figure; weldmast's hold for the sum.
 func TestColdThirty(t *testing.T) {
 	x := load(t, "cold-thirty")
-	for _, p := range []string{Own, "random"} {
-		r, err := Virtual(t.Context(), "cold-thirty", x, 1, p, nil)
+	for _, p := range []string{OwnPolicy, "random"} {
+		r, err := RunVirtual(t.Context(), "cold-thirty", x, 1, p, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if broken := r.Broken() > 0; broken != (p != Own) {
-			t.Errorf("%s: broken %v: %v", p, broken, r.Verdicts[:min(3, len(r.Verdicts))])
+		if broken := r.Broken() > 0; broken != (p != OwnPolicy) {
+			t.Errorf("%s: broken %v: %v", p, broken, r.Violations[:min(3, len(r.Violations))])
 		}
 	}
 }
@@ -203,8 +203,8 @@
 // TestWorlds: small worlds with troubles, drawn at random, break no rule.
 func TestWorlds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x := SmallWorld(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }, false)
-		_, v, err := TryWorld(t.Context(), x, rapid.Uint64().Draw(t, "seed"))
+		x := RandomScenario(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }, false)
+		_, v, err := RunScenario(t.Context(), x, rapid.Uint64().Draw(t, "seed"))
 		if err != nil || v != nil {
 			t.Fatalf("%v %v", v, err)
 		}
@@ -215,13 +215,13 @@
 func TestAgree(t *testing.T) {
 	sources(t)
 	x := load(t, "calm", `length="6s"`, `warmup="1s"`, `arrivals.load=0.4`)
-	v, err := Virtual(t.Context(), "calm", x, 4, Own, nil)
+	v, err := RunVirtual(t.Context(), "calm", x, 4, OwnPolicy, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var s *Result
 	for range 3 { // a day on which other programs held the lab up tells nothing
-		s, err = Sockets(t.Context(), "calm", x, 4, sockets.Options{Program: program})
+		s, err = RunRealTime(t.Context(), "calm", x, 4, realtime.Options{Program: program})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -234,7 +234,7 @@
 	}
 	if s.Broken() > 0 || s.Jobs != v.Jobs || math.Abs(s.Service-v.Service) > 0.02 || math.Abs(s.Latency.P50-v.Latency.P50) > 5 {
 		t.Errorf("sockets: service %.4f, p50 %.2f ms, %d jobs; virtual %.4f, %.2f, %d; %v", s.Service, s.Latency.P50, s.Jobs,
-			v.Service, v.Latency.P50, v.Jobs, s.Verdicts)
+			v.Service, v.Latency.P50, v.Jobs, s.Violations)
 	}
 	if p := s.Processes[0]; p.CPU <= 0 || p.MemoryMB <= 0 || p.Descriptors <= 0 || p.IdleMB <= 0 {
 		t.Errorf("nothing is known of the process: %+v", p)
@@ -244,7 +244,7 @@
 // TestVoid: a day on which the lab was late says so.
 func TestVoid(t *testing.T) {
 	x := load(t, "calm", `length="1s"`, `warmup=0`, `arrivals.load=0.1`)
-	s, err := Sockets(t.Context(), "calm", x, 4, sockets.Options{Program: program, LateP99: 1e-6, LateMost: 1e-6})
+	s, err := RunRealTime(t.Context(), "calm", x, 4, realtime.Options{Program: program, MaxLatenessP99: 1e-6, MaxLateness: 1e-6})
 	if err != nil || !strings.Contains(s.Void, "late") {
 		t.Errorf("%v, void %q", err, s.Void)
 	}
@@ -255,12 +255,12 @@
 	x := load(t, "restarts", `length="7s"`, `warmup=0`, `arrivals.load=0.3`, `dispatchers.restart="500ms"`,
 		`fault=[{at="1s",for="1s",what="kill",count=2},{at="2s",for="1s",what="vanish",count=2},{at="3s",for="1s",what="drain",count=2},`+
 			`{at="4s",what="dispatcher_kill",count=1},{at="4500ms",what="dispatcher_stop",count=1},{at="5s",what="dispatcher_reload"}]`)
-	s, err := Sockets(t.Context(), "faults", x, 4, sockets.Options{Program: program})
+	s, err := RunRealTime(t.Context(), "faults", x, 4, realtime.Options{Program: program})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Broken() > 0 || s.Service < 0.8 || len(s.Marks) < 6 || s.Outcomes["finished"] < s.Jobs*8/10 {
-		t.Errorf("service %.3f, %v, %v", s.Service, s.Outcomes, s.Verdicts)
+		t.Errorf("service %.3f, %v, %v", s.Service, s.Outcomes, s.Violations)
 	}
 }
 
@@ -271,7 +271,7 @@
 	x := load(t, "many-workers", `length="7s"`, `dispatchers.count=3`, `kind.0.count=50`, `kind.1.count=220`, `arrivals.rate=160`, `fault.2.for="2500ms"`, `fault.3.at="4s"`,
 		`fault.4.at="5s"`, `fault.4.amount=10`)
 	for range 3 { // a day on which this machine kept the lab itself waiting shows nothing: it is played again
-		s, err := Sockets(t.Context(), "many-workers", x, 2, sockets.Options{Program: program, LateP99: 100, LateMost: 500})
+		s, err := RunRealTime(t.Context(), "many-workers", x, 2, realtime.Options{Program: program, MaxLatenessP99: 100, MaxLateness: 500})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -280,7 +280,7 @@
 			continue
 		}
 		if s.Broken() > 0 || s.Service < 0.85 || s.Outcomes["finished"] < s.Jobs*95/100 {
-			t.Errorf("service %.3f, %v of %d, %v", s.Service, s.Outcomes, s.Jobs, s.Verdicts[:min(3, len(s.Verdicts))])
+			t.Errorf("service %.3f, %v of %d, %v", s.Service, s.Outcomes, s.Jobs, s.Violations[:min(3, len(s.Violations))])
 		}
 		for _, k := range s.Kinds {
 			if k.Finished < s.Jobs/5 {
@@ -294,7 +294,7 @@
 
 // TestReport: results go through lines of JSON to a page that names them and shows each trouble.
 func TestReport(t *testing.T) {
-	r, err := Virtual(t.Context(), "zone-lost", load(t, "zone-lost"), 1, Own, nil)
+	r, err := RunVirtual(t.Context(), "zone-lost", load(t, "zone-lost"), 1, OwnPolicy, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -323,7 +323,7 @@
 func TestInterruptedTable(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	if _, _, err := Compare(ctx, "calm", load(t, "calm"), Own, "random", []uint64{1}, nil); err == nil {
+	if _, _, err := Compare(ctx, "calm", load(t, "calm"), OwnPolicy, "random", []uint64{1}, nil); err == nil {
 		t.Error("an interrupted comparison gives figures")
 	}
 }
@@ -333,10 +333,10 @@
 	if i := Bootstrap([]float64{1, 1, 1}); i != (Interval{1, 1, 1}) {
 		t.Errorf("%v", i)
 	}
-	if i := Bootstrap([]float64{-1, 1, -2, 2, 0.5, -0.5}); !i.Noise() {
+	if i := Bootstrap([]float64{-1, 1, -2, 2, 0.5, -0.5}); !i.IncludesZero() {
 		t.Errorf("%v", i)
 	}
-	if i := Bootstrap([]float64{1, 1.1, 0.9, 1.2, 0.8}); i.Noise() || i.Low > 1 || i.High < 1 {
+	if i := Bootstrap([]float64{1, 1.1, 0.9, 1.2, 0.8}); i.IncludesZero() || i.Low > 1 || i.High < 1 {
 		t.Errorf("%v", i)
 	}
 }
@@ -349,7 +349,7 @@
 	}
 	for set, want := range map[string]string{"arrivals.load=much": "TOML value", "fault.7.at=1": "position", "arrivals.load.x=1": "nothing stands below",
 		"arrivals.laod=1": "arrivals.laod: is not known", "workers.sites=99": "99 is above 26"} {
-		if _, err := Load("../../lab/zone-lost.toml", set); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := LoadExperiment("../../lab/zone-lost.toml", set); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", set, err)
 		}
 	}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -102,7 +102,7 @@
 }
 
 // line draws one value of each second.
-func line(p *plot.Plot, r *Result, k int, name string, of func(Second) float64) error {
+func line(p *plot.Plot, r *Result, k int, name string, of func(SecondStats) float64) error {
 	var xys plotter.XYs
 	for _, s := range r.Seconds {
 		xys = append(xys, plotter.XY{X: float64(s.At) + 0.5, Y: of(s)})
@@ -122,7 +122,7 @@
 
 type curve struct {
 	name string
-	of   func(Second) float64
+	of   func(SecondStats) float64
 }
 
 func curves(r *Result, title, unit string, all []curve) (*plot.Plot, error) {
@@ -143,22 +143,22 @@
 
 func servicePlot(r *Result) (*plot.Plot, error) {
 	return curves(r, "Work items wanted in each second, and what became of them", "items", []curve{
-		{"wanted", func(s Second) float64 { return float64(s.Jobs) }},
-		{"in time", func(s Second) float64 { return float64(s.InTime) }},
-		{"late", func(s Second) float64 { return float64(s.Late) }},
-		{"deferred", func(s Second) float64 { return float64(s.Deferred) }},
-		{"failed", func(s Second) float64 { return float64(s.Failed) }}})
+		{"wanted", func(s SecondStats) float64 { return float64(s.Jobs) }},
+		{"in time", func(s SecondStats) float64 { return float64(s.InTime) }},
+		{"late", func(s SecondStats) float64 { return float64(s.Late) }},
+		{"deferred", func(s SecondStats) float64 { return float64(s.Deferred) }},
+		{"failed", func(s SecondStats) float64 { return float64(s.Failed) }}})
 }
 
 func latencyPlot(r *Result) (*plot.Plot, error) {
 	return curves(r, "Latency of those finished", "ms", []curve{
-		{"p50", func(s Second) float64 { return s.P50 }}, {"p99", func(s Second) float64 { return s.P99 }}})
+		{"p50", func(s SecondStats) float64 { return s.P50 }}, {"p99", func(s SecondStats) float64 { return s.P99 }}})
 }
 
 func loadPlot(r *Result) (*plot.Plot, error) {
 	var all []curve
 	for k, kind := range r.Kinds {
-		all = append(all, curve{kind.Name, func(s Second) float64 {
+		all = append(all, curve{kind.Name, func(s SecondStats) float64 {
 			if k < len(s.Busy) {
 				return s.Busy[k]
 			}
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -18,32 +18,32 @@
 
 // Result is one day played. Times are milliseconds from the first arrivals on.
 type Result struct {
-	Experiment  string                  `json:"experiment"`
-	About       string                  `json:"about"`
-	Driver      string                  `json:"driver"` // virtual or sockets
-	Policy      string                  `json:"policy"` // weldmast, a build's path or a baseline
-	Seed        uint64                  `json:"seed"`
-	Interrupted bool                    `json:"interrupted"`
-	Void        string                  `json:"void,omitempty"` // why the lab itself spoilt the day
-	Jobs        int                     `json:"jobs"`           // counted: those wanted after the warm-up
-	Service     float64                 `json:"service"`        // credit answered by its due time, as a part of all credit
-	Outcomes    map[string]int          `json:"outcomes"`
-	InTime      int                     `json:"in_time"`
-	Latency     Percentiles             `json:"latency"`  // from the intended time to the answer, of those finished
-	Added       Percentiles             `json:"added"`    // the same beyond the work itself on the worker that did it
-	Response    float64                 `json:"response"` // mean latency
-	Slowdown    float64                 `json:"slowdown"` // mean of latency over cost
-	Tries       float64                 `json:"tries"`    // requests a job
-	Categories  []Part                  `json:"categories"`
-	Tenants     []Part                  `json:"tenants,omitempty"`
-	Kinds       []KindPart              `json:"kinds"`
-	Rules       map[invariants.Rule]int `json:"rules"` // convictions
-	Verdicts    []invariants.Violation  `json:"verdicts,omitempty"`
-	Marks       []fleetmodel.Annotation `json:"marks,omitempty"`
-	Seconds     []Second                `json:"seconds"`
-	Processes   []Process               `json:"processes,omitempty"`
-	Late        *Percentiles            `json:"late,omitempty"` // how late the lab itself was, on sockets
-	from        float64
+	Experiment       string                  `json:"experiment"`
+	About            string                  `json:"about"`
+	Driver           string                  `json:"driver"` // virtual or sockets
+	Policy           string                  `json:"policy"` // weldmast, a build's path or a baseline
+	Seed             uint64                  `json:"seed"`
+	Interrupted      bool                    `json:"interrupted"`
+	Void             string                  `json:"void,omitempty"` // why the lab itself spoilt the day
+	Jobs             int                     `json:"jobs"`           // counted: those wanted after the warm-up
+	Service          float64                 `json:"service"`        // credit answered by its due time, as a part of all credit
+	Outcomes         map[string]int          `json:"outcomes"`
+	InTime           int                     `json:"in_time"`
+	Latency          Percentiles             `json:"latency"`  // from the intended time to the answer, of those finished
+	Added            Percentiles             `json:"added"`    // the same beyond the work itself on the worker that did it
+	MeanLatency      float64                 `json:"response"` // mean latency
+	MeanSlowdown     float64                 `json:"slowdown"` // mean of latency over cost
+	RequestsPerJob   float64                 `json:"tries"`    // requests a job
+	Categories       []GroupResult           `json:"categories"`
+	Tenants          []GroupResult           `json:"tenants,omitempty"`
+	Kinds            []KindResult            `json:"kinds"`
+	ViolationsByRule map[invariants.Rule]int `json:"rules"` // convictions
+	Violations       []invariants.Violation  `json:"verdicts,omitempty"`
+	Marks            []fleetmodel.Annotation `json:"marks,omitempty"`
+	Seconds          []SecondStats           `json:"seconds"`
+	Processes        []ProcessUsage          `json:"processes,omitempty"`
+	Lateness         *Percentiles            `json:"late,omitempty"` // how late the lab itself was, on sockets
+	from             float64
 }
 
 // Percentiles of a time in milliseconds.
@@ -57,7 +57,7 @@
 }
 
 // Part is what one category or tenant got.
-type Part struct {
+type GroupResult struct {
 	Name    string      `json:"name"`
 	Jobs    int         `json:"jobs"`
 	Service float64     `json:"service"`
@@ -65,14 +65,14 @@
 }
 
 // KindPart is what one kind of worker did.
-type KindPart struct {
+type KindResult struct {
 	Name     string  `json:"name"`
 	Finished int     `json:"finished"`
 	Load     float64 `json:"load"` // mean of its cores at work, as a part of all
 }
 
 // Second is one second of the day, by the time at which jobs were wanted.
-type Second struct {
+type SecondStats struct {
 	At       int       `json:"at"`
 	Jobs     int       `json:"jobs"`
 	InTime   int       `json:"in_time"`
@@ -85,10 +85,10 @@
 }
 
 // Process is what a dispatcher's process used, on sockets.
-type Process struct {
+type ProcessUsage struct {
 	Dispatcher  int     `json:"dispatcher"`
 	CPU         float64 `json:"cpu"`       // seconds
-	Alive       float64 `json:"alive"`     // seconds
+	Uptime      float64 `json:"alive"`     // seconds
 	MemoryMB    float64 `json:"memory_mb"` // most resident at once
 	IdleMB      float64 `json:"idle_mb"`   // as it became ready
 	Descriptors int     `json:"descriptors"`
@@ -118,8 +118,8 @@
 	hist         *hdrhistogram.Histogram
 }
 
-func (t *tally) part(name string) Part {
-	return Part{name, t.jobs, ratio(t.good, t.credit), percentiles(t.hist)}
+func (t *tally) part(name string) GroupResult {
+	return GroupResult{name, t.jobs, ratio(t.good, t.credit), percentiles(t.hist)}
 }
 
 func ratio(a, b float64) float64 {
@@ -130,13 +130,13 @@
 }
 
 // Count sums up a day whose clients came from start on.
-func Count(w *fleetmodel.Model, start float64) *Result {
+func Summarize(w *fleetmodel.Model, start float64) *Result {
 	x := w.Experiment
-	r := &Result{About: x.About, Outcomes: map[string]int{}, Rules: map[invariants.Rule]int{}, from: start}
+	r := &Result{About: x.About, Outcomes: map[string]int{}, ViolationsByRule: map[invariants.Rule]int{}, from: start}
 	for _, rule := range invariants.DispatcherRules {
-		r.Rules[rule] = w.Checker.Counts[rule]
+		r.ViolationsByRule[rule] = w.Checker.Counts[rule]
 	}
-	r.Verdicts = w.Checker.Violations[:min(len(w.Checker.Violations), 50)]
+	r.Violations = w.Checker.Violations[:min(len(w.Checker.Violations), 50)]
 	for _, m := range w.Annotations {
 		r.Marks = append(r.Marks, fleetmodel.Annotation{At: m.At - start, Text: m.Text})
 	}
@@ -150,7 +150,7 @@
 	}
 	categories, tenants := tallies(len(x.Categories)), tallies(len(x.Tenants))
 	kinds := make([]int, len(x.Kinds))
-	seconds := make([]Second, int(math.Ceil(float64(x.Length)/1000)))
+	seconds := make([]SecondStats, int(math.Ceil(float64(x.Length)/1000)))
 	hists := make([]*hdrhistogram.Histogram, len(seconds))
 	credit, good, latency, slowdown, tries, finished := 0., 0., 0., 0., 0, 0
 	for _, j := range w.Jobs {
@@ -213,9 +213,9 @@
 			}
 		}
 	}
-	r.Service, r.Latency, r.Tries = ratio(good, credit), percentiles(all), ratio(float64(tries), float64(r.Jobs))
+	r.Service, r.Latency, r.RequestsPerJob = ratio(good, credit), percentiles(all), ratio(float64(tries), float64(r.Jobs))
 	r.Added = percentiles(added)
-	r.Response, r.Slowdown = ratio(latency, float64(finished)), ratio(slowdown, float64(finished))
+	r.MeanLatency, r.MeanSlowdown = ratio(latency, float64(finished)), ratio(slowdown, float64(finished))
 	for k, c := range x.Categories {
 		r.Categories = append(r.Categories, categories[k].part(c.Name))
 	}
@@ -227,7 +227,7 @@
 		for at := range min(len(seconds), len(w.LoadSamples)) {
 			busy += w.LoadSamples[at].BusyCores[k]
 		}
-		r.Kinds = append(r.Kinds, KindPart{kind.Name, kinds[k],
+		r.Kinds = append(r.Kinds, KindResult{kind.Name, kinds[k],
 			ratio(busy, float64(kind.Count*min(kind.Cores, kind.Slots)*len(seconds)))})
 	}
 	for k := range seconds {
@@ -245,7 +245,7 @@
 }
 
 // CPUEach is the dispatchers' CPU for each job of the whole day in microseconds; 0 in virtual time.
-func (r *Result) CPUEach() float64 {
+func (r *Result) CPUPerJob() float64 {
 	cpu, jobs := 0., 0
 	for _, p := range r.Processes {
 		cpu += p.CPU
@@ -258,7 +258,7 @@
 
 // Broken counts convictions of all rules.
 func (r *Result) Broken() (n int) {
-	for _, k := range r.Rules {
+	for _, k := range r.ViolationsByRule {
 		n += k
 	}
 	return n
@@ -303,7 +303,7 @@
 	}
 	l := r.Latency
 	fmt.Fprintf(out, "\nlatency ms  p50 %.2f  p90 %.2f  p99 %.2f  p99.9 %.2f  max %.2f   mean %.2f  slowdown %.2f  tries %.3f\n",
-		l.P50, l.P90, l.P99, l.P999, l.Max, r.Response, r.Slowdown, r.Tries)
+		l.P50, l.P90, l.P99, l.P999, l.Max, r.MeanLatency, r.MeanSlowdown, r.RequestsPerJob)
 	for _, p := range r.Categories {
 		fmt.Fprintf(out, "  %-12s service %.4f  p50 %.2f  p99 %.2f  jobs %d\n", p.Name, p.Service, p.Latency.P50, p.Latency.P99, p.Jobs)
 	}
@@ -314,20 +314,20 @@
 		fmt.Fprintf(out, "  kind %-7s load %.3f  finished %d\n", k.Name, k.Load, k.Finished)
 	}
 	for _, p := range r.Processes {
-		fmt.Fprintf(out, "  process %d  CPU %.2f s of %.1f  memory %.1f MB  descriptors %d\n", p.Dispatcher, p.CPU, p.Alive, p.MemoryMB, p.Descriptors)
+		fmt.Fprintf(out, "  process %d  CPU %.2f s of %.1f  memory %.1f MB  descriptors %d\n", p.Dispatcher, p.CPU, p.Uptime, p.MemoryMB, p.Descriptors)
 	}
-	if r.Late != nil {
-		fmt.Fprintf(out, "  the lab itself was late by p50 %.2f  p99 %.2f  max %.2f ms\n", r.Late.P50, r.Late.P99, r.Late.Max)
+	if r.Lateness != nil {
+		fmt.Fprintf(out, "  the lab itself was late by p50 %.2f  p99 %.2f  max %.2f ms\n", r.Lateness.P50, r.Lateness.P99, r.Lateness.Max)
 	}
 	if r.Broken() == 0 {
 		fmt.Fprintln(out, "rules kept")
 	}
 	for _, rule := range invariants.DispatcherRules {
-		if n := r.Rules[rule]; n > 0 {
+		if n := r.ViolationsByRule[rule]; n > 0 {
 			fmt.Fprintf(out, "BROKEN %s: %d times\n", rule, n)
 		}
 	}
-	for _, v := range r.Verdicts[:min(len(r.Verdicts), 5)] {
+	for _, v := range r.Violations[:min(len(r.Violations), 5)] {
 		fmt.Fprintf(out, "  %v\n", v)
 	}
 }
--- a/internal/lab/play.go
+++ b/internal/lab/run.go
@@ -17,15 +17,15 @@
 	"weldmast/internal/baseline"
 	"weldmast/internal/dispatch"
 	"weldmast/internal/fleetmodel"
-	"weldmast/internal/sockets"
+	"weldmast/internal/realtime"
 	"weldmast/internal/virtualtime"
 )
 
 // Own is the name of the dispatcher itself among policies.
-const Own = "weldmast"
+const OwnPolicy = "weldmast"
 
 // Load reads an experiment's file. Sets are changes such as "arrivals.load=0.8", each as KEY=VALUE in TOML.
-func Load(path string, sets ...string) (*fleetmodel.Experiment, error) {
+func LoadExperiment(path string, sets ...string) (*fleetmodel.Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
@@ -84,11 +84,11 @@
 }
 
 // Name is what an experiment's file is called in tables.
-func Name(path string) string { return strings.TrimSuffix(filepath.Base(path), ".toml") }
+func ExperimentName(path string) string { return strings.TrimSuffix(filepath.Base(path), ".toml") }
 
 // decide makes the deciders of a policy's day; nil for the program's own. An error names the policies there are.
 func decide(policy string, x *fleetmodel.Experiment) (virtualtime.NewDecider, error) {
-	if policy == Own {
+	if policy == OwnPolicy {
 		return nil, nil
 	}
 	shared := &baseline.SharedState{}
@@ -97,7 +97,7 @@
 		shared.Parallelism = append(shared.Parallelism, float64(min(k.Slots, k.Cores)))
 	}
 	if baseline.New(policy, dispatch.Settings{}, shared) == nil {
-		return nil, fmt.Errorf("policy %q is none of %s, %s", policy, Own, strings.Join(baseline.Names, ", "))
+		return nil, fmt.Errorf("policy %q is none of %s, %s", policy, OwnPolicy, strings.Join(baseline.Names, ", "))
 	}
 	return func(s dispatch.Settings, w *fleetmodel.Model) dispatch.Decider {
 		shared.Oracle = w
@@ -106,7 +106,7 @@
 }
 
 // Virtual plays one day in virtual time.
-func Virtual(ctx context.Context, name string, x *fleetmodel.Experiment, seed uint64, policy string, progress func(float64)) (*Result, error) {
+func RunVirtual(ctx context.Context, name string, x *fleetmodel.Experiment, seed uint64, policy string, progress func(float64)) (*Result, error) {
 	d, err := decide(policy, x)
 	if err != nil {
 		return nil, err
@@ -115,23 +115,23 @@
 	if err != nil {
 		return nil, err
 	}
-	r := Count(w, virtualtime.ArrivalStart)
+	r := Summarize(w, virtualtime.ArrivalStart)
 	r.Experiment, r.Driver, r.Policy, r.Seed, r.Interrupted = name, "virtual", policy, seed, !whole
 	return r, nil
 }
 
 // Sockets plays one day in real time against a program.
-func Sockets(ctx context.Context, name string, x *fleetmodel.Experiment, seed uint64, o sockets.Options) (*Result, error) {
-	p, err := sockets.Play(ctx, x, seed, o)
+func RunRealTime(ctx context.Context, name string, x *fleetmodel.Experiment, seed uint64, o realtime.Options) (*Result, error) {
+	p, err := realtime.Run(ctx, x, seed, o)
 	if err != nil {
 		return nil, err
 	}
-	r := Count(p.World, p.Start)
-	r.Experiment, r.Driver, r.Policy, r.Seed, r.Interrupted, r.Void = name, "sockets", o.Program, seed, !p.Whole, p.Void
-	late := percentiles(p.Late)
-	r.Late = &late
+	r := Summarize(p.Model, p.ArrivalStart)
+	r.Experiment, r.Driver, r.Policy, r.Seed, r.Interrupted, r.Void = name, "sockets", o.Program, seed, !p.Complete, p.Void
+	late := percentiles(p.Lateness)
+	r.Lateness = &late
 	for d, u := range p.Usage {
-		r.Processes = append(r.Processes, Process{Dispatcher: d, CPU: u.CPU, Alive: u.Alive, MemoryMB: u.MemoryMB, IdleMB: u.IdleMB,
+		r.Processes = append(r.Processes, ProcessUsage{Dispatcher: d, CPU: u.CPUSeconds, Uptime: u.Uptime, MemoryMB: u.MemoryMB, IdleMB: u.IdleMB,
 			Descriptors: u.Descriptors})
 	}
 	return r, nil
@@ -156,7 +156,7 @@
 		wait.Go(func() {
 			for k := range next {
 				d := days[k]
-				results[k], errs[k] = Virtual(ctx, d.name, d.x, d.seed, d.policy, nil)
+				results[k], errs[k] = RunVirtual(ctx, d.name, d.x, d.seed, d.policy, nil)
 				mu.Lock()
 				if done++; progress != nil {
 					progress(float64(done) / float64(len(days)))
--- a/internal/lab/worlds.go
+++ b/internal/lab/scenarios.go
@@ -15,17 +15,17 @@
 )
 
 // Draw picks one of n things; a property test draws from its own source, a command from a numbered world's.
-type Draw func(n int) int
+type Sampler func(n int) int
 
 // Numbered draws what belongs to one number.
-func Numbered(number uint64) Draw {
+func SeededSampler(number uint64) Sampler {
 	r := rand.New(rand.NewPCG(number, 0x77656c64))
 	return func(n int) int { return r.IntN(n) }
 }
 
 // SmallWorld draws a deployment of up to four dispatchers and a dozen workers with up to six troubles. Crowded: workers
 // may take more at once than they have cores for.
-func SmallWorld(draw Draw, crowded bool) *fleetmodel.Experiment {
+func RandomScenario(draw Sampler, crowded bool) *fleetmodel.Experiment {
 	x, err := fleetmodel.ParseExperiment("small", []byte("[[kind]]\nname = \"a\"\n[[category]]\nname = \"a\"\n[arrivals]\nload = 0.5\n"))
 	if err != nil {
 		panic(err) // the text is our own
@@ -91,19 +91,19 @@
 }
 
 // Tally is what became of many worlds.
-type Tally struct {
-	Worlds, Jobs, Faults int
-	Broken               []BrokenWorld
+type ScenarioCounts struct {
+	Scenarios, Jobs, Faults int
+	Failed                  []FailedScenario
 }
 
 // BrokenWorld is one with its first conviction.
-type BrokenWorld struct {
-	World   uint64
-	Verdict invariants.Violation
+type FailedScenario struct {
+	Number    uint64
+	Violation invariants.Violation
 }
 
 // TryWorld plays one and gives its first conviction, if any.
-func TryWorld(ctx context.Context, x *fleetmodel.Experiment, seed uint64) (jobs int, v *invariants.Violation, err error) {
+func RunScenario(ctx context.Context, x *fleetmodel.Experiment, seed uint64) (jobs int, v *invariants.Violation, err error) {
 	w, _, err := virtualtime.Run(ctx, x, seed, nil, nil)
 	if err != nil {
 		return 0, nil, err
@@ -115,8 +115,8 @@
 }
 
 // Worlds plays so many numbered worlds, one to a core.
-func Worlds(ctx context.Context, first uint64, count int, crowded bool, progress func(float64)) (Tally, error) {
-	var t Tally
+func RunScenarios(ctx context.Context, first uint64, count int, crowded bool, progress func(float64)) (ScenarioCounts, error) {
+	var t ScenarioCounts
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	var failed error
@@ -124,20 +124,20 @@
 	for range runtime.GOMAXPROCS(0) {
 		wait.Go(func() {
 			for n := range numbers {
-				x := SmallWorld(Numbered(n), crowded)
-				jobs, v, err := TryWorld(ctx, x, n)
+				x := RandomScenario(SeededSampler(n), crowded)
+				jobs, v, err := RunScenario(ctx, x, n)
 				mu.Lock()
-				t.Worlds++
+				t.Scenarios++
 				t.Jobs += jobs
 				t.Faults += len(x.Faults)
 				if v != nil {
-					t.Broken = append(t.Broken, BrokenWorld{n, *v})
+					t.Failed = append(t.Failed, FailedScenario{n, *v})
 				}
 				if err != nil {
 					failed = fmt.Errorf("world %d: %w", n, err)
 				}
 				if progress != nil {
-					progress(float64(t.Worlds) / float64(count))
+					progress(float64(t.Scenarios) / float64(count))
 				}
 				mu.Unlock()
 			}
--- a/internal/lab/theory.go
+++ b/internal/lab/theory.go
@@ -16,24 +16,24 @@
 )
 
 // Law is one known mean.
-type Law struct {
-	Name string
-	Load float64
-	Want float64 // ms
-	Got  float64
-	Err  float64 // standard error of Got over the repetitions
-	wait bool    // of the wait, else of the whole response
-	text string
+type QueueMean struct {
+	Name     string
+	Load     float64
+	Expected float64 // ms
+	Measured float64
+	StdError float64 // standard error of Got over the repetitions
+	wait     bool    // of the wait, else of the whole response
+	text     string
 }
 
 // Off is by how much the model differs, as a part of what theory says.
-func (l *Law) Off() float64 { return l.Got/l.Want - 1 }
+func (l *QueueMean) RelativeError() float64 { return l.Measured/l.Expected - 1 }
 
 const meanCost = 10.
 
 // laws are M/M/4 (Erlang C), M/D/1 and M/G/1 first come first served (Pollaczek and Khinchine), and M/G/1 with
 // processor sharing, at three loads each.
-func laws() (all []*Law) {
+func laws() (all []*QueueMean) {
 	const servers, sigma = 4, 1.
 	for _, load := range []float64{0.5, 0.7, 0.9} {
 		c := float64(servers)
@@ -55,19 +55,19 @@
 		}
 		one, law := "slots = 1", fmt.Sprintf("law = \"lognormal\"\nshape = %v\nmost = 1e9", sigma)
 		all = append(all,
-			&Law{Name: "M/M/4 wait", Load: load, Want: queued * meanCost / (c * (1 - load)), wait: true,
+			&QueueMean{Name: "M/M/4 wait", Load: load, Expected: queued * meanCost / (c * (1 - load)), wait: true,
 				text: file("slots = 4\ncores = 4", "most = 1e9")},
-			&Law{Name: "M/D/1 wait", Load: load, Want: load * meanCost / (2 * (1 - load)), wait: true,
+			&QueueMean{Name: "M/D/1 wait", Load: load, Expected: load * meanCost / (2 * (1 - load)), wait: true,
 				text: file(one, "law = \"fixed\"")},
-			&Law{Name: "M/G/1 wait", Load: load, Want: load * meanCost * second / (2 * (1 - load)), wait: true,
+			&QueueMean{Name: "M/G/1 wait", Load: load, Expected: load * meanCost * second / (2 * (1 - load)), wait: true,
 				text: file(one, law)},
-			&Law{Name: "M/G/1-PS response", Load: load, Want: meanCost / (1 - load), text: file("slots = 100000\ncores = 1", law)})
+			&QueueMean{Name: "M/G/1-PS response", Load: load, Expected: meanCost / (1 - load), text: file("slots = 100000\ncores = 1", law)})
 	}
 	return all
 }
 
 // Theory plays each law so many times with so many jobs, eight times as often at the highest load: waits vary most there.
-func Theory(ctx context.Context, repeats, jobs int, progress func(float64)) ([]*Law, error) {
+func CheckTheory(ctx context.Context, repeats, jobs int, progress func(float64)) ([]*QueueMean, error) {
 	all := laws()
 	means := make([][]float64, len(all))
 	type task struct{ law, repeat int }
@@ -114,13 +114,13 @@
 	}
 	for k, l := range all {
 		mean, deviation := stat.MeanStdDev(means[k], nil)
-		l.Got, l.Err = mean, deviation/math.Sqrt(float64(len(means[k])))
+		l.Measured, l.StdError = mean, deviation/math.Sqrt(float64(len(means[k])))
 	}
 	return all, failed
 }
 
 // play gives one repetition's mean, without its first tenth.
-func play(l *Law, seed uint64, jobs int) (float64, error) {
+func play(l *QueueMean, seed uint64, jobs int) (float64, error) {
 	x, err := fleetmodel.ParseExperiment(l.Name, []byte(l.text))
 	if err != nil {
 		return 0, fmt.Errorf("theory: %w", err)
@@ -140,9 +140,9 @@
 }
 
 // PrintTheory writes the laws as a table.
-func PrintTheory(out io.Writer, all []*Law) {
+func PrintTheory(out io.Writer, all []*QueueMean) {
 	fmt.Fprintf(out, "%-18s %5s %10s %10s %8s %9s\n", "", "load", "theory ms", "model ms", "off", "std.err.")
 	for _, l := range all {
-		fmt.Fprintf(out, "%-18s %5.1f %10.4f %10.4f %+7.2f%% %8.2f%%\n", l.Name, l.Load, l.Want, l.Got, 100*l.Off(), 100*l.Err/l.Want)
+		fmt.Fprintf(out, "%-18s %5.1f %10.4f %10.4f %+7.2f%% %8.2f%%\n", l.Name, l.Load, l.Expected, l.Measured, 100*l.RelativeError(), 100*l.StdError/l.Expected)
 	}
 }
--- a/internal/sockets/fleet.go
+++ b/internal/realtime/fleet.go
@@ -1,7 +1,7 @@
 // This file owns a fleet's part of the rig: its members' files, the relays between each two of them, what is done to their
 // links and folders, and an operator who publishes and asks. It judges nothing itself.
 
-package sockets
+package realtime
 
 import (
 	"fmt"
@@ -45,7 +45,7 @@
 	asked   int
 
 	mu     sync.Mutex
-	stalls []Stall
+	stalls []Pause
 	done   chan struct{} // closed once all is healed, or was not in time
 	j      invariants.FleetChecker
 	open   map[string]bool // requests that were published and have no answer
@@ -100,12 +100,12 @@
 }
 
 // Stall is a process that stood still, as an operator saw it. Times are the lab's, 0 where it did not come to that.
-type Stall struct {
-	Dispatcher int
-	From, To   float64
-	Found      float64 // told to be no longer in order
-	Up         float64 // told to be current again, after it went on
-	Ended      bool    // killed meanwhile
+type Pause struct {
+	Dispatcher  int
+	Start, End  float64
+	DetectedAt  float64 // told to be no longer in order
+	RecoveredAt float64 // told to be current again, after it went on
+	Killed      bool    // killed meanwhile
 }
 
 // froze notes that a process stands still, or goes on.
@@ -113,12 +113,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if on {
-		f.stalls = append(f.stalls, Stall{Dispatcher: d, From: f.r.now()})
+		f.stalls = append(f.stalls, Pause{Dispatcher: d, Start: f.r.now()})
 		return
 	}
 	for k := len(f.stalls) - 1; k >= 0; k-- {
 		if f.stalls[k].Dispatcher == d {
-			f.stalls[k].To = f.r.now()
+			f.stalls[k].End = f.r.now()
 			return
 		}
 	}
@@ -128,16 +128,16 @@
 func (f *fleetRig) stands(call invariants.OperatorCall, members []fleet.MemberStatus) {
 	for k := range f.stalls {
 		s := &f.stalls[k]
-		if s.Up > 0 || s.Ended {
+		if s.RecoveredAt > 0 || s.Killed {
 			continue
 		}
 		for _, m := range members {
 			switch {
 			case m.Member != f.name(s.Dispatcher):
-			case s.Found == 0 && s.To == 0 && call.Start > s.From && m.State != fleet.MemberCurrent && m.State != fleet.MemberBehind:
-				s.Found = call.End
-			case s.To > 0 && call.Start > s.To && m.State == fleet.MemberCurrent && m.SinceContact < call.End-s.To:
-				s.Up = call.End
+			case s.DetectedAt == 0 && s.End == 0 && call.Start > s.Start && m.State != fleet.MemberCurrent && m.State != fleet.MemberBehind:
+				s.DetectedAt = call.End
+			case s.End > 0 && call.Start > s.End && m.State == fleet.MemberCurrent && m.SinceContact < call.End-s.End:
+				s.RecoveredAt = call.End
 			}
 		}
 	}
@@ -150,7 +150,7 @@
 // member tells which program a dispatcher is, and its file.
 func (f *fleetRig) member(d int) (program, file string) {
 	if d < f.x.Voters {
-		return f.r.o.Voter, f.file(d)
+		return f.r.o.VoterProgram, f.file(d)
 	}
 	return f.r.o.Program, f.file(d)
 }
--- a/internal/sockets/relay.go
+++ b/internal/realtime/link_relay.go
@@ -2,7 +2,7 @@
 // other, byte for byte, until it is told to lose, hold or slow down what goes one way. It must never change a byte or
 // the order of any.
 
-package sockets
+package realtime
 
 import (
 	"fmt"
--- a/internal/sockets/sockets.go
+++ b/internal/realtime/realtime.go
@@ -4,7 +4,7 @@
 // not loopback.
 //
 // This file owns the clock and the dispatchers' processes.
-package sockets
+package realtime
 
 import (
 	"context"
@@ -34,16 +34,16 @@
 
 // Options say what is played.
 type Options struct {
-	Program     string // bin/weldmast
-	Voter       string // bin/weldmast-voter, of a fleet's voters
-	File        string // the operator's file for each dispatcher; empty: none
-	Logs        string // folder for the dispatchers' logs; empty: they are dropped
-	MemoryMB    int    // limits, as the configuration has them
-	Descriptors int
-	Cores       float64
-	LateP99     float64 // ms; a day on which the lab itself was later than this is void
-	LateMost    float64
-	Progress    func(part float64)
+	Program        string // bin/weldmast
+	VoterProgram   string // bin/weldmast-voter, of a fleet's voters
+	OperatorFile   string // the operator's file for each dispatcher; empty: none
+	LogDir         string // folder for the dispatchers' logs; empty: they are dropped
+	MemoryMB       int    // limits, as the configuration has them
+	Descriptors    int
+	Cores          float64
+	MaxLatenessP99 float64 // ms; a day on which the lab itself was later than this is void
+	MaxLateness    float64
+	Progress       func(part float64)
 	// Watch, if not nil, is called about ten times a second on the world's goroutine.
 	Watch func(w *fleetmodel.Model)
 	// Inject brings in what to do on the world's goroutine, from anywhere; nil: nothing comes.
@@ -51,28 +51,28 @@
 	// Endless: the day goes on until the context ends.
 	Endless bool
 	// Gentle: at the end the dispatchers are told to stop and given some seconds, as for what they write then.
-	Gentle bool
+	GracefulStop bool
 }
 
 // Usage is what one dispatcher's processes used.
 type Usage struct {
-	CPU         float64 // seconds
-	Alive       float64
+	CPUSeconds  float64 // seconds
+	Uptime      float64
 	MemoryMB    float64 // most resident at once
 	IdleMB      float64 // resident as it became ready
 	Descriptors int     // most open at once
 }
 
 // Played is a day.
-type Played struct {
-	World  *fleetmodel.Model
-	Start  float64 // when clients came, on the world's clock
-	Whole  bool    // it was not ended before its time
-	Usage  []Usage
-	Stalls []Stall
-	Fleet  *invariants.FleetChecker // judged; nil: the dispatchers are of none
-	Late   *hdrhistogram.Histogram  // microseconds
-	Void   string                   // why the lab spoilt the day; empty: it did not
+type Result struct {
+	Model        *fleetmodel.Model
+	ArrivalStart float64 // when clients came, on the world's clock
+	Complete     bool    // it was not ended before its time
+	Usage        []Usage
+	Pauses       []Pause
+	Fleet        *invariants.FleetChecker // judged; nil: the dispatchers are of none
+	Lateness     *hdrhistogram.Histogram  // microseconds
+	Void         string                   // why the lab spoilt the day; empty: it did not
 }
 
 const (
@@ -128,7 +128,7 @@
 }
 
 // Play plays an experiment.
-func Play(ctx context.Context, x *fleetmodel.Experiment, seed uint64, o Options) (p *Played, err error) {
+func Run(ctx context.Context, x *fleetmodel.Experiment, seed uint64, o Options) (p *Result, err error) {
 	if o.MemoryMB == 0 {
 		o.MemoryMB = 192
 	}
@@ -138,8 +138,8 @@
 	if o.Cores == 0 {
 		o.Cores = 1
 	}
-	if o.LateP99 == 0 {
-		o.LateP99, o.LateMost = 5, 100
+	if o.MaxLatenessP99 == 0 {
+		o.MaxLatenessP99, o.MaxLateness = 5, 100
 	}
 	dir, err := os.MkdirTemp("", "weldlab")
 	if err != nil {
@@ -177,27 +177,27 @@
 			return nil, err
 		}
 	}
-	p = &Played{World: r.w, Late: r.late}
-	p.Start = startAfter
-	r.w.Begin(r, p.Start)
-	p.Whole = r.loop(ctx, p.Start)
+	p = &Result{Model: r.w, Lateness: r.late}
+	p.ArrivalStart = startAfter
+	r.w.Begin(r, p.ArrivalStart)
+	p.Complete = r.loop(ctx, p.ArrivalStart)
 	if r.failed != nil {
 		return nil, r.failed
 	}
-	if p.Whole && !o.Endless {
+	if p.Complete && !o.Endless {
 		r.advance(r.now() + 300)
 		r.w.Checker.Finish(r.w.Now())
 		if r.fleet != nil {
 			p.Fleet = r.fleet.judge()
-			p.Stalls = r.fleet.stalls
+			p.Pauses = r.fleet.stalls
 		}
 	}
 	for _, h := range r.hosts {
 		r.collect(h)
 		p.Usage = append(p.Usage, h.usage)
 	}
-	if late, most := float64(r.late.ValueAtQuantile(99))/1000, float64(r.late.Max())/1000; late > o.LateP99 || most > o.LateMost {
-		p.Void = fmt.Sprintf("the lab itself was late by %.1f ms at p99 (%.1f allowed), %.1f at most (%.1f)", late, o.LateP99, most, o.LateMost)
+	if late, most := float64(r.late.ValueAtQuantile(99))/1000, float64(r.late.Max())/1000; late > o.MaxLatenessP99 || most > o.MaxLateness {
+		p.Void = fmt.Sprintf("the lab itself was late by %.1f ms at p99 (%.1f allowed), %.1f at most (%.1f)", late, o.MaxLatenessP99, most, o.MaxLateness)
 	}
 	return p, nil
 }
@@ -313,10 +313,10 @@
 	}
 	if p, err := procfs.NewProc(h.cmd.Process.Pid); err == nil {
 		if s, err := p.Stat(); err == nil {
-			h.usage.CPU += s.CPUTime()
+			h.usage.CPUSeconds += s.CPUTime()
 		}
 	}
-	h.usage.Alive += time.Since(h.began).Seconds()
+	h.usage.Uptime += time.Since(h.began).Seconds()
 }
 
 // Addresses that are closed and opened again are not on 127.0.0.1: its ports go to whoever connects meanwhile.
@@ -449,7 +449,7 @@
 // launch runs one more process of a dispatcher; nil: the lab failed. Only where processes take each other's place do they
 // have an address for operators and a folder to meet in.
 func (r *rig) launch(h *host) (cmd *exec.Cmd, ops string) {
-	program, file := r.o.Program, r.o.File
+	program, file := r.o.Program, r.o.OperatorFile
 	if r.fleet != nil {
 		program, file = r.fleet.member(h.n)
 	}
@@ -468,8 +468,8 @@
 		cmd.Env = append(cmd.Env, "ROUTER_OPS="+ops, "TMPDIR="+temp)
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the lab
-	if r.o.Logs != "" {
-		f, err := os.OpenFile(filepath.Join(r.o.Logs, fmt.Sprintf("n%d.log", h.n)), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	if r.o.LogDir != "" {
+		f, err := os.OpenFile(filepath.Join(r.o.LogDir, fmt.Sprintf("n%d.log", h.n)), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 		if err != nil {
 			r.failed = fmt.Errorf("logs: %w", err)
 			return nil, ""
@@ -553,14 +553,14 @@
 // exited notes the end of a process, whether or not it was killed.
 func (r *rig) exited(h *host, cmd *exec.Cmd) {
 	if s := cmd.ProcessState; s != nil {
-		h.usage.CPU += (s.UserTime() + s.SystemTime()).Seconds()
+		h.usage.CPUSeconds += (s.UserTime() + s.SystemTime()).Seconds()
 	}
 	if h.cmd == cmd {
 		if h.up {
 			h.up = false
 			r.w.DispatcherExited(h.n)
 		}
-		h.usage.Alive += time.Since(h.began).Seconds()
+		h.usage.Uptime += time.Since(h.began).Seconds()
 	}
 }
 
@@ -609,7 +609,7 @@
 
 // close ends whatever was started.
 func (r *rig) close() {
-	if r.o.Gentle {
+	if r.o.GracefulStop {
 		r.gentle()
 	}
 	for _, h := range r.hosts {
--- a/internal/sockets/standins.go
+++ b/internal/realtime/stubs.go
@@ -1,6 +1,6 @@
 // This file owns the stand-ins: workers that take hand-offs and call back, discovery's agent, and clients.
 
-package sockets
+package realtime
 
 import (
 	"context"
