--- a/internal/realtime/fleet.go
+++ b/internal/realtime/fleet.go
@@ -24,78 +24,78 @@
 )
 
 const (
-	fleetName    = "lab"
-	membersAt    = "127.0.3.1:0"
-	lookEvery    = 25 * time.Millisecond // the operator asks how the fleet stands
-	lookWithin   = 1500 * time.Millisecond
-	askWithin    = 4 * time.Second
-	publishTries = 3
+	fleetName        = "lab"
+	memberListenAddr = "127.0.3.1:0"
+	statusInterval   = 25 * time.Millisecond // the operator asks how the fleet stands
+	statusTimeout    = 1500 * time.Millisecond
+	adminTimeout     = 4 * time.Second
+	publishAttempts  = 3
 )
 
 // fleetRig is the fleet of a day. What the world's goroutine does not own is behind the mutex.
-type fleetRig struct {
-	r       *rig
-	x       *fleetmodel.Fleet
-	rnd     *rand.Rand // the world's goroutine's
-	addrs   []string
-	relays  map[[2]int]*relay // from one to another
-	client  *fleetrpc.Client
-	alter   map[int]string // what is done to a folder before the next start
-	manners map[*fleetmodel.Fault]func()
-	asked   int
+type fleetRun struct {
+	r            *run
+	config       *fleetmodel.Fleet
+	rng          *rand.Rand // the world's goroutine's
+	addrs        []string
+	relays       map[[2]int]*relay // from one to another
+	client       *fleetrpc.Client
+	folderFaults map[int]string // what is done to a folder before the next start
+	undoFault    map[*fleetmodel.Fault]func()
+	publishCount int
 
-	mu     sync.Mutex
-	stalls []Pause
-	done   chan struct{} // closed once all is healed, or was not in time
-	j      invariants.FleetChecker
-	open   map[string]bool // requests that were published and have no answer
+	mu         sync.Mutex
+	pauses     []Pause
+	settled    chan struct{} // closed once all is healed, or was not in time
+	checker    invariants.FleetChecker
+	unanswered map[string]bool // requests that were published and have no answer
 }
 
-func (r *rig) newFleet(seed uint64) error {
-	f := &fleetRig{r: r, x: r.x.Fleet, rnd: rand.New(rand.NewPCG(seed, 0x666c)), relays: map[[2]int]*relay{}, client: fleetrpc.NewClient(fleetName, nil),
-		alter: map[int]string{}, manners: map[*fleetmodel.Fault]func(){}, open: map[string]bool{}, done: make(chan struct{}),
-		j: invariants.FleetChecker{FenceCompleted: map[uint64]float64{}, VersionByRelease: map[string]uint64{"": 0}}}
+func (r *run) newFleet(seed uint64) error {
+	f := &fleetRun{r: r, config: r.experiment.Fleet, rng: rand.New(rand.NewPCG(seed, 0x666c)), relays: map[[2]int]*relay{}, client: fleetrpc.NewClient(fleetName, nil),
+		folderFaults: map[int]string{}, undoFault: map[*fleetmodel.Fault]func(){}, unanswered: map[string]bool{}, settled: make(chan struct{}),
+		checker: invariants.FleetChecker{FenceCompleted: map[uint64]float64{}, VersionByRelease: map[string]uint64{"": 0}}}
 	r.fleet = f
-	for range r.hosts {
-		addr, err := freeAddrAt(membersAt)
+	for range r.dispatchers {
+		addr, err := freeAddrAt(memberListenAddr)
 		if err != nil {
 			return err
 		}
 		f.addrs = append(f.addrs, addr)
 	}
-	for from := range r.hosts {
+	for from := range r.dispatchers {
 		var via []string
-		for to := range r.hosts {
-			if from == to || from >= f.x.Voters && to >= f.x.Voters { // followers do not speak to each other
+		for to := range r.dispatchers {
+			if from == to || from >= f.config.Voters && to >= f.config.Voters { // followers do not speak to each other
 				continue
 			}
-			l, err := newRelay(f.addrs[to])
+			link, err := newRelay(f.addrs[to])
 			if err != nil {
 				return err
 			}
-			f.relays[[2]int{from, to}] = l
-			via = append(via, fmt.Sprintf("%q", f.addrs[to]+" "+l.addr()))
+			f.relays[[2]int{from, to}] = link
+			via = append(via, fmt.Sprintf("%q", f.addrs[to]+" "+link.addr()))
 		}
 		var voters []string
-		for v := range f.x.Voters {
+		for v := range f.config.Voters {
 			voters = append(voters, fmt.Sprintf("%q", f.name(v)+" "+f.addrs[v]))
 		}
 		text := fmt.Sprintf("[fleet]\nname = %q\nlisten = %q\nvoters = [%s]\nvia = [%s]\nfolder = %q\nalone = %q\nbeat = %g\nlease = %g\ndrift = %g\n", fleetName,
-			f.addrs[from], strings.Join(voters, ", "), strings.Join(via, ", "), r.dir, f.x.WhenIsolated, float64(f.x.HeartbeatInterval), float64(f.x.LeaseDuration), f.x.MaxClockDrift)
+			f.addrs[from], strings.Join(voters, ", "), strings.Join(via, ", "), r.dir, f.config.WhenIsolated, float64(f.config.HeartbeatInterval), float64(f.config.LeaseDuration), f.config.MaxClockDrift)
 		if err := os.WriteFile(f.file(from), []byte(text), 0o600); err != nil {
 			return fmt.Errorf("fleet: %w", err)
 		}
 	}
-	last := 0.
-	for _, x := range r.x.Faults {
+	lastFaultEnd := 0.
+	for _, x := range r.experiment.Faults {
 		end := float64(x.At + x.Duration)
 		if strings.HasPrefix(x.Type, "folder_") || strings.HasPrefix(x.Type, "dispatcher_") {
-			end += float64(r.x.Dispatchers.RestartDelay + r.x.Dispatchers.StopTimeout)
+			end += float64(r.experiment.Dispatchers.RestartDelay + r.experiment.Dispatchers.StopTimeout)
 		}
-		last = max(last, end)
+		lastFaultEnd = max(lastFaultEnd, end)
 	}
-	r.w.At(startAfter+last, func() { r.running.Go(f.heal) })
-	r.running.Go(f.look)
+	r.model.At(arrivalDelay+lastFaultEnd, func() { r.goroutines.Go(f.awaitRecovery) })
+	r.goroutines.Go(f.watchStatus)
 	return nil
 }
 
@@ -109,25 +109,25 @@
 }
 
 // froze notes that a process stands still, or goes on.
-func (f *fleetRig) froze(d int, on bool) {
+func (f *fleetRun) recordPause(d int, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if on {
-		f.stalls = append(f.stalls, Pause{Dispatcher: d, Start: f.r.now()})
+		f.pauses = append(f.pauses, Pause{Dispatcher: d, Start: f.r.now()})
 		return
 	}
-	for k := len(f.stalls) - 1; k >= 0; k-- {
-		if f.stalls[k].Dispatcher == d {
-			f.stalls[k].End = f.r.now()
+	for k := len(f.pauses) - 1; k >= 0; k-- {
+		if f.pauses[k].Dispatcher == d {
+			f.pauses[k].End = f.r.now()
 			return
 		}
 	}
 }
 
 // stands holds what an operator was told of members against the stalls that are open. The lock is held.
-func (f *fleetRig) stands(call invariants.OperatorCall, members []fleet.MemberStatus) {
-	for k := range f.stalls {
-		s := &f.stalls[k]
+func (f *fleetRun) updatePauses(call invariants.OperatorCall, members []fleet.MemberStatus) {
+	for k := range f.pauses {
+		s := &f.pauses[k]
 		if s.RecoveredAt > 0 || s.Killed {
 			continue
 		}
@@ -143,51 +143,51 @@
 	}
 }
 
-func (f *fleetRig) name(d int) string   { return "n" + strconv.Itoa(d) }
-func (f *fleetRig) file(d int) string   { return filepath.Join(f.r.dir, fmt.Sprintf("fleet%d.toml", d)) }
-func (f *fleetRig) folder(d int) string { return filepath.Join(f.r.dir, f.name(d)) }
+func (f *fleetRun) name(d int) string   { return "n" + strconv.Itoa(d) }
+func (f *fleetRun) file(d int) string   { return filepath.Join(f.r.dir, fmt.Sprintf("fleet%d.toml", d)) }
+func (f *fleetRun) folder(d int) string { return filepath.Join(f.r.dir, f.name(d)) }
 
 // member tells which program a dispatcher is, and its file.
-func (f *fleetRig) member(d int) (program, file string) {
-	if d < f.x.Voters {
-		return f.r.o.VoterProgram, f.file(d)
+func (f *fleetRun) program(d int) (program, file string) {
+	if d < f.config.Voters {
+		return f.r.options.VoterProgram, f.file(d)
 	}
-	return f.r.o.Program, f.file(d)
+	return f.r.options.Program, f.file(d)
 }
 
 // starts alters a folder before a start, as a fault had it, and keeps a copy of it as it is.
-func (f *fleetRig) starts(d int) {
-	dir, old := f.folder(d), f.folder(d)+".before"
+func (f *fleetRun) prepareFolder(d int) {
+	dir, backup := f.folder(d), f.folder(d)+".before"
 	var err error
-	switch f.alter[d] {
+	switch f.folderFaults[d] {
 	case "folder_empty":
 		err = os.RemoveAll(dir)
 	case "folder_older":
-		if _, err = os.Stat(old); err == nil {
+		if _, err = os.Stat(backup); err == nil {
 			if err = os.RemoveAll(dir); err == nil {
-				err = os.CopyFS(dir, os.DirFS(old))
+				err = os.CopyFS(dir, os.DirFS(backup))
 			}
 		}
 	case "folder_flipped":
-		err = f.flip(d)
+		err = f.flipBits(d)
 	}
-	delete(f.alter, d)
+	delete(f.folderFaults, d)
 	if err != nil && !os.IsNotExist(err) {
-		f.r.failed = fmt.Errorf("folder: %w", err)
+		f.r.failure = fmt.Errorf("folder: %w", err)
 		return
 	}
 	if _, err := os.Stat(dir); err == nil {
-		if err = os.RemoveAll(old); err == nil {
-			err = os.CopyFS(old, os.DirFS(dir))
+		if err = os.RemoveAll(backup); err == nil {
+			err = os.CopyFS(backup, os.DirFS(dir))
 		}
 		if err != nil {
-			f.r.failed = fmt.Errorf("folder: %w", err)
+			f.r.failure = fmt.Errorf("folder: %w", err)
 		}
 	}
 }
 
 // flip turns one bit round in each file of a folder.
-func (f *fleetRig) flip(d int) error {
+func (f *fleetRun) flipBits(d int) error {
 	return filepath.WalkDir(f.folder(d), func(path string, x fs.DirEntry, err error) error {
 		if err != nil || x.IsDir() {
 			return err
@@ -196,31 +196,31 @@
 		if err != nil || len(text) == 0 {
 			return err
 		}
-		text[f.rnd.IntN(len(text))] ^= 1 << f.rnd.IntN(8)
+		text[f.rng.IntN(len(text))] ^= 1 << f.rng.IntN(8)
 		return os.WriteFile(path, text, 0o600)
 	})
 }
 
 // way gives one direction between two members a manner: what one opens, and what it answers to what the other opens.
-func (f *fleetRig) way(from, to int, m manner) {
+func (f *fleetRun) setDirection(from, to int, m linkFault) {
 	if l := f.relays[[2]int{from, to}]; l != nil {
-		l.set(true, m)
+		l.setFault(true, m)
 	}
 	if l := f.relays[[2]int{to, from}]; l != nil {
-		l.set(false, m)
+		l.setFault(false, m)
 	}
 }
 
 // Trouble is one of links, folders or operators.
-func (r *rig) SetFleetFault(x *fleetmodel.Fault, hit []int, on bool) {
+func (r *run) SetFleetFault(x *fleetmodel.Fault, hit []int, on bool) {
 	f := r.fleet
 	if f == nil {
 		return
 	}
 	if !on {
-		if undo := f.manners[x]; undo != nil {
+		if undo := f.undoFault[x]; undo != nil {
 			undo()
-			delete(f.manners, x)
+			delete(f.undoFault, x)
 		}
 		return
 	}
@@ -229,13 +229,13 @@
 		f.publish(x, hit)
 	case "folder_empty", "folder_older", "folder_flipped":
 		for _, d := range hit {
-			f.alter[d] = x.Type
+			f.folderFaults[d] = x.Type
 		}
 	case "folder_gone":
 		for _, d := range hit {
 			_ = os.Rename(f.folder(d), f.folder(d)+".gone") // there may be none yet
 		}
-		f.manners[x] = func() {
+		f.undoFault[x] = func() {
 			for _, d := range hit {
 				if _, err := os.Stat(f.folder(d) + ".gone"); err == nil {
 					_ = os.RemoveAll(f.folder(d))
@@ -244,35 +244,35 @@
 			}
 		}
 	case "folder_full":
-		limit := func(n uint64) {
+		setFileSizeLimit := func(n uint64) {
 			for _, d := range hit {
-				if h := r.hosts[d]; h.up {
+				if h := r.dispatchers[d]; h.running {
 					_ = unix.Prlimit(h.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: n, Max: unix.RLIM_INFINITY}, nil) // it may have ended
 				}
 			}
 		}
-		limit(1)
-		f.manners[x] = func() { limit(unix.RLIM_INFINITY) }
+		setFileSizeLimit(1)
+		f.undoFault[x] = func() { setFileSizeLimit(unix.RLIM_INFINITY) }
 	default:
-		m := manner{what: strings.TrimPrefix(x.Type, "link_"), late: time.Duration(x.Amount * 1e6)}
-		if m.what == "late" && m.late == 0 {
-			m.late = 200 * time.Millisecond
+		m := linkFault{kind: strings.TrimPrefix(x.Type, "link_"), delay: time.Duration(x.Amount * 1e6)}
+		if m.kind == "late" && m.delay == 0 {
+			m.delay = 200 * time.Millisecond
 		}
-		f.links(hit, m)
-		f.manners[x] = func() { f.links(hit, manner{}) }
+		f.setLinks(hit, m)
+		f.undoFault[x] = func() { f.setLinks(hit, linkFault{}) }
 	}
 }
 
 // links gives all links of those hit with the rest a manner; one-way only what they say themselves.
-func (f *fleetRig) links(hit []int, m manner) {
+func (f *fleetRun) setLinks(hit []int, m linkFault) {
 	for _, a := range hit {
-		for b := range f.r.hosts {
+		for b := range f.r.dispatchers {
 			if a == b || slices.Contains(hit, b) {
 				continue
 			}
-			f.way(a, b, m)
-			if m.what != "oneway" {
-				f.way(b, a, m)
+			f.setDirection(a, b, m)
+			if m.kind != "oneway" {
+				f.setDirection(b, a, m)
 			}
 		}
 	}
@@ -280,21 +280,21 @@
 
 // publish has the operator publish a version by a member that was hit; without an answer again, by others, under the same
 // request. Twice: two operators at once, by two members.
-func (f *fleetRig) publish(x *fleetmodel.Fault, hit []int) {
-	n := 1
+func (f *fleetRun) publish(x *fleetmodel.Fault, hit []int) {
+	operators := 1
 	if x.Type == "publish_twice" {
-		n = 2
+		operators = 2
 	}
-	for k := range n {
-		f.asked++
-		request := fmt.Sprintf("r%d", f.asked)
+	for k := range operators {
+		f.publishCount++
+		request := fmt.Sprintf("r%d", f.publishCount)
 		at := hit[k%len(hit)]
 		f.mu.Lock()
-		f.open[request] = true
+		f.unanswered[request] = true
 		f.mu.Unlock()
-		f.r.running.Go(func() {
-			for try := range publishTries {
-				if f.tell(request, (at+try)%len(f.addrs), x.Amount > 0) || f.r.ctx.Err() != nil {
+		f.r.goroutines.Go(func() {
+			for attempt := range publishAttempts {
+				if f.publishOnce(request, (at+attempt)%len(f.addrs), x.Amount > 0) || f.r.ctx.Err() != nil {
 					return
 				}
 			}
@@ -303,27 +303,27 @@
 }
 
 // tell publishes once; true: it was answered.
-func (f *fleetRig) tell(request string, at int, fence bool) bool {
+func (f *fleetRun) publishOnce(request string, at int, fence bool) bool {
 	call := invariants.OperatorCall{Start: f.r.now(), Request: request}
 	a, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.PublishVersion, RequestID: request, RequestedBy: "lab", IssuedAt: float64(time.Now().UnixMilli()),
-		Text: []byte(`{"mark":"` + request + `"}`), Fence: fence}}, askWithin)
+		Text: []byte(`{"mark":"` + request + `"}`), Fence: fence}}, adminTimeout)
 	call.End = f.r.now()
 	call.Answered = err == nil && !a.NoLeader && a.Error == ""
 	call.Version = a.Result.Version
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.j.Calls = append(f.j.Calls, call)
+	f.checker.Calls = append(f.checker.Calls, call)
 	if call.Answered {
-		f.j.VersionByRelease[request] = call.Version
-		delete(f.open, request)
+		f.checker.VersionByRelease[request] = call.Version
+		delete(f.unanswered, request)
 	}
 	return call.Answered
 }
 
 // status asks one member how the fleet stands.
-func (f *fleetRig) status(at int, audited bool) (fleetrpc.AdminReply, bool) {
+func (f *fleetRun) status(at int, withAudit bool) (fleetrpc.AdminReply, bool) {
 	call := invariants.OperatorCall{Start: f.r.now()}
-	a, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Audit: audited}, lookWithin)
+	a, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Audit: withAudit}, statusTimeout)
 	call.End = f.r.now()
 	if err != nil || a.Status == nil {
 		return a, false
@@ -331,26 +331,26 @@
 	call.Answered, call.Version = true, a.Status.NewestVersion
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.j.Calls = append(f.j.Calls, call)
-	f.stands(call, a.Status.Members)
+	f.checker.Calls = append(f.checker.Calls, call)
+	f.updatePauses(call, a.Status.Members)
 	if st := a.Status; st.FenceCompleteAt > 0 {
-		if _, told := f.j.FenceCompleted[st.FencedVersion]; !told {
-			f.j.FenceCompleted[st.FencedVersion] = call.End
+		if _, told := f.checker.FenceCompleted[st.FencedVersion]; !told {
+			f.checker.FenceCompleted[st.FencedVersion] = call.End
 		}
 	}
 	return a, true
 }
 
 // look is an operator who watches, by one member after another.
-func (f *fleetRig) look() {
-	for at := 0; f.wait(lookEvery); {
+func (f *fleetRun) watchStatus() {
+	for at := 0; f.sleep(statusInterval); {
 		if _, ok := f.status(at, false); !ok { // the next one, until one answers
 			at = (at + 1) % len(f.addrs)
 		}
 	}
 }
 
-func (f *fleetRig) wait(span time.Duration) bool {
+func (f *fleetRun) sleep(span time.Duration) bool {
 	select {
 	case <-f.r.ctx.Done():
 		return false
@@ -361,71 +361,71 @@
 
 // heal is what comes after the last fault: what was published without an answer is asked for once more, voters that lost
 // their folders are seated anew, and all members have to be current in time.
-func (f *fleetRig) heal() {
-	defer close(f.done)
-	began := f.r.now()
-	by := began + float64(f.x.RecoveryTime)
-	what := "no leader"
-	for f.r.now() < by && f.wait(50*time.Millisecond) {
+func (f *fleetRun) awaitRecovery() {
+	defer close(f.settled)
+	startedAt := f.r.now()
+	deadline := startedAt + float64(f.config.RecoveryTime)
+	reason := "no leader"
+	for f.r.now() < deadline && f.sleep(50*time.Millisecond) {
 		f.mu.Lock()
 		var open []string
-		for request := range f.open {
+		for request := range f.unanswered {
 			open = append(open, request)
 		}
 		f.mu.Unlock()
 		slices.Sort(open)
 		for k, request := range open {
-			f.tell(request, k%len(f.addrs), false)
+			f.publishOnce(request, k%len(f.addrs), false)
 		}
 		for at := range f.addrs {
 			a, ok := f.status(at, false)
 			if !ok {
 				continue
 			}
-			what = ""
+			reason = ""
 			for _, m := range a.Status.Members {
 				if strings.HasPrefix(m.VoterState, "lost its folder") {
-					f.seat(m.Member)
+					f.addVoter(m.Member)
 				}
 				if m.State != fleet.MemberCurrent {
-					what += fmt.Sprintf(" %s is %s (%s)", m.Member, m.State, m.Cause)
+					reason += fmt.Sprintf(" %s is %s (%s)", m.Member, m.State, m.Cause)
 				}
 			}
 			if len(a.Status.Members) < len(f.addrs) {
-				what += fmt.Sprintf(" %d of %d members", len(a.Status.Members), len(f.addrs))
+				reason += fmt.Sprintf(" %d of %d members", len(a.Status.Members), len(f.addrs))
 			}
 			break
 		}
-		if what == "" && len(open) == 0 {
+		if reason == "" && len(open) == 0 {
 			return
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.j.NotRecovered(f.r.now(), fmt.Sprintf("%.0f ms after the last fault:%s", f.r.now()-began, what))
+	f.checker.NotRecovered(f.r.now(), fmt.Sprintf("%.0f ms after the last fault:%s", f.r.now()-startedAt, reason))
 }
 
 // seat gives a voter that lost its folder a new seat.
-func (f *fleetRig) seat(name string) {
-	_, _ = f.client.Admin(f.addrs[0], fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.AddVoter, Member: name, RequestID: "seat " + name, RequestedBy: "lab"}}, askWithin) // asked again if it fails
+func (f *fleetRun) addVoter(name string) {
+	_, _ = f.client.Admin(f.addrs[0], fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.AddVoter, Member: name, RequestID: "seat " + name, RequestedBy: "lab"}}, adminTimeout) // asked again if it fails
 }
 
 // saw notes a hand-off that came to a worker, on the world's goroutine.
-func (f *fleetRig) saw(d *door, id, release string, came float64) {
-	_, thawed := f.r.w.DispatcherPaused(d.h.n)
+func (f *fleetRun) recordHandOff(d *endpoint, id, release string, receivedAt float64) {
+	_, resumed := f.r.model.DispatcherPaused(d.dispatcher.index)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.j.HandOffs = append(f.j.HandOffs, invariants.ObservedHandOff{At: came, Dispatcher: d.h.n, ID: id, Worker: d.worker, Release: release, SenderResumed: thawed})
+	f.checker.HandOffs = append(f.checker.HandOffs, invariants.ObservedHandOff{At: receivedAt, Dispatcher: d.dispatcher.index, ID: id, Worker: d.worker, Release: release, SenderResumed: resumed})
 }
 
 // judge asks for the last audit and judges the day. The members go on meanwhile.
-func (f *fleetRig) judge() *invariants.FleetChecker {
-	var final *fleet.Audit
-	<-f.done
-	time.Sleep(2 * time.Duration(f.x.HeartbeatInterval*1e6)) // the last acts come with the next beats
+func (f *fleetRun) check() *invariants.FleetChecker {
+	var audit *fleet.Audit
+	<-f.settled
+	time.Sleep(2 * time.Duration(f.config.HeartbeatInterval*1e6)) // the last acts come with the next beats
 	for k := range 3 * len(f.addrs) {
 		if a, ok := f.status(k%len(f.addrs), true); ok && a.Audit != nil {
-			final = a.Audit
+			audit = a.Audit
 			break
 		}
 	}
@@ -435,11 +435,11 @@
 	for d := range f.addrs {
 		names = append(names, f.name(d))
 	}
-	f.j.Check(final, names, f.r.unix)
-	return &f.j
+	f.checker.Check(audit, names, f.r.unixMillis)
+	return &f.checker
 }
 
-func (f *fleetRig) close() {
+func (f *fleetRun) close() {
 	f.client.Close()
 	for _, l := range f.relays {
 		l.close()
--- a/internal/realtime/link_relay.go
+++ b/internal/realtime/link_relay.go
@@ -12,21 +12,21 @@
 )
 
 // manner is how a relay treats one direction.
-type manner struct {
-	what string        // empty: it passes; else the fault's name without link_
-	late time.Duration // of late
+type linkFault struct {
+	kind  string        // empty: it passes; else the fault's name without link_
+	delay time.Duration // of late
 }
 
 // relay is one way to a member's address, for one other member.
 type relay struct {
-	l      net.Listener
-	target string
-	mu     sync.Mutex
-	change chan struct{} // closed when a manner changes
-	up     manner        // from the one that opens
-	down   manner
-	conns  map[*net.TCPConn]bool
-	seen   int64 // bytes passed
+	listener    net.Listener
+	target      string
+	mu          sync.Mutex
+	changed     chan struct{} // closed when a manner changes
+	forward     linkFault     // from the one that opens
+	backward    linkFault
+	conns       map[*net.TCPConn]bool
+	bytesPassed int64 // bytes passed
 }
 
 func newRelay(target string) (*relay, error) {
@@ -34,25 +34,25 @@
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r := &relay{l: l, target: target, change: make(chan struct{}), conns: map[*net.TCPConn]bool{}}
+	r := &relay{listener: l, target: target, changed: make(chan struct{}), conns: map[*net.TCPConn]bool{}}
 	go r.serve() // ends with the listener
 	return r, nil
 }
 
-func (r *relay) addr() string { return r.l.Addr().String() }
+func (r *relay) addr() string { return r.listener.Addr().String() }
 
 // set gives one direction another manner.
-func (r *relay) set(up bool, m manner) {
+func (r *relay) setFault(forward bool, m linkFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if up {
-		r.up = m
+	if forward {
+		r.forward = m
 	} else {
-		r.down = m
+		r.backward = m
 	}
-	close(r.change)
-	r.change = make(chan struct{})
-	if m.what == "reset" {
+	close(r.changed)
+	r.changed = make(chan struct{})
+	if m.kind == "reset" {
 		for c := range r.conns {
 			_ = c.SetLinger(0)
 			c.Close()
@@ -60,27 +60,27 @@
 	}
 }
 
-func (r *relay) manner(up bool) (manner, <-chan struct{}) {
+func (r *relay) currentFault(forward bool) (linkFault, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if up {
-		return r.up, r.change
+	if forward {
+		return r.forward, r.changed
 	}
-	return r.down, r.change
+	return r.backward, r.changed
 }
 
 func (r *relay) close() {
-	r.l.Close()
+	r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
 		c.Close()
 	}
-	close(r.change)
-	r.change = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-func (r *relay) keep(c net.Conn) *net.TCPConn {
+func (r *relay) track(c net.Conn) *net.TCPConn {
 	t := c.(*net.TCPConn)
 	r.mu.Lock()
 	r.conns[t] = true
@@ -88,7 +88,7 @@
 	return t
 }
 
-func (r *relay) drop(c *net.TCPConn) {
+func (r *relay) untrack(c *net.TCPConn) {
 	r.mu.Lock()
 	delete(r.conns, c)
 	r.mu.Unlock()
@@ -97,52 +97,52 @@
 
 func (r *relay) serve() {
 	for {
-		c, err := r.l.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		m, _ := r.manner(true)
-		from := r.keep(c)
-		if m.what == "cut" || m.what == "reset" { // nobody is there
+		m, _ := r.currentFault(true)
+		from := r.track(c)
+		if m.kind == "cut" || m.kind == "reset" { // nobody is there
 			_ = from.SetLinger(0)
-			r.drop(from)
+			r.untrack(from)
 			continue
 		}
-		go r.carry(from)
+		go r.forwardConn(from)
 	}
 }
 
-func (r *relay) carry(from *net.TCPConn) {
-	defer r.drop(from)
+func (r *relay) forwardConn(from *net.TCPConn) {
+	defer r.untrack(from)
 	c, err := net.DialTimeout("tcp4", r.target, time.Second)
 	if err != nil {
 		_ = from.SetLinger(0)
 		return
 	}
-	to := r.keep(c)
-	defer r.drop(to)
+	to := r.track(c)
+	defer r.untrack(to)
 	done := make(chan struct{}, 2)
-	go func() { r.copy(from, to, true); done <- struct{}{} }()
-	go func() { r.copy(to, from, false); done <- struct{}{} }()
+	go func() { r.copyDirection(from, to, true); done <- struct{}{} }()
+	go func() { r.copyDirection(to, from, false); done <- struct{}{} }()
 	<-done
 }
 
 // piece is what was read at once.
-type piece struct {
-	at   time.Time
-	data []byte
+type chunk struct {
+	readAt time.Time
+	data   []byte
 }
 
 // copy carries one direction: bytes keep their order, and those that are lost leave the connection half open.
-func (r *relay) copy(from, to *net.TCPConn, up bool) {
-	pieces := make(chan piece, 1024)
+func (r *relay) copyDirection(from, to *net.TCPConn, forward bool) {
+	chunks := make(chan chunk, 1024)
 	go func() {
-		defer close(pieces)
+		defer close(chunks)
 		for {
 			buf := make([]byte, 16<<10)
 			n, err := from.Read(buf)
 			if n > 0 {
-				pieces <- piece{time.Now(), buf[:n]}
+				chunks <- chunk{time.Now(), buf[:n]}
 			}
 			if err != nil {
 				return
@@ -151,22 +151,22 @@
 	}()
 	defer func() {
 		go func() {
-			for range pieces { // let the reader end
+			for range chunks { // let the reader end
 			}
 		}()
 	}()
-	for p := range pieces {
-		if !r.pass(p, to, up) {
+	for p := range chunks {
+		if !r.deliver(p, to, forward) {
 			return
 		}
 	}
 }
 
 // pass writes a piece as the manner of the moment says; false: the connection has ended.
-func (r *relay) pass(p piece, to *net.TCPConn, up bool) bool {
+func (r *relay) deliver(p chunk, to *net.TCPConn, forward bool) bool {
 	for {
-		m, change := r.manner(up)
-		switch m.what {
+		m, changed := r.currentFault(forward)
+		switch m.kind {
 		case "cut", "reset":
 			_ = to.SetLinger(0)
 			return false
@@ -174,15 +174,15 @@
 			return true
 		case "held":
 			select {
-			case <-change:
+			case <-changed:
 			case <-time.After(10 * time.Second):
 				return false
 			}
 			continue
 		case "late":
 			select { // a change of manner lets it go at once
-			case <-change:
-			case <-time.After(time.Until(p.at.Add(m.late))):
+			case <-changed:
+			case <-time.After(time.Until(p.readAt.Add(m.delay))):
 			}
 		case "trickle":
 			if _, err := to.Write(p.data[:1]); err != nil {
@@ -192,7 +192,7 @@
 				return true
 			}
 			select {
-			case <-change:
+			case <-changed:
 			case <-time.After(time.Second):
 			}
 			continue
--- a/internal/realtime/realtime.go
+++ b/internal/realtime/realtime.go
@@ -76,55 +76,55 @@
 }
 
 const (
-	startAfter  = 1500             // ms: clients come then; by then all dispatchers must be ready
-	readyWithin = 15 * time.Second // a process that is not ready by then never will be
+	arrivalDelay = 1500             // ms: clients come then; by then all dispatchers must be ready
+	readyTimeout = 15 * time.Second // a process that is not ready by then never will be
 )
 
 // rig is one day under way.
-type rig struct {
-	o       Options
-	x       *fleetmodel.Experiment
-	w       *fleetmodel.Model
-	dir     string
-	t0      time.Time
-	in      chan func()
-	ctx     context.Context
-	stop    context.CancelFunc
-	running sync.WaitGroup
-	late    *hdrhistogram.Histogram
-	hosts   []*host
-	workers map[string]*standIn
-	client  *http.Client
-	server  *fasthttp.Server
-	calls   *fasthttp.Client
-	at      sync.Map // port of a listener to its door
-	failed  error
-	fleet   *fleetRig // nil: the dispatchers are of none
-	hushed  atomic.Bool
-	spent   atomic.Bool // the lab has no descriptor left
+type run struct {
+	options          Options
+	experiment       *fleetmodel.Experiment
+	model            *fleetmodel.Model
+	dir              string
+	startTime        time.Time
+	tasks            chan func()
+	ctx              context.Context
+	stop             context.CancelFunc
+	goroutines       sync.WaitGroup
+	lateness         *hdrhistogram.Histogram
+	dispatchers      []*dispatcher
+	workers          map[string]*stubWorker
+	httpClient       *http.Client
+	workerServer     *fasthttp.Server
+	callbackClient   *fasthttp.Client
+	endpoints        sync.Map // port of a listener to its door
+	failure          error
+	fleet            *fleetRun // nil: the dispatchers are of none
+	discoverySilent  atomic.Bool
+	outOfDescriptors atomic.Bool // the lab has no descriptor left
 }
 
 // host is one dispatcher's place: its addresses stay, its processes come and go.
-type host struct {
-	n         int
-	listen    string
-	disc      *http.Server
-	discAt    string
-	peerAt    *net.UDPAddr
-	relays    []*net.UDPConn // by sibling: where this dispatcher finds it; its own: to all
-	cmd       *exec.Cmd
-	still     *exec.Cmd   // that was stopped
-	all       []*exec.Cmd // those before it as well
-	up        bool
-	began     time.Time
-	usage     Usage
-	watches   map[int]chan []byte
-	numbers   int
-	doors     map[string]*door // by worker
-	open      map[string]context.CancelFunc
-	config    string
-	starts    int
-	callQueue map[string]chan fleetmodel.Callback // by worker
+type dispatcher struct {
+	index           int
+	listen          string
+	discoveryServer *http.Server
+	discoveryAddr   string
+	peerAddr        *net.UDPAddr
+	peerRelays      []*net.UDPConn // by sibling: where this dispatcher finds it; its own: to all
+	cmd             *exec.Cmd
+	paused          *exec.Cmd   // that was stopped
+	processes       []*exec.Cmd // those before it as well
+	running         bool
+	startedAt       time.Time
+	usage           Usage
+	watches         map[int]chan []byte
+	lastWatch       int
+	endpoints       map[string]*endpoint // by worker
+	cancelRequest   map[string]context.CancelFunc
+	configPath      string
+	startCount      int
+	callbackQueues  map[string]chan fleetmodel.Callback // by worker
 }
 
 // Play plays an experiment.
@@ -146,28 +146,28 @@
 		return nil, fmt.Errorf("lab: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	r := &rig{o: o, x: x, w: fleetmodel.New(x, seed), dir: dir, t0: time.Now(), in: make(chan func(), 65536),
-		late: hdrhistogram.New(1, 60e6, 3), workers: map[string]*standIn{}}
+	r := &run{options: o, experiment: x, model: fleetmodel.New(x, seed), dir: dir, startTime: time.Now(), tasks: make(chan func(), 65536),
+		lateness: hdrhistogram.New(1, 60e6, 3), workers: map[string]*stubWorker{}}
 	r.ctx, r.stop = context.WithCancel(context.Background())
-	r.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, DisableCompression: true}}
-	r.calls = &fasthttp.Client{MaxConnsPerHost: 1024, MaxIdemponentCallAttempts: 1, ReadTimeout: 5 * time.Second,
+	r.httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, DisableCompression: true}}
+	r.callbackClient = &fasthttp.Client{MaxConnsPerHost: 1024, MaxIdemponentCallAttempts: 1, ReadTimeout: 5 * time.Second,
 		NoDefaultUserAgentHeader: true}
-	r.server = &fasthttp.Server{Handler: r.handOff, NoDefaultServerHeader: true, IdleTimeout: time.Duration(x.Network.IdleTimeout) * time.Millisecond,
-		Logger: quiet{}}
+	r.workerServer = &fasthttp.Server{Handler: r.serveHandOff, NoDefaultServerHeader: true, IdleTimeout: time.Duration(x.Network.IdleTimeout) * time.Millisecond,
+		Logger: discardLogger{}}
 	defer func() {
 		r.close()
-		if err == nil && r.failed != nil {
-			err = r.failed
+		if err == nil && r.failure != nil {
+			err = r.failure
 		}
 	}()
 	for d := range x.Dispatchers.Count {
-		h, err := r.newHost(d)
+		h, err := r.newDispatcher(d)
 		if err != nil {
 			return nil, err
 		}
-		r.hosts = append(r.hosts, h)
+		r.dispatchers = append(r.dispatchers, h)
 	}
-	for _, m := range r.w.Workers() {
+	for _, m := range r.model.Workers() {
 		if err := r.newWorker(m); err != nil {
 			return nil, err
 		}
@@ -177,76 +177,76 @@
 			return nil, err
 		}
 	}
-	p = &Result{Model: r.w, Lateness: r.late}
-	p.ArrivalStart = startAfter
-	r.w.Begin(r, p.ArrivalStart)
-	p.Complete = r.loop(ctx, p.ArrivalStart)
-	if r.failed != nil {
-		return nil, r.failed
+	p = &Result{Model: r.model, Lateness: r.lateness}
+	p.ArrivalStart = arrivalDelay
+	r.model.Begin(r, p.ArrivalStart)
+	p.Complete = r.eventLoop(ctx, p.ArrivalStart)
+	if r.failure != nil {
+		return nil, r.failure
 	}
 	if p.Complete && !o.Endless {
 		r.advance(r.now() + 300)
-		r.w.Checker.Finish(r.w.Now())
+		r.model.Checker.Finish(r.model.Now())
 		if r.fleet != nil {
-			p.Fleet = r.fleet.judge()
-			p.Pauses = r.fleet.stalls
+			p.Fleet = r.fleet.check()
+			p.Pauses = r.fleet.pauses
 		}
 	}
-	for _, h := range r.hosts {
-		r.collect(h)
+	for _, h := range r.dispatchers {
+		r.addRunningUsage(h)
 		p.Usage = append(p.Usage, h.usage)
 	}
-	if late, most := float64(r.late.ValueAtQuantile(99))/1000, float64(r.late.Max())/1000; late > o.MaxLatenessP99 || most > o.MaxLateness {
+	if late, most := float64(r.lateness.ValueAtQuantile(99))/1000, float64(r.lateness.Max())/1000; late > o.MaxLatenessP99 || most > o.MaxLateness {
 		p.Void = fmt.Sprintf("the lab itself was late by %.1f ms at p99 (%.1f allowed), %.1f at most (%.1f)", late, o.MaxLatenessP99, most, o.MaxLateness)
 	}
 	return p, nil
 }
 
 // now is the world's clock: milliseconds since the beginning.
-func (r *rig) now() float64 { return float64(time.Since(r.t0)) / 1e6 }
+func (r *run) now() float64 { return float64(time.Since(r.startTime)) / 1e6 }
 
 // unix is a time of the world as Unix time.
-func (r *rig) unix(at float64) float64 { return float64(r.t0.UnixMicro())/1000 + at }
+func (r *run) unixMillis(at float64) float64 { return float64(r.startTime.UnixMicro())/1000 + at }
 
 // do has something done on the world's goroutine, at the world's time of now.
-func (r *rig) do(f func()) {
+func (r *run) enqueue(f func()) {
 	select {
-	case r.in <- f:
+	case r.tasks <- f:
 	case <-r.ctx.Done():
 	}
 }
 
 // loop is the world's goroutine. It tells whether the day came to its end.
-func (r *rig) loop(ctx context.Context, start float64) bool {
+func (r *run) eventLoop(ctx context.Context, arrivalStart float64) bool {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	end := start + float64(r.x.Length)
-	shown, checked := 0., false
-	for !r.w.Done() || r.o.Endless {
-		if r.spent.Load() && r.failed == nil {
-			r.failed = errors.New("the lab's own descriptors ran out: fewer workers, dispatchers or waiting clients, or a higher limit (ulimit -n)")
+	end := arrivalStart + float64(r.experiment.Length)
+	sampledAt, readyChecked := 0., false
+	for !r.model.Done() || r.options.Endless {
+		if r.outOfDescriptors.Load() && r.failure == nil {
+			r.failure = errors.New("the lab's own descriptors ran out: fewer workers, dispatchers or waiting clients, or a higher limit (ulimit -n)")
 		}
-		if r.failed != nil {
+		if r.failure != nil {
 			return false
 		}
-		if !checked && r.w.Now() >= start {
-			if checked = true; !r.w.AllDispatchersReady() {
-				r.failed = fmt.Errorf("the dispatchers are not ready after %.0f ms; --logs DIR keeps what they say", r.now())
+		if !readyChecked && r.model.Now() >= arrivalStart {
+			if readyChecked = true; !r.model.AllDispatchersReady() {
+				r.failure = fmt.Errorf("the dispatchers are not ready after %.0f ms; --logs DIR keeps what they say", r.now())
 				return false
 			}
 		}
-		wait := min(r.w.Next()-r.now(), 100)
+		wait := min(r.model.Next()-r.now(), 100)
 		if wait > 0 {
 			timer.Reset(time.Duration(wait * 1e6))
 			select {
 			case <-ctx.Done():
 				return false
-			case f := <-r.in:
+			case f := <-r.tasks:
 				r.advance(r.now())
 				f()
-			case f := <-r.o.Inject:
+			case f := <-r.options.Inject:
 				r.advance(r.now())
-				f(r.w)
+				f(r.model)
 			case <-timer.C:
 			}
 		} else if ctx.Err() != nil {
@@ -255,20 +255,20 @@
 		r.advance(r.now())
 		for more := true; more; {
 			select {
-			case f := <-r.in:
+			case f := <-r.tasks:
 				f()
 			default:
 				more = false
 			}
 		}
-		if now := r.now(); now > shown+100 {
-			shown = now
-			r.look()
-			if r.o.Progress != nil {
-				r.o.Progress(min(now/end, 1))
+		if now := r.now(); now > sampledAt+100 {
+			sampledAt = now
+			r.sampleUsage()
+			if r.options.Progress != nil {
+				r.options.Progress(min(now/end, 1))
 			}
-			if r.o.Watch != nil {
-				r.o.Watch(r.w)
+			if r.options.Watch != nil {
+				r.options.Watch(r.model)
 			}
 		}
 	}
@@ -276,21 +276,21 @@
 }
 
 // advance does what is due, and notes by how much the lab was late for it.
-func (r *rig) advance(to float64) {
-	for r.w.Next() <= to {
-		if late := r.now() - r.w.Next(); late < 60e3 {
-			_ = r.late.RecordValue(int64(math.Round(max(late*1000, 1)))) // within the histogram's range
+func (r *run) advance(to float64) {
+	for r.model.Next() <= to {
+		if late := r.now() - r.model.Next(); late < 60e3 {
+			_ = r.lateness.RecordValue(int64(math.Round(max(late*1000, 1)))) // within the histogram's range
 		}
-		r.w.Step()
+		r.model.Step()
 	}
-	r.w.Advance(to)
-	r.hushed.Store(r.w.DiscoverySilent())
+	r.model.Advance(to)
+	r.discoverySilent.Store(r.model.DiscoverySilent())
 }
 
 // look notes what the processes use.
-func (r *rig) look() {
-	for _, h := range r.hosts {
-		if h.cmd == nil || !h.up {
+func (r *run) sampleUsage() {
+	for _, h := range r.dispatchers {
+		if h.cmd == nil || !h.running {
 			continue
 		}
 		p, err := procfs.NewProc(h.cmd.Process.Pid)
@@ -307,8 +307,8 @@
 }
 
 // collect adds up what a living process has used.
-func (r *rig) collect(h *host) {
-	if h.cmd == nil || !h.up {
+func (r *run) addRunningUsage(h *dispatcher) {
+	if h.cmd == nil || !h.running {
 		return
 	}
 	if p, err := procfs.NewProc(h.cmd.Process.Pid); err == nil {
@@ -316,17 +316,17 @@
 			h.usage.CPUSeconds += s.CPUTime()
 		}
 	}
-	h.usage.Uptime += time.Since(h.began).Seconds()
+	h.usage.Uptime += time.Since(h.startedAt).Seconds()
 }
 
 // Addresses that are closed and opened again are not on 127.0.0.1: its ports go to whoever connects meanwhile.
 const (
-	dispatchersAt = "127.0.1.1:0"
-	workersAt     = "127.0.2.1:0"
+	dispatcherListenAddr = "127.0.1.1:0"
+	workerListenAddr     = "127.0.2.1:0"
 )
 
 // freeAddr is an address for a dispatcher that nobody listens at.
-func freeAddr() (string, error) { return freeAddrAt(dispatchersAt) }
+func freeDispatcherAddr() (string, error) { return freeAddrAt(dispatcherListenAddr) }
 
 func freeAddrAt(at string) (string, error) {
 	l, err := net.Listen("tcp4", at)
@@ -337,22 +337,22 @@
 	return l.Addr().String(), nil
 }
 
-func (r *rig) newHost(d int) (*host, error) {
-	h := &host{n: d, watches: map[int]chan []byte{}, doors: map[string]*door{}, open: map[string]context.CancelFunc{},
-		callQueue: map[string]chan fleetmodel.Callback{}}
+func (r *run) newDispatcher(d int) (*dispatcher, error) {
+	h := &dispatcher{index: d, watches: map[int]chan []byte{}, endpoints: map[string]*endpoint{}, cancelRequest: map[string]context.CancelFunc{},
+		callbackQueues: map[string]chan fleetmodel.Callback{}}
 	var err error
-	if h.listen, err = freeAddr(); err != nil {
+	if h.listen, err = freeDispatcherAddr(); err != nil {
 		return nil, err
 	}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	h.discAt = l.Addr().String()
-	h.disc = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { r.discovery(h, w, q) })}
-	r.running.Go(func() { _ = h.disc.Serve(l) }) // ends when it is closed
-	if r.x.Dispatchers.PeerMessages && r.x.Dispatchers.Count > 1 {
-		if err := r.newRelays(h); err != nil {
+	h.discoveryAddr = l.Addr().String()
+	h.discoveryServer = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { r.serveDiscovery(h, w, q) })}
+	r.goroutines.Go(func() { _ = h.discoveryServer.Serve(l) }) // ends when it is closed
+	if r.experiment.Dispatchers.PeerMessages && r.experiment.Dispatchers.Count > 1 {
+		if err := r.openPeerRelays(h); err != nil {
 			return nil, err
 		}
 	}
@@ -360,23 +360,23 @@
 }
 
 // newRelays opens the addresses at which a dispatcher finds its siblings.
-func (r *rig) newRelays(h *host) error {
+func (r *run) openPeerRelays(h *dispatcher) error {
 	mine, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 1, 1)}) // not among the ports that others draw from
 	if err != nil {
 		return fmt.Errorf("siblings: %w", err)
 	}
-	h.peerAt = mine.LocalAddr().(*net.UDPAddr)
+	h.peerAddr = mine.LocalAddr().(*net.UDPAddr)
 	mine.Close() // free for the dispatcher
-	for to := range r.x.Dispatchers.Count {
+	for to := range r.experiment.Dispatchers.Count {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			return fmt.Errorf("siblings: %w", err)
 		}
-		h.relays = append(h.relays, c)
-		if to == h.n {
+		h.peerRelays = append(h.peerRelays, c)
+		if to == h.index {
 			to = -1
 		}
-		r.running.Go(func() {
+		r.goroutines.Go(func() {
 			buf := make([]byte, 512)
 			for {
 				n, err := c.Read(buf)
@@ -384,7 +384,7 @@
 					return
 				}
 				data := append([]byte(nil), buf[:n]...)
-				r.do(func() { r.w.SendToPeers(h.n, to, data) })
+				r.enqueue(func() { r.model.SendToPeers(h.index, to, data) })
 			}
 		})
 	}
@@ -392,50 +392,50 @@
 }
 
 // configure writes a dispatcher's configuration.
-func (r *rig) configure(h *host, seed uint64, known []fleetmodel.WorkerEntry) error {
-	c := map[string]any{"name": "n" + strconv.Itoa(h.n), "listen": h.listen, "discovery": h.discAt,
-		"seed": fmt.Sprintf("%016x", seed), "settings": r.x.Settings(h.n),
-		"limits": map[string]any{"cores": r.o.Cores, "memory_mb": r.o.MemoryMB, "sockets": r.o.Descriptors}}
+func (r *run) writeConfig(h *dispatcher, seed uint64, known []fleetmodel.WorkerEntry) error {
+	c := map[string]any{"name": "n" + strconv.Itoa(h.index), "listen": h.listen, "discovery": h.discoveryAddr,
+		"seed": fmt.Sprintf("%016x", seed), "settings": r.experiment.Settings(h.index),
+		"limits": map[string]any{"cores": r.options.Cores, "memory_mb": r.options.MemoryMB, "sockets": r.options.Descriptors}}
 	if len(known) > 0 {
-		c["known"] = r.list(h, fleetmodel.DiscoveryUpdate{Complete: true, Workers: known})
+		c["known"] = r.discoveryListing(h, fleetmodel.DiscoveryUpdate{Complete: true, Workers: known})
 	}
-	if len(h.relays) > 0 {
+	if len(h.peerRelays) > 0 {
 		var peers []string
-		for _, p := range h.relays {
+		for _, p := range h.peerRelays {
 			peers = append(peers, p.LocalAddr().String())
 		}
-		c["peer_listen"], c["peers"], c["peers_all"] = h.peerAt.String(), peers, peers[h.n]
+		c["peer_listen"], c["peers"], c["peers_all"] = h.peerAddr.String(), peers, peers[h.index]
 	}
 	text, err := json.Marshal(c)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	h.config = filepath.Join(r.dir, fmt.Sprintf("n%d.json", h.n))
-	if err := os.WriteFile(h.config, text, 0o600); err != nil {
+	h.configPath = filepath.Join(r.dir, fmt.Sprintf("n%d.json", h.index))
+	if err := os.WriteFile(h.configPath, text, 0o600); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	return nil
 }
 
 // Start runs a dispatcher's process.
-func (r *rig) StartDispatcher(d int, known []fleetmodel.WorkerEntry) {
-	h := r.hosts[d]
-	if h.starts++; r.fleet != nil {
-		r.fleet.starts(d)
+func (r *run) StartDispatcher(d int, known []fleetmodel.WorkerEntry) {
+	h := r.dispatchers[d]
+	if h.startCount++; r.fleet != nil {
+		r.fleet.prepareFolder(d)
 	}
-	if err := r.configure(h, uint64(h.starts)<<32|uint64(d+1), known); err != nil {
-		r.failed = err
+	if err := r.writeConfig(h, uint64(h.startCount)<<32|uint64(d+1), known); err != nil {
+		r.failure = err
 		return
 	}
-	cmd, _ := r.launch(h)
+	cmd, _ := r.startProcess(h)
 	if cmd == nil {
 		return
 	}
-	h.cmd, h.up, h.began = cmd, true, time.Now()
-	r.running.Go(func() {
-		r.whenReady("http://"+h.listen+"/ready", func() {
-			if h.cmd == cmd && h.up {
-				r.w.DispatcherReady(d)
+	h.cmd, h.running, h.startedAt = cmd, true, time.Now()
+	r.goroutines.Go(func() {
+		r.onceReady("http://"+h.listen+"/ready", func() {
+			if h.cmd == cmd && h.running {
+				r.model.DispatcherReady(d)
 				if p, err := procfs.NewProc(cmd.Process.Pid); err == nil {
 					if s, err := p.Stat(); err == nil {
 						h.usage.IdleMB = float64(s.ResidentMemory()) / (1 << 20)
@@ -448,57 +448,57 @@
 
 // launch runs one more process of a dispatcher; nil: the lab failed. Only where processes take each other's place do they
 // have an address for operators and a folder to meet in.
-func (r *rig) launch(h *host) (cmd *exec.Cmd, ops string) {
-	program, file := r.o.Program, r.o.OperatorFile
+func (r *run) startProcess(h *dispatcher) (cmd *exec.Cmd, ops string) {
+	program, file := r.options.Program, r.options.OperatorFile
 	if r.fleet != nil {
-		program, file = r.fleet.member(h.n)
+		program, file = r.fleet.program(h.index)
 	}
 	cmd = exec.Command(program, "serve")
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+h.config, "ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_OPS=", "ROUTER_DISCOVERY=", "WELDMAST_FILE="+file)
-	if slices.ContainsFunc(r.x.Faults, func(f fleetmodel.Fault) bool { return f.Type == "dispatcher_upgrade" }) {
-		temp := filepath.Join(r.dir, strconv.Itoa(h.n))
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+h.configPath, "ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_OPS=", "ROUTER_DISCOVERY=", "WELDMAST_FILE="+file)
+	if slices.ContainsFunc(r.experiment.Faults, func(f fleetmodel.Fault) bool { return f.Type == "dispatcher_upgrade" }) {
+		temp := filepath.Join(r.dir, strconv.Itoa(h.index))
 		var err error
-		if ops, err = freeAddr(); err == nil {
+		if ops, err = freeDispatcherAddr(); err == nil {
 			err = os.MkdirAll(temp, 0o700)
 		}
 		if err != nil {
-			r.failed = fmt.Errorf("dispatcher: %w", err)
+			r.failure = fmt.Errorf("dispatcher: %w", err)
 			return nil, ""
 		}
 		cmd.Env = append(cmd.Env, "ROUTER_OPS="+ops, "TMPDIR="+temp)
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the lab
-	if r.o.LogDir != "" {
-		f, err := os.OpenFile(filepath.Join(r.o.LogDir, fmt.Sprintf("n%d.log", h.n)), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	if r.options.LogDir != "" {
+		f, err := os.OpenFile(filepath.Join(r.options.LogDir, fmt.Sprintf("n%d.log", h.index)), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 		if err != nil {
-			r.failed = fmt.Errorf("logs: %w", err)
+			r.failure = fmt.Errorf("logs: %w", err)
 			return nil, ""
 		}
 		defer f.Close()
 		cmd.Stderr = f
 	}
 	if err := cmd.Start(); err != nil {
-		r.failed = fmt.Errorf("dispatcher: %w", err)
+		r.failure = fmt.Errorf("dispatcher: %w", err)
 		return nil, ""
 	}
-	r.running.Go(func() {
+	r.goroutines.Go(func() {
 		_ = cmd.Wait() // how it ended shows in its state
-		r.do(func() { r.exited(h, cmd) })
+		r.enqueue(func() { r.processExited(h, cmd) })
 	})
-	h.all = append(h.all, cmd)
+	h.processes = append(h.processes, cmd)
 	return cmd, ops
 }
 
 // whenReady has something done on the world's goroutine once a process says that it is ready.
-func (r *rig) whenReady(url string, then func()) {
-	for began := time.Now(); time.Since(began) < readyWithin && r.ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
-		resp, err := r.client.Get(url)
+func (r *run) onceReady(url string, then func()) {
+	for startedAt := time.Now(); time.Since(startedAt) < readyTimeout && r.ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
+		resp, err := r.httpClient.Get(url)
 		if err != nil {
 			continue
 		}
 		resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
-			r.do(then)
+			r.enqueue(then)
 			return
 		}
 	}
@@ -506,38 +506,38 @@
 
 // Upgrade starts a process beside the one that serves. Once it is ready the older one is told to stop, and is killed
 // when the time that it has is over.
-func (r *rig) UpgradeDispatcher(d int) {
-	h := r.hosts[d]
-	if !h.up {
+func (r *run) UpgradeDispatcher(d int) {
+	h := r.dispatchers[d]
+	if !h.running {
 		return
 	}
-	cmd, ops := r.launch(h)
+	cmd, ops := r.startProcess(h)
 	if cmd == nil {
 		return
 	}
-	r.running.Go(func() {
-		r.whenReady("http://"+ops+"/control/ready", func() {
-			if !h.up {
+	r.goroutines.Go(func() {
+		r.onceReady("http://"+ops+"/control/ready", func() {
+			if !h.running {
 				return
 			}
-			older := h.cmd
+			predecessor := h.cmd
 			h.cmd = cmd
-			_ = older.Process.Signal(syscall.SIGTERM)
-			time.AfterFunc(killAfter, func() { _ = older.Process.Kill() }) // one that has ended needs none
+			_ = predecessor.Process.Signal(syscall.SIGTERM)
+			time.AfterFunc(stopTimeout, func() { _ = predecessor.Process.Kill() }) // one that has ended needs none
 		})
 	})
 }
 
-const killAfter = 3700 * time.Millisecond // after SIGTERM: the longest deadline, 3 s at most, and a grace
+const stopTimeout = 3700 * time.Millisecond // after SIGTERM: the longest deadline, 3 s at most, and a grace
 
 // Flood opens connections that never say a whole request: half of them say nothing, half the beginning of one.
-func (r *rig) FloodConnections(d int, rate, span float64) {
-	h := r.hosts[d]
+func (r *run) FloodConnections(d int, rate, span float64) {
+	h := r.dispatchers[d]
 	for k := range int(rate * span / 1000) {
 		time.AfterFunc(time.Duration(float64(k)/rate*1e9), func() {
 			c, err := net.Dial("tcp4", h.listen)
 			if err != nil {
-				r.ranOut(err)
+				r.noteDescriptorError(err)
 				return
 			}
 			defer c.Close()
@@ -551,69 +551,69 @@
 }
 
 // exited notes the end of a process, whether or not it was killed.
-func (r *rig) exited(h *host, cmd *exec.Cmd) {
+func (r *run) processExited(h *dispatcher, cmd *exec.Cmd) {
 	if s := cmd.ProcessState; s != nil {
 		h.usage.CPUSeconds += (s.UserTime() + s.SystemTime()).Seconds()
 	}
 	if h.cmd == cmd {
-		if h.up {
-			h.up = false
-			r.w.DispatcherExited(h.n)
+		if h.running {
+			h.running = false
+			r.model.DispatcherExited(h.index)
 		}
-		h.usage.Uptime += time.Since(h.began).Seconds()
+		h.usage.Uptime += time.Since(h.startedAt).Seconds()
 	}
 }
 
 // Kill ends a process at once.
-func (r *rig) KillDispatcher(d int) {
-	if h := r.hosts[d]; h.up {
+func (r *run) KillDispatcher(d int) {
+	if h := r.dispatchers[d]; h.running {
 		h.kill()
 	}
 }
 
 // kill ends all processes of a dispatcher.
-func (h *host) kill() {
-	h.up = false
-	for _, c := range h.all {
+func (h *dispatcher) kill() {
+	h.running = false
+	for _, c := range h.processes {
 		_ = c.Process.Kill() // one that has ended needs none
 	}
 }
 
 // Stop and Reload send their signals.
-func (r *rig) StopDispatcher(d int) { r.signal(d, syscall.SIGTERM) }
+func (r *run) StopDispatcher(d int) { r.signal(d, syscall.SIGTERM) }
 
 // Reload as Stop.
-func (r *rig) ReloadDispatcher(d int) { r.signal(d, syscall.SIGHUP) }
+func (r *run) ReloadDispatcher(d int) { r.signal(d, syscall.SIGHUP) }
 
 // Freeze stops a process or has it go on.
-func (r *rig) SetPaused(d int, on bool) {
+func (r *run) SetPaused(d int, on bool) {
 	if r.fleet != nil {
-		r.fleet.froze(d, on)
+		r.fleet.recordPause(d, on)
 	}
-	h := r.hosts[d]
+	h := r.dispatchers[d]
 	switch {
-	case on && h.up:
-		h.still = h.cmd
-		_ = h.still.Process.Signal(syscall.SIGSTOP) // one that has just ended needs none
-	case !on && h.still != nil: // the same one, whoever serves by now
-		_ = h.still.Process.Signal(syscall.SIGCONT)
-		h.still = nil
+	case on && h.running:
+		h.paused = h.cmd
+		_ = h.paused.Process.Signal(syscall.SIGSTOP) // one that has just ended needs none
+	case !on && h.paused != nil: // the same one, whoever serves by now
+		_ = h.paused.Process.Signal(syscall.SIGCONT)
+		h.paused = nil
 	}
 }
 
-func (r *rig) signal(d int, s syscall.Signal) {
-	if h := r.hosts[d]; h.up {
+func (r *run) signal(d int, s syscall.Signal) {
+	if h := r.dispatchers[d]; h.running {
 		_ = h.cmd.Process.Signal(s) // one that has just ended needs none
 	}
 }
 
 // close ends whatever was started.
-func (r *rig) close() {
-	if r.o.GracefulStop {
-		r.gentle()
+func (r *run) close() {
+	if r.options.GracefulStop {
+		r.stopGracefully()
 	}
-	for _, h := range r.hosts {
-		if h.up {
+	for _, h := range r.dispatchers {
+		if h.running {
 			h.kill()
 		}
 	}
@@ -621,66 +621,66 @@
 	if r.fleet != nil {
 		r.fleet.close()
 	}
-	for _, h := range r.hosts {
-		_ = h.disc.Close()
-		for _, c := range h.relays {
+	for _, h := range r.dispatchers {
+		_ = h.discoveryServer.Close()
+		for _, c := range h.peerRelays {
 			c.Close()
 		}
 	}
 	for _, s := range r.workers {
 		s.close()
-		for _, d := range s.doors {
-			d.release()
+		for _, d := range s.endpoints {
+			d.releasePort()
 		}
 	}
 	done := make(chan struct{})
 	go func() {
-		r.running.Wait()
+		r.goroutines.Wait()
 		close(done)
 	}()
 	for {
 		select {
-		case <-r.in: // let go of those that still hand something in
+		case <-r.tasks: // let go of those that still hand something in
 		case <-done:
-			r.client.CloseIdleConnections()
+			r.httpClient.CloseIdleConnections()
 			return
 		}
 	}
 }
 
 // gentle waits for the dispatchers to end by themselves.
-func (r *rig) gentle() {
-	for _, h := range r.hosts {
-		if h.up {
-			h.up = false
+func (r *run) stopGracefully() {
+	for _, h := range r.dispatchers {
+		if h.running {
+			h.running = false
 			_ = h.cmd.Process.Signal(syscall.SIGTERM)
 		}
 	}
-	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); {
-		living := 0
-		for _, h := range r.hosts {
+	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); {
+		running := 0
+		for _, h := range r.dispatchers {
 			if h.cmd != nil && h.cmd.Process.Signal(syscall.Signal(0)) == nil {
-				living++
+				running++
 			}
 		}
-		if living == 0 {
+		if running == 0 {
 			return
 		}
 		select {
-		case <-r.in:
+		case <-r.tasks:
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
 // ranOut ends the day when the lab's own descriptors have run out: what breaks then is no dispatcher's fault.
-func (r *rig) ranOut(err error) {
+func (r *run) noteDescriptorError(err error) {
 	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-		r.spent.Store(true)
+		r.outOfDescriptors.Store(true)
 	}
 }
 
 // quiet drops what the stand-ins' server would log: broken connections are part of the day.
-type quiet struct{}
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/realtime/stubs.go
+++ b/internal/realtime/stubs.go
@@ -25,71 +25,71 @@
 )
 
 // standIn is one worker: an address for each dispatcher, so that it is known who sends.
-type standIn struct {
-	id    string
-	doors []*door
+type stubWorker struct {
+	id        string
+	endpoints []*endpoint
 }
 
 // door is where one dispatcher finds one worker.
-type door struct {
-	h      *host
-	worker string
-	addr   string
-	port   int
-	mu     sync.Mutex
-	l      net.Listener
-	kept   int // the descriptor that keeps the port while nothing listens there; 0: none
-	conns  map[net.Conn]bool
-	out    map[string]*fleetmodel.HandOff // the last of each id; the world's goroutine's
+type endpoint struct {
+	dispatcher *dispatcher
+	worker     string
+	addr       string
+	port       int
+	mu         sync.Mutex
+	listener   net.Listener
+	reservedFD int // the descriptor that keeps the port while nothing listens there; 0: none
+	conns      map[net.Conn]bool
+	handOffs   map[string]*fleetmodel.HandOff // the last of each id; the world's goroutine's
 }
 
 // Accept keeps account of connections, so that a worker's death can reset them.
-type accepting struct {
+type trackingListener struct {
 	net.Listener
-	d *door
-	r *rig
+	endpoint *endpoint
+	run      *run
 }
 
-type counted struct {
+type trackedConn struct {
 	*net.TCPConn
-	d *door
+	endpoint *endpoint
 }
 
-func (c *counted) Close() error {
-	c.d.mu.Lock()
-	delete(c.d.conns, c)
-	c.d.mu.Unlock()
+func (c *trackedConn) Close() error {
+	c.endpoint.mu.Lock()
+	delete(c.endpoint.conns, c)
+	c.endpoint.mu.Unlock()
 	return c.TCPConn.Close()
 }
 
-func (a accepting) Accept() (net.Conn, error) {
+func (a trackingListener) Accept() (net.Conn, error) {
 	c, err := a.Listener.Accept()
 	if err != nil {
-		a.r.ranOut(err)
+		a.run.noteDescriptorError(err)
 		return nil, err
 	}
-	x := &counted{c.(*net.TCPConn), a.d}
-	a.d.mu.Lock()
-	a.d.conns[x] = true
-	a.d.mu.Unlock()
+	x := &trackedConn{c.(*net.TCPConn), a.endpoint}
+	a.endpoint.mu.Lock()
+	a.endpoint.conns[x] = true
+	a.endpoint.mu.Unlock()
 	return x, nil
 }
 
-func (r *rig) newWorker(m fleetmodel.WorkerEntry) error {
-	s := &standIn{id: m.ID}
-	for _, h := range r.hosts {
-		d := &door{h: h, worker: m.ID, conns: map[net.Conn]bool{}, out: map[string]*fleetmodel.HandOff{}}
-		if err := r.listen(d, workersAt); err != nil {
+func (r *run) newWorker(m fleetmodel.WorkerEntry) error {
+	s := &stubWorker{id: m.ID}
+	for _, h := range r.dispatchers {
+		d := &endpoint{dispatcher: h, worker: m.ID, conns: map[net.Conn]bool{}, handOffs: map[string]*fleetmodel.HandOff{}}
+		if err := r.openEndpoint(d, workerListenAddr); err != nil {
 			return err
 		}
-		h.doors[m.ID] = d
-		s.doors = append(s.doors, d)
+		h.endpoints[m.ID] = d
+		s.endpoints = append(s.endpoints, d)
 	}
 	r.workers[m.ID] = s
 	return nil
 }
 
-func (r *rig) listen(d *door, at string) error {
+func (r *run) openEndpoint(d *endpoint, at string) error {
 	l, err := net.Listen("tcp4", at)
 	if err != nil {
 		return fmt.Errorf("worker: %w", err)
@@ -97,17 +97,17 @@
 	a := l.Addr().(*net.TCPAddr)
 	d.addr, d.port = a.String(), a.Port
 	d.mu.Lock()
-	d.l = l
-	d.release()
+	d.listener = l
+	d.releasePort()
 	d.mu.Unlock()
-	r.at.Store(d.port, d)
-	r.running.Go(func() { _ = r.server.Serve(accepting{l, d, r}) }) // ends when it is closed
+	r.endpoints.Store(d.port, d)
+	r.goroutines.Go(func() { _ = r.workerServer.Serve(trackingListener{l, d, r}) }) // ends when it is closed
 	return nil
 }
 
 // reserve keeps the port of a worker that is down: bound and not listening, so that connections are refused, and that nobody
 // who asks for any port gets it meanwhile. Without it the worker could not come back.
-func (d *door) reserve() {
+func (d *endpoint) reservePort() {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return // listening there again will tell
@@ -118,24 +118,24 @@
 		syscall.Close(fd)
 		return
 	}
-	d.kept = fd
+	d.reservedFD = fd
 }
 
-func (d *door) release() {
-	if d.kept > 0 {
-		syscall.Close(d.kept)
-		d.kept = 0
+func (d *endpoint) releasePort() {
+	if d.reservedFD > 0 {
+		syscall.Close(d.reservedFD)
+		d.reservedFD = 0
 	}
 }
 
 // close refuses connections and resets those that are there.
-func (s *standIn) close() {
-	for _, d := range s.doors {
+func (s *stubWorker) close() {
+	for _, d := range s.endpoints {
 		d.mu.Lock()
-		if d.l != nil {
-			d.l.Close()
-			d.l = nil
-			d.reserve()
+		if d.listener != nil {
+			d.listener.Close()
+			d.listener = nil
+			d.reservePort()
 		}
 		conns := make([]net.Conn, 0, len(d.conns))
 		for c := range d.conns {
@@ -143,76 +143,76 @@
 		}
 		d.mu.Unlock()
 		for _, c := range conns {
-			_ = c.(*counted).SetLinger(0)
+			_ = c.(*trackedConn).SetLinger(0)
 			c.Close()
 		}
 	}
 }
 
 // Up and Down are a worker's process: with it its connections end, and new ones are refused.
-func (r *rig) WorkerStarted(id string) {
+func (r *run) WorkerStarted(id string) {
 	s := r.workers[id]
 	if s == nil { // a replacement that was not there at the start
-		if err := r.newWorker(fleetmodel.WorkerEntry{ID: id}); err != nil && r.failed == nil {
-			r.failed = err
+		if err := r.newWorker(fleetmodel.WorkerEntry{ID: id}); err != nil && r.failure == nil {
+			r.failure = err
 		}
 		return
 	}
-	for _, d := range s.doors {
+	for _, d := range s.endpoints {
 		d.mu.Lock()
-		open := d.l != nil
+		open := d.listener != nil
 		d.mu.Unlock()
 		if !open {
-			if err := r.listen(d, d.addr); err != nil && r.failed == nil {
-				r.failed = err
+			if err := r.openEndpoint(d, d.addr); err != nil && r.failure == nil {
+				r.failure = err
 			}
 		}
 	}
 }
 
 // Down as Up.
-func (r *rig) WorkerStopped(id string) {
+func (r *run) WorkerStopped(id string) {
 	if s := r.workers[id]; s != nil {
 		s.close()
 	}
 }
 
 // handOff serves all workers: POST hands a job off, DELETE calls one off.
-func (r *rig) handOff(ctx *fasthttp.RequestCtx) {
-	found, ok := r.at.Load(ctx.LocalAddr().(*net.TCPAddr).Port)
+func (r *run) serveHandOff(ctx *fasthttp.RequestCtx) {
+	found, ok := r.endpoints.Load(ctx.LocalAddr().(*net.TCPAddr).Port)
 	if !ok {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	d := found.(*door)
+	d := found.(*endpoint)
 	if ctx.IsDelete() {
 		id := strings.TrimPrefix(string(ctx.Path()), "/jobs/")
-		r.do(func() {
-			if h := d.out[id]; h != nil {
-				r.w.CancelHandOff(h)
+		r.enqueue(func() {
+			if h := d.handOffs[id]; h != nil {
+				r.model.CancelHandOff(h)
 			}
 		})
 		return
 	}
 	id := string(ctx.Request.Header.Peek("X-Request-Id"))
-	end := make(chan fleetmodel.HandOffResult, 2)
-	release, came := string(ctx.Request.Header.Peek("X-Release")), r.now()
-	r.do(func() {
-		if old := d.out[id]; old != nil {
-			r.w.CancelHandOff(old) // its connection was closed, or it would not be sent again
+	result := make(chan fleetmodel.HandOffResult, 2)
+	release, receivedAt := string(ctx.Request.Header.Peek("X-Release")), r.now()
+	r.enqueue(func() {
+		if previous := d.handOffs[id]; previous != nil {
+			r.model.CancelHandOff(previous) // its connection was closed, or it would not be sent again
 		}
 		if r.fleet != nil {
-			r.fleet.saw(d, id, release, came)
+			r.fleet.recordHandOff(d, id, release, receivedAt)
 		}
-		d.out[id] = r.w.HandOff(d.h.n, id, d.worker, end)
+		d.handOffs[id] = r.model.HandOff(d.dispatcher.index, id, d.worker, result)
 	})
-	var how fleetmodel.HandOffResult
+	var ended fleetmodel.HandOffResult
 	select {
-	case how = <-end:
+	case ended = <-result:
 	case <-r.ctx.Done():
-		how = fleetmodel.ConnectionReset
+		ended = fleetmodel.ConnectionReset
 	}
-	switch how {
+	switch ended {
 	case fleetmodel.Accepted:
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
 	case fleetmodel.Rejected:
@@ -221,7 +221,7 @@
 	case fleetmodel.Failed:
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 	default:
-		if c, ok := ctx.Conn().(*counted); ok {
+		if c, ok := ctx.Conn().(*trackedConn); ok {
 			_ = c.SetLinger(0)
 			c.Close()
 		}
@@ -229,7 +229,7 @@
 }
 
 // Ended answers a hand-off's request.
-func (r *rig) HandOffEnded(_ int, h *fleetmodel.HandOff, how fleetmodel.HandOffResult) {
+func (r *run) HandOffEnded(_ int, h *fleetmodel.HandOff, how fleetmodel.HandOffResult) {
 	select {
 	case h.Tag.(chan fleetmodel.HandOffResult) <- how:
 	default: // it was answered
@@ -237,13 +237,13 @@
 }
 
 // Callback is told in order by one goroutine for each worker and dispatcher, with further tries until it is taken.
-func (r *rig) Callback(n int, c fleetmodel.Callback) bool {
-	h := r.hosts[n]
-	q := h.callQueue[c.From]
+func (r *run) Callback(n int, c fleetmodel.Callback) bool {
+	h := r.dispatchers[n]
+	q := h.callbackQueues[c.From]
 	if q == nil {
 		q = make(chan fleetmodel.Callback, 4096)
-		h.callQueue[c.From] = q
-		r.running.Go(func() { r.call(h, q) })
+		h.callbackQueues[c.From] = q
+		r.goroutines.Go(func() { r.sendCallbacks(h, q) })
 	}
 	select {
 	case q <- c:
@@ -252,7 +252,7 @@
 	return true
 }
 
-func (r *rig) call(h *host, q chan fleetmodel.Callback) {
+func (r *run) sendCallbacks(h *dispatcher, q chan fleetmodel.Callback) {
 	for {
 		select {
 		case <-r.ctx.Done():
@@ -263,7 +263,7 @@
 				panic(err) // of texts and a number
 			}
 			for range 10 {
-				if r.post("http://"+h.listen+"/callback", body) {
+				if r.postCallback("http://"+h.listen+"/callback", body) {
 					break
 				}
 				select {
@@ -276,66 +276,66 @@
 	}
 }
 
-func (r *rig) post(url string, body []byte) bool {
+func (r *run) postCallback(url string, body []byte) bool {
 	q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
 	defer fasthttp.ReleaseResponse(a)
 	q.SetRequestURI(url)
 	q.Header.SetMethod(fasthttp.MethodPost)
 	q.SetBodyRaw(body)
-	err := r.calls.Do(q, a)
-	r.ranOut(err)
+	err := r.callbackClient.Do(q, a)
+	r.noteDescriptorError(err)
 	return err == nil && a.StatusCode() < 300
 }
 
-var phases = map[dispatch.WorkerState]string{dispatch.Up: "in_service", dispatch.Draining: "terminating", dispatch.Gone: "terminated"}
+var phaseNames = map[dispatch.WorkerState]string{dispatch.Up: "in_service", dispatch.Draining: "terminating", dispatch.Gone: "terminated"}
 
 // list is a listing as discovery's agent writes it for one dispatcher.
-func (r *rig) list(h *host, l fleetmodel.DiscoveryUpdate) map[string]any {
+func (r *run) discoveryListing(h *dispatcher, l fleetmodel.DiscoveryUpdate) map[string]any {
 	members := []any{}
 	for _, m := range l.Workers {
-		d := h.doors[m.ID]
+		d := h.endpoints[m.ID]
 		if d == nil {
 			continue
 		}
 		since := int64(0)
 		if m.StartTime >= 0 {
-			since = int64(r.unix(m.StartTime))
+			since = int64(r.unixMillis(m.StartTime))
 		}
 		members = append(members, map[string]any{"id": m.ID, "host_port": d.addr, "locality": fleetmodel.SiteName(m.Site),
-			"flavor": r.x.Kinds[m.Kind].Name, "cell": 0, "phase": phases[m.State], "size": 1.0, "up_since_ms": since})
+			"flavor": r.experiment.Kinds[m.Kind].Name, "cell": 0, "phase": phaseNames[m.State], "size": 1.0, "up_since_ms": since})
 	}
 	return map[string]any{"revision": l.Revision, "complete": l.Complete, "members": members}
 }
 
 // discovery serves one dispatcher's agent.
-func (r *rig) discovery(h *host, w http.ResponseWriter, q *http.Request) {
+func (r *run) serveDiscovery(h *dispatcher, w http.ResponseWriter, q *http.Request) {
 	lines := make(chan []byte, 256)
 	after, err := strconv.ParseInt(q.FormValue("after"), 10, 64)
 	if err != nil {
 		after = -1
 	}
-	number := 0
-	r.do(func() {
-		h.numbers++
-		number = h.numbers
-		for _, older := range h.watches { // a newer watch takes the place of the one before, which says nothing more
-			close(older)
+	watch := 0
+	r.enqueue(func() {
+		h.lastWatch++
+		watch = h.lastWatch
+		for _, previous := range h.watches { // a newer watch takes the place of the one before, which says nothing more
+			close(previous)
 		}
-		h.watches = map[int]chan []byte{number: lines}
-		r.w.Watch(h.n, number, after)
+		h.watches = map[int]chan []byte{watch: lines}
+		r.model.Watch(h.index, watch, after)
 	})
-	defer r.do(func() { delete(h.watches, number) })
-	beat := time.NewTicker(2 * time.Second)
-	defer beat.Stop()
+	defer r.enqueue(func() { delete(h.watches, watch) })
+	keepAlive := time.NewTicker(2 * time.Second)
+	defer keepAlive.Stop()
 	for {
 		select {
 		case <-r.ctx.Done():
 			return
 		case <-q.Context().Done():
 			return
-		case text, more := <-lines:
-			if !more {
+		case text, open := <-lines:
+			if !open {
 				return
 			}
 			if _, err := w.Write(append(text, '\n')); err != nil {
@@ -344,8 +344,8 @@
 			if q.FormValue("watch") == "" {
 				return
 			}
-		case <-beat.C:
-			if r.hushed.Load() {
+		case <-keepAlive.C:
+			if r.discoverySilent.Load() {
 				continue
 			}
 			if _, err := w.Write([]byte("\n")); err != nil {
@@ -357,9 +357,9 @@
 }
 
 // List hands a line to the watch that it belongs to.
-func (r *rig) DiscoveryUpdated(d int, l fleetmodel.DiscoveryUpdate) {
-	h := r.hosts[d]
-	text, err := json.Marshal(r.list(h, l))
+func (r *run) DiscoveryUpdated(d int, l fleetmodel.DiscoveryUpdate) {
+	h := r.dispatchers[d]
+	text, err := json.Marshal(r.discoveryListing(h, l))
 	if err != nil {
 		panic(err) // of texts and numbers
 	}
@@ -373,8 +373,8 @@
 }
 
 // Broken ends a watch.
-func (r *rig) WatchEnded(d, watch int) {
-	h := r.hosts[d]
+func (r *run) WatchEnded(d, watch int) {
+	h := r.dispatchers[d]
 	if lines := h.watches[watch]; lines != nil {
 		delete(h.watches, watch)
 		close(lines)
@@ -382,25 +382,25 @@
 }
 
 // Message brings a sibling's datagram from the address at which the dispatcher knows the sibling.
-func (r *rig) PeerMessage(d, from int, data []byte) {
-	h := r.hosts[d]
-	_, _ = h.relays[from].WriteToUDP(data, h.peerAt) // lost, as datagrams may be
+func (r *run) PeerMessage(d, from int, data []byte) {
+	h := r.dispatchers[d]
+	_, _ = h.peerRelays[from].WriteToUDP(data, h.peerAddr) // lost, as datagrams may be
 }
 
 // Request is a client's; its answer comes back to the world.
-func (r *rig) RequestArrived(d int, t *fleetmodel.Request) {
-	h := r.hosts[d]
+func (r *run) RequestArrived(d int, t *fleetmodel.Request) {
+	h := r.dispatchers[d]
 	ctx, cancel := context.WithCancel(r.ctx)
-	h.open[t.ID] = cancel
+	h.cancelRequest[t.ID] = cancel
 	j := t.Job
-	left := t.Deadline - r.w.Now()
+	left := t.Deadline - r.model.Now()
 	tenant := ""
 	if j.Tenant >= 0 {
-		tenant = r.x.Tenants[j.Tenant].Name
+		tenant = r.experiment.Tenants[j.Tenant].Name
 	}
-	r.running.Go(func() {
+	r.goroutines.Go(func() {
 		defer cancel()
-		q, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s/%d", h.listen, r.x.Categories[j.Category].Name, j.Number), http.NoBody)
+		q, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s/%d", h.listen, r.experiment.Categories[j.Category].Name, j.Number), http.NoBody)
 		if err != nil {
 			panic(err) // our own address and names
 		}
@@ -414,35 +414,35 @@
 		if t.Retry {
 			q.Header["X-Retry"] = []string{"1"}
 		}
-		a, err := r.client.Do(q)
+		a, err := r.httpClient.Do(q)
 		var body []byte
 		if err == nil {
 			body, err = io.ReadAll(a.Body)
 			a.Body.Close()
 		}
 		left := ctx.Err() != nil
-		r.ranOut(err)
-		r.do(func() {
-			delete(h.open, t.ID)
+		r.noteDescriptorError(err)
+		r.enqueue(func() {
+			delete(h.cancelRequest, t.ID)
 			switch {
 			case left && err != nil:
 			case err != nil:
-				r.w.ConnectionBroken(t, errors.Is(err, syscall.ECONNREFUSED))
+				r.model.ConnectionBroken(t, errors.Is(err, syscall.ECONNREFUSED))
 			case a.StatusCode == http.StatusOK:
-				r.w.Answer(d, t.ID, fleetmodel.Served, string(body), 0)
+				r.model.Answer(d, t.ID, fleetmodel.Served, string(body), 0)
 			case slices.Contains([]int{http.StatusTooManyRequests, http.StatusServiceUnavailable}, a.StatusCode):
-				pause, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64) // none: no advice
-				r.w.Answer(d, t.ID, fleetmodel.RetryLater, "", pause*1000)
+				retryAfter, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64) // none: no advice
+				r.model.Answer(d, t.ID, fleetmodel.RetryLater, "", retryAfter*1000)
 			default:
-				r.w.Answer(d, t.ID, fleetmodel.OtherStatus, "", 0)
+				r.model.Answer(d, t.ID, fleetmodel.OtherStatus, "", 0)
 			}
 		})
 	})
 }
 
 // Leave closes a client's connection.
-func (r *rig) ClientLeft(d int, t *fleetmodel.Request) {
-	if cancel := r.hosts[d].open[t.ID]; cancel != nil {
+func (r *run) ClientLeft(d int, t *fleetmodel.Request) {
+	if cancel := r.dispatchers[d].cancelRequest[t.ID]; cancel != nil {
 		cancel()
 	}
 }
