--- a/cmd/weldlab/commands.go
+++ b/cmd/weldlab/commands.go
@@ -16,12 +16,12 @@
 )
 
 // output is where results go besides the terminal.
-type output struct {
+type outputFlags struct {
 	JSON   string `placeholder:"PATH" help:"Add each result to this file as a line of JSON; - for standard output instead of text."`
 	Report string `placeholder:"PATH" help:"Draw a page of plots into this file (HTML)."`
 }
 
-func (o *output) write(s *streams, results []*lab.Result) error {
+func (o *outputFlags) write(s *streams, results []*lab.Result) error {
 	if o.JSON != "" {
 		w := s.out
 		if o.JSON != "-" {
@@ -63,7 +63,7 @@
 }
 
 // program is what is played on sockets.
-type program struct {
+type realTimeFlags struct {
 	Program     string  `default:"bin/weldmast" help:"On sockets: the dispatcher's program."`
 	File        string  `placeholder:"PATH" name:"operator-file" help:"On sockets: its operator's file."`
 	Logs        string  `placeholder:"DIR" help:"On sockets: folder for its logs."`
@@ -74,16 +74,16 @@
 	LateMost    float64 `default:"100" help:"On sockets: the same at most."`
 }
 
-func (p *program) options() realtime.Options {
+func (p *realTimeFlags) options() realtime.Options {
 	return realtime.Options{Program: p.Program, OperatorFile: p.File, LogDir: p.Logs, MemoryMB: p.MemoryMB, Descriptors: p.Descriptors,
 		Cores: p.Cores, MaxLatenessP99: p.LateP99, MaxLateness: p.LateMost}
 }
 
 // verdict is the error to end with after results.
-func verdict(results []*lab.Result) error {
+func resultError(results []*lab.Result) error {
 	for _, r := range results {
-		if r.Broken() > 0 {
-			return errBroken
+		if r.ViolationCount() > 0 {
+			return errRuleBroken
 		}
 		if r.Void != "" {
 			return fmt.Errorf("void: %s", r.Void)
@@ -98,9 +98,9 @@
 	Policy  string `default:"weldmast" help:"weldmast, or a baseline (virtual time only)."`
 	Virtual bool   `help:"In virtual time with whole nodes (the default)." xor:"driver"`
 	Sockets bool   `help:"In real time, against the built program on loopback." xor:"driver"`
-	program
+	realTimeFlags
 	Set []string `sep:"none" placeholder:"KEY=VALUE" help:"Change a value of the experiment, as arrivals.load=0.8 or fault.0.at=\"5s\"."`
-	output
+	outputFlags
 }
 
 func (c *runCommand) Run(ctx context.Context, s *streams) error {
@@ -111,7 +111,7 @@
 	if c.Sockets && c.Policy != lab.OwnPolicy {
 		return fmt.Errorf("baselines are played in virtual time only")
 	}
-	progress, done := s.bar(lab.ExperimentName(c.Path))
+	progress, done := s.progressBar(lab.ExperimentName(c.Path))
 	var r *lab.Result
 	if c.Sockets {
 		o := c.options()
@@ -130,11 +130,11 @@
 	if err := c.write(s, []*lab.Result{r}); err != nil {
 		return err
 	}
-	return verdict([]*lab.Result{r})
+	return resultError([]*lab.Result{r})
 }
 
 // seeds are n from the first on.
-func seeds(first uint64, n int) (all []uint64) {
+func seedRange(first uint64, n int) (all []uint64) {
 	for k := range n {
 		all = append(all, first+uint64(k))
 	}
@@ -149,8 +149,8 @@
 	Seeds   int      `default:"10" help:"How many pairs."`
 	Seed    uint64   `default:"1" help:"The first."`
 	Set     []string `sep:"none" placeholder:"KEY=VALUE" help:"Change a value of the experiment."`
-	program
-	output
+	realTimeFlags
+	outputFlags
 }
 
 func (c *compareCommand) Run(ctx context.Context, s *streams) error {
@@ -158,14 +158,14 @@
 	if err != nil {
 		return err
 	}
-	progress, done := s.bar(lab.ExperimentName(c.Path))
+	progress, done := s.progressBar(lab.ExperimentName(c.Path))
 	var as, bs []*lab.Result
 	if c.Sockets {
 		a, b := c.options(), c.options()
 		a.Program, b.Program = c.A, c.B
-		as, bs, err = lab.CompareBuilds(ctx, lab.ExperimentName(c.Path), x, a, b, seeds(c.Seed, c.Seeds))
+		as, bs, err = lab.CompareBuilds(ctx, lab.ExperimentName(c.Path), x, a, b, seedRange(c.Seed, c.Seeds))
 	} else {
-		as, bs, err = lab.Compare(ctx, lab.ExperimentName(c.Path), x, c.A, c.B, seeds(c.Seed, c.Seeds), progress)
+		as, bs, err = lab.Compare(ctx, lab.ExperimentName(c.Path), x, c.A, c.B, seedRange(c.Seed, c.Seeds), progress)
 	}
 	done()
 	if err != nil {
@@ -182,7 +182,7 @@
 	Seeds  int      `default:"5" help:"Seeds for each value."`
 	Seed   uint64   `default:"1" help:"The first."`
 	Policy string   `default:"weldmast" help:"weldmast or a baseline."`
-	output
+	outputFlags
 }
 
 func (c *sweepCommand) Run(ctx context.Context, s *streams) error {
@@ -194,8 +194,8 @@
 		}
 		xs = append(xs, x)
 	}
-	progress, done := s.bar(c.Key)
-	all, err := lab.Sweep(ctx, lab.ExperimentName(c.File), c.Key, c.Values, xs, c.Policy, seeds(c.Seed, c.Seeds), progress)
+	progress, done := s.progressBar(c.Key)
+	all, err := lab.Sweep(ctx, lab.ExperimentName(c.File), c.Key, c.Values, xs, c.Policy, seedRange(c.Seed, c.Seeds), progress)
 	done()
 	if err != nil {
 		return err
@@ -204,7 +204,7 @@
 	if err := c.write(s, all); err != nil {
 		return err
 	}
-	return verdict(all)
+	return resultError(all)
 }
 
 type tableCommand struct {
@@ -224,8 +224,8 @@
 		}
 		names, xs = append(names, lab.ExperimentName(f)), append(xs, x)
 	}
-	progress, done := s.bar("table")
-	table, err := lab.RunTable(ctx, names, xs, c.Policies, seeds(c.Seed, c.Seeds), progress)
+	progress, done := s.progressBar("table")
+	table, err := lab.RunTable(ctx, names, xs, c.Policies, seedRange(c.Seed, c.Seeds), progress)
 	done()
 	if err != nil {
 		return err
@@ -240,7 +240,7 @@
 }
 
 func (c *theoryCommand) Run(ctx context.Context, s *streams) error {
-	progress, done := s.bar("theory")
+	progress, done := s.progressBar("theory")
 	laws, err := lab.CheckTheory(ctx, c.Repeats, c.Jobs, progress)
 	done()
 	if err != nil {
@@ -257,7 +257,7 @@
 }
 
 func (c *worldsCommand) Run(ctx context.Context, s *streams) error {
-	progress, done := s.bar("worlds")
+	progress, done := s.progressBar("worlds")
 	began := time.Now()
 	t, err := lab.RunScenarios(ctx, c.First, c.Count, c.Crowded, progress)
 	done()
@@ -267,7 +267,7 @@
 		fmt.Fprintf(s.out, "world %d: %v\n", b.Number, b.Violation)
 	}
 	if err == nil && len(t.Failed) > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return err
 }
--- a/cmd/weldlab/live.go
+++ b/cmd/weldlab/live.go
@@ -24,7 +24,7 @@
 	Bound   float64  `default:"50" help:"ms that the dispatcher may add at p99."`
 	Profile string   `placeholder:"PATH" help:"Write a CPU profile of the last rate's dispatcher, and print its top."`
 	Set     []string `sep:"none" placeholder:"KEY=VALUE" help:"Change a value of the experiment."`
-	program
+	realTimeFlags
 }
 
 func (c *ceilingCommand) Run(ctx context.Context, s *streams) error {
@@ -72,16 +72,16 @@
 }
 
 //go:embed demo.toml
-var demo []byte
+var demoExperiment []byte
 
 type demoCommand struct {
 	Fault   string `placeholder:"WHAT" help:"A trouble to begin with after five seconds: kill, vanish, site_loss, drain, slow, dispatcher_kill."`
 	Seconds int    `default:"0" help:"End by itself after so long; 0: at Ctrl-C."`
-	program
+	realTimeFlags
 }
 
 // keys are troubles by what is pressed.
-var keys = []struct {
+var faultKeys = []struct {
 	key   byte
 	fault fleetmodel.Fault
 	help  string
@@ -98,7 +98,7 @@
 func (c *demoCommand) Run(ctx context.Context, s *streams) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	x, err := fleetmodel.ParseExperiment("demo.toml", demo)
+	x, err := fleetmodel.ParseExperiment("demo.toml", demoExperiment)
 	if err != nil {
 		return err
 	}
@@ -108,10 +108,10 @@
 	inject := make(chan func(*fleetmodel.Model), 16)
 	o := c.options()
 	o.Inject, o.Endless, o.MaxLatenessP99, o.MaxLateness = inject, c.Seconds == 0, 1e6, 1e6
-	strike := func(f fleetmodel.Fault) { inject <- func(w *fleetmodel.Model) { w.InjectFault(f) } }
+	injectFault := func(f fleetmodel.Fault) { inject <- func(w *fleetmodel.Model) { w.InjectFault(f) } }
 	if c.Fault != "" {
 		found := false
-		for _, k := range keys {
+		for _, k := range faultKeys {
 			if k.fault.Type == c.Fault {
 				f := k.fault
 				f.At = 5000
@@ -122,12 +122,12 @@
 			return fmt.Errorf("--fault %q: see weldlab demo --help for what there is", c.Fault)
 		}
 	}
-	screen := false
+	terminal := false
 	if f, ok := s.out.(*os.File); ok && term.IsTerminal(int(f.Fd())) {
-		screen = true
+		terminal = true
 	}
 	newline := "\n"
-	if in := int(os.Stdin.Fd()); screen && term.IsTerminal(in) {
+	if in := int(os.Stdin.Fd()); terminal && term.IsTerminal(in) {
 		if state, err := term.MakeRaw(in); err == nil {
 			newline = "\r\n"
 			defer func() { _ = term.Restore(in, state) }()
@@ -140,29 +140,29 @@
 						cancel()
 						return
 					}
-					for _, k := range keys {
+					for _, k := range faultKeys {
 						if k.key == buf[0] {
-							strike(k.fault)
+							injectFault(k.fault)
 						}
 					}
 				}
 			}()
 		}
 	}
-	shown := -1000.
+	lastShown := -1000.
 	o.Watch = func(w *fleetmodel.Model) {
 		every := 1000.
-		if screen {
+		if terminal {
 			every = 250
 		}
-		if w.Now() < shown+every {
+		if w.Now() < lastShown+every {
 			return
 		}
-		shown = w.Now()
-		if screen {
-			fmt.Fprint(s.out, "\x1b[H\x1b[2J", strings.ReplaceAll(picture(x, w), "\n", newline))
+		lastShown = w.Now()
+		if terminal {
+			fmt.Fprint(s.out, "\x1b[H\x1b[2J", strings.ReplaceAll(renderScreen(x, w), "\n", newline))
 		} else {
-			fmt.Fprintln(s.out, count(x, w))
+			fmt.Fprintln(s.out, statusLine(x, w))
 		}
 	}
 	p, err := realtime.Run(ctx, x, 1, o)
@@ -174,11 +174,11 @@
 	var text strings.Builder
 	r.Print(&text)
 	fmt.Fprint(s.out, newline+strings.ReplaceAll(text.String(), "\n", newline))
-	return verdict([]*lab.Result{r})
+	return resultError([]*lab.Result{r})
 }
 
 // count is what became of all so far, in a line.
-func count(x *fleetmodel.Experiment, w *fleetmodel.Model) string {
+func statusLine(x *fleetmodel.Experiment, w *fleetmodel.Model) string {
 	n, inTime := map[fleetmodel.Outcome]int{}, 0
 	for _, j := range w.Jobs {
 		n[j.Outcome]++
@@ -196,9 +196,9 @@
 }
 
 // picture is the whole screen.
-func picture(x *fleetmodel.Experiment, w *fleetmodel.Model) string {
+func renderScreen(x *fleetmodel.Experiment, w *fleetmodel.Model) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "weldlab demo: one dispatcher, stand-in workers, clients and discovery on loopback\n\n%s\n\n", count(x, w))
+	fmt.Fprintf(&b, "weldlab demo: one dispatcher, stand-in workers, clients and discovery on loopback\n\n%s\n\n", statusLine(x, w))
 	fmt.Fprintf(&b, "%-6s %-6s %-5s %-9s %-6s %8s %8s\n", "worker", "kind", "site", "state", "warm", "at work", "finished")
 	for _, v := range w.WorkerViews() {
 		fmt.Fprintf(&b, "%-6s %-6s %-5s %-9s %5.0f%% %-8s %8d\n", v.ID, x.Kinds[v.Kind].Name, fleetmodel.SiteName(v.Site), v.State, 100*v.Warmth,
@@ -209,7 +209,7 @@
 		fmt.Fprintf(&b, "%6.1f s  %s\n", m.At/1000, m.Text)
 	}
 	b.WriteString("\n")
-	for _, k := range keys {
+	for _, k := range faultKeys {
 		fmt.Fprintf(&b, "%c %s   ", k.key, k.help)
 	}
 	b.WriteString("q quit\n")
--- a/cmd/weldlab/main.go
+++ b/cmd/weldlab/main.go
@@ -48,19 +48,19 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	code := run(ctx, os.Args[1:], os.Stdout, os.Stderr)
+	code := runCommandLine(ctx, os.Args[1:], os.Stdout, os.Stderr)
 	stop()
 	os.Exit(code)
 }
 
 // errBroken ends a command that did its work and found a broken rule, which it has told.
-var errBroken = errors.New("a rule was broken")
+var errRuleBroken = errors.New("a rule was broken")
 
-func run(ctx context.Context, args []string, out, errs io.Writer) int {
+func runCommandLine(ctx context.Context, args []string, out, errs io.Writer) int {
 	var a arguments
-	asked := -1
+	kongExit := -1
 	p, err := kong.New(&a, kong.Name("weldlab"), kong.Description(about), kong.Writers(out, errs),
-		kong.Exit(func(code int) { asked = code }), kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 110}),
+		kong.Exit(func(code int) { kongExit = code }), kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 110}),
 		kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(&streams{out, errs}))
 	if err != nil {
 		fmt.Fprintf(errs, "weldlab: %v\n", err)
@@ -68,8 +68,8 @@
 	}
 	c, err := p.Parse(args)
 	switch {
-	case asked >= 0:
-		return asked
+	case kongExit >= 0:
+		return kongExit
 	case err != nil:
 		fmt.Fprintf(errs, "weldlab: %v\nweldlab --help tells what there is.\n", err)
 		return exitUsage
@@ -85,7 +85,7 @@
 type streams struct{ out, errs io.Writer }
 
 // bar shows how far a command is, where somebody looks at a terminal.
-func (s *streams) bar(what string) (progress func(float64), done func()) {
+func (s *streams) progressBar(what string) (progress func(float64), done func()) {
 	f, ok := s.errs.(*os.File)
 	if !ok || !term.IsTerminal(int(f.Fd())) {
 		return nil, func() {}
--- a/cmd/weldlab/main_test.go
+++ b/cmd/weldlab/main_test.go
@@ -15,7 +15,7 @@
 )
 
 // programs are weldlab and weldmast as they stand.
-var programs string
+var programDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "weldlab")
@@ -25,23 +25,23 @@
 	if out, err := exec.Command("go", "build", "-buildvcs=false", "-o", dir+"/", "../weldmast", ".").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
-	programs = dir
+	programDir = dir
 	code := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-const calm = "../../lab/calm.toml"
+const calmPath = "../../lab/calm.toml"
 
 // play runs a command line in this process.
-func play(args ...string) (code int, out, errs string) {
+func runArgs(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
-	code = run(context.Background(), args, &o, &e)
+	code = runCommandLine(context.Background(), args, &o, &e)
 	return code, o.String(), e.String()
 }
 
 // TestEnds: what each command line ends with, and that it says why.
-func TestEnds(t *testing.T) {
+func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
 	if err := os.WriteFile(bad, []byte("length = \"soon\"\nlenght = 1\n[[kind]]\nspeed = 0\n"), 0o644); err != nil {
@@ -56,12 +56,12 @@
 		{"ruin x", 2, []string{"unexpected argument"}},
 		{"run " + bad, 1, []string{"bad.toml:1: length", "bad.toml:2: lenght", "bad.toml:3: kind.0.name", "bad.toml:4: kind.0.speed"}},
 		{"run " + filepath.Join(dir, "none.toml"), 1, []string{"no such file"}},
-		{"run " + calm + " --policy best", 1, []string{"omniscient"}},
-		{"run " + calm + " --sockets --policy sita", 1, []string{"virtual time only"}},
-		{"run " + calm + " --sockets --program " + filepath.Join(dir, "none"), 1, []string{"dispatcher:"}},
-		{"run " + calm + " --set length=\"2s\" --set warmup=0", 0, []string{"rules kept"}},
-		{"compare " + calm + " weldmast random --seeds 2 --set length=\"2s\" --set warmup=0", 0, []string{"2 paired seeds", "service"}},
-		{"sweep " + calm + " arrivals.load 0.1 0.2 --seeds 1", 0, []string{"0.1", "0.2"}},
+		{"run " + calmPath + " --policy best", 1, []string{"omniscient"}},
+		{"run " + calmPath + " --sockets --policy sita", 1, []string{"virtual time only"}},
+		{"run " + calmPath + " --sockets --program " + filepath.Join(dir, "none"), 1, []string{"dispatcher:"}},
+		{"run " + calmPath + " --set length=\"2s\" --set warmup=0", 0, []string{"rules kept"}},
+		{"compare " + calmPath + " weldmast random --seeds 2 --set length=\"2s\" --set warmup=0", 0, []string{"2 paired seeds", "service"}},
+		{"sweep " + calmPath + " arrivals.load 0.1 0.2 --seeds 1", 0, []string{"0.1", "0.2"}},
 		{"worlds --count 20", 0, []string{"20 worlds", "0 worlds with a broken rule"}},
 		{"report " + bad, 1, []string{"line 1"}},
 		{"ceiling --factor 1", 1, []string{"above 1"}},
@@ -72,7 +72,7 @@
 		{"capacity --from ../../docs/capacity/run-1.json --with ../../docs/capacity/run-1.json", 0, []string{"| round_start@0 | ms |", "52 slopes: 52 in each other's interval"}},
 		{"demo --fault flood", 1, []string{"flood"}},
 	} {
-		code, out, errs := play(strings.Fields(c.args)...)
+		code, out, errs := runArgs(strings.Fields(c.args)...)
 		for _, s := range c.says {
 			if code != c.code || !strings.Contains(out+errs, s) {
 				t.Errorf("%s: ended with %d, wanted %d and %q:\n%s%s", c.args, code, c.code, s, out, errs)
@@ -83,19 +83,19 @@
 
 // TestSameBytes: the command's results of one seed are the same bytes.
 func TestSameBytes(t *testing.T) {
-	_, first, _ := play("run", calm, "--set", `length="3s"`, "--seed", "7", "--json", "-")
-	_, again, _ := play("run", calm, "--set", `length="3s"`, "--seed", "7", "--json", "-")
-	_, other, _ := play("run", calm, "--set", `length="3s"`, "--seed", "8", "--json", "-")
+	_, first, _ := runArgs("run", calmPath, "--set", `length="3s"`, "--seed", "7", "--json", "-")
+	_, again, _ := runArgs("run", calmPath, "--set", `length="3s"`, "--seed", "7", "--json", "-")
+	_, other, _ := runArgs("run", calmPath, "--set", `length="3s"`, "--seed", "8", "--json", "-")
 	if first != again || first == other || !json.Valid([]byte(first)) {
 		t.Errorf("one seed: same %v; another seed: differs %v", first == again, first != other)
 	}
 }
 
 // TestInterrupt: Ctrl-C in the middle of a day on sockets leaves a whole result and report, and no process.
-func TestInterrupt(t *testing.T) {
+func TestInterruptKeepsResults(t *testing.T) {
 	dir := t.TempDir()
 	results, page := filepath.Join(dir, "r.jsonl"), filepath.Join(dir, "r.html")
-	cmd := exec.Command(filepath.Join(programs, "weldlab"), "run", calm, "--sockets", "--program", filepath.Join(programs, "weldmast"),
+	cmd := exec.Command(filepath.Join(programDir, "weldlab"), "run", calmPath, "--sockets", "--program", filepath.Join(programDir, "weldmast"),
 		"--json", results, "--report", page, "--logs", dir, "--late-p99", "1000", "--late-most", "10000")
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
@@ -150,7 +150,7 @@
 
 // TestDemo: the newcomer's command comes up, takes a trouble, ends by itself and has kept the rules.
 func TestDemo(t *testing.T) {
-	code, out, errs := play("demo", "--seconds", "7", "--fault", "kill", "--program", filepath.Join(programs, "weldmast"))
+	code, out, errs := runArgs("demo", "--seconds", "7", "--fault", "kill", "--program", filepath.Join(programDir, "weldmast"))
 	for _, want := range []string{"taken", "demo, seed", "rules kept"} {
 		if code != 0 || !strings.Contains(out, want) {
 			t.Errorf("ended with %d, no %q:\n%s%s", code, want, out, errs)
@@ -159,9 +159,9 @@
 }
 
 // TestDescriptors: where the lab's own descriptors run out it says so, and convicts nobody.
-func TestDescriptors(t *testing.T) {
+func TestOutOfDescriptors(t *testing.T) {
 	cmd := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n 90 && exec %s run %s --sockets --program %s --set 'length=\"4s\"' --set warmup=0",
-		filepath.Join(programs, "weldlab"), calm, filepath.Join(programs, "weldmast")))
+		filepath.Join(programDir, "weldlab"), calmPath, filepath.Join(programDir, "weldmast")))
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "descriptors ran out") && !strings.Contains(string(out), "too many open files") ||
 		strings.Contains(string(out), "BROKEN") {
@@ -172,11 +172,11 @@
 // TestReplacedAndFlooded: each dispatcher is replaced under load, and each is flooded while one stops, in days on sockets:
 // the rules hold over both processes as one; no job of the first meets a connection that is refused, reset or left unread,
 // and the flood keeps none from being answered.
-func TestReplacedAndFlooded(t *testing.T) {
+func TestUpgradeAndFlood(t *testing.T) {
 	for _, day := range []string{"upgrade", "flood"} {
 		logs, json1 := t.TempDir(), filepath.Join(t.TempDir(), "r.jsonl")
-		code, out, errs := play("run", "../../lab/"+day+".toml", "--sockets", "--set", `length="8s"`, "--logs", logs, "--json", json1,
-			"--program", filepath.Join(programs, "weldmast"), "--late-p99", "1000", "--late-most", "10000")
+		code, out, errs := runArgs("run", "../../lab/"+day+".toml", "--sockets", "--set", `length="8s"`, "--logs", logs, "--json", json1,
+			"--program", filepath.Join(programDir, "weldmast"), "--late-p99", "1000", "--late-most", "10000")
 		var r struct {
 			Jobs     int
 			Outcomes struct{ Finished, Refused int }
--- a/cmd/weldlab/scale.go
+++ b/cmd/weldlab/scale.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		return fmt.Errorf("scale: %w", err)
 	}
-	say := func(line string) { fmt.Fprintln(s.errs, line) }
-	r, err := scaletest.Run(ctx, p, scaletest.Options{DispatcherProgram: c.Program, VoterProgram: c.Voter, StubCommand: []string{self, "hollow"}, Progress: say})
+	report := func(line string) { fmt.Fprintln(s.errs, line) }
+	r, err := scale.Play(ctx, p, scale.Options{Program: c.Program, Voter: c.Voter, Self: []string{self, "hollow"}, Tell: report})
 	if err != nil {
 		return err
 	}
@@ -84,9 +84,9 @@
 func (c *capacityCommand) Run(s *streams) error {
 	switch {
 	case c.With != "":
-		return c.beside(s)
+		return c.compareRuns(s)
 	case c.From != "":
-		return c.slopes(s)
+		return c.printSlopes(s)
 	}
 	sheet, err := capacity.LoadInputs(c.Path, os.ReadFile)
 	if err != nil {
@@ -121,7 +121,7 @@
 }
 
 // beside prints the slopes of two runs of one plan.
-func (c *capacityCommand) beside(s *streams) error {
+func (c *capacityCommand) compareRuns(s *streams) error {
 	if c.From == "" {
 		return errors.New("capacity: --with needs --from, the other run")
 	}
@@ -140,24 +140,24 @@
 	within, overlap := 0, 0
 	fmt.Fprintf(s.out, "| slope | unit | %s | 95%% | %s | 95%% | in each other's interval |\n| --- | --- | --- | --- | --- | --- | --- |\n", filepath.Base(c.From), filepath.Base(c.With))
 	for _, p := range all {
-		said := "no, apart"
+		verdict := "no, apart"
 		if p.Overlap() {
 			overlap++
-			said = "no, but the intervals overlap"
+			verdict = "no, but the intervals overlap"
 		}
 		if p.EachWithinOther() {
 			within++
-			said = "yes"
+			verdict = "yes"
 		}
-		fmt.Fprintf(s.out, "| %s | %s | %s | %s to %s | %s | %s to %s | %s |\n", p.Name, p.Unit, scaletest.FormatNumber(p.A.Slope), scaletest.FormatNumber(p.A.Low), scaletest.FormatNumber(p.A.High),
-			scaletest.FormatNumber(p.B.Slope), scaletest.FormatNumber(p.B.Low), scaletest.FormatNumber(p.B.High), said)
+		fmt.Fprintf(s.out, "| %s | %s | %s | %s to %s | %s | %s to %s | %s |\n", p.Name, p.Unit, scale.Number(p.A.Slope), scale.Number(p.A.Low), scale.Number(p.A.High),
+			scale.Number(p.B.Slope), scale.Number(p.B.Low), scale.Number(p.B.High), verdict)
 	}
 	fmt.Fprintf(s.out, "\n%d slopes: %d in each other's interval, %d with intervals that overlap\n", len(all), within, overlap)
 	return nil
 }
 
 // slopes prints those of a run in the form of the file.
-func (c *capacityCommand) slopes(s *streams) error {
+func (c *capacityCommand) printSlopes(s *streams) error {
 	r, err := readRun(c.From)
 	if err != nil {
 		return err
--- a/cmd/weldlab/storm.go
+++ b/cmd/weldlab/storm.go
@@ -21,7 +21,7 @@
 	Side    int    `default:"1" help:"So many side by side."`
 	Cut     bool   `help:"Cut the first broken one down to the fewest faults that still break it."`
 	Voter   string `default:"bin/weldmast-voter" help:"The program of voters."`
-	program
+	realTimeFlags
 	Set []string `sep:"none" placeholder:"KEY=VALUE" help:"Change a value of the experiment."`
 }
 
@@ -68,12 +68,12 @@
 		}
 	}
 	if x.Fleet != nil {
-		found, up := lab.PauseDelays(all, float64(x.Fleet.HeartbeatInterval))
-		fmt.Fprintf(s.out, "stalls: found %s; current again after going on %s; late acts %d\n", quantiles(found), quantiles(up), late)
+		detection, recovery := lab.PauseDelays(all, float64(x.Fleet.HeartbeatInterval))
+		fmt.Fprintf(s.out, "stalls: found %s; current again after going on %s; late acts %d\n", quantiles(detection), quantiles(recovery), late)
 	}
 	fmt.Fprintf(s.out, "void %d\nstorms %d, broken %d\n", void, c.Count, len(broken))
 	if len(broken) > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 
 func (c *fleetTableCommand) Run(ctx context.Context, s *streams) error {
 	if c.Seeds > 0 {
-		return c.small(ctx, s)
+		return c.runSmallFleets(ctx, s)
 	}
 	fmt.Fprintln(s.out, "members  versions  to 99% ms (median)  to all ms (median)  at the leader, messages/s  a member, bytes/s")
 	for _, n := range c.Members {
@@ -108,19 +108,19 @@
 		}
 		slices.Sort(r.TimeTo99)
 		slices.Sort(r.TimeToAll)
-		fmt.Fprintf(s.out, "%7d  %8d  %18.0f  %18.0f  %25.0f  %17.0f\n", n, r.Published, middle(r.TimeTo99), middle(r.TimeToAll), r.LeaderMessageRate, r.MemberByteRate)
+		fmt.Fprintf(s.out, "%7d  %8d  %18.0f  %18.0f  %25.0f  %17.0f\n", n, r.Published, median(r.TimeTo99), median(r.TimeToAll), r.LeaderMessageRate, r.MemberByteRate)
 	}
 	return nil
 }
 
-func middle(sorted []float64) float64 {
+func median(sorted []float64) float64 {
 	if len(sorted) == 0 {
 		return -1
 	}
 	return sorted[len(sorted)/2]
 }
 
-func (c *fleetTableCommand) small(ctx context.Context, s *streams) error {
+func (c *fleetTableCommand) runSmallFleets(ctx context.Context, s *streams) error {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	broken, published, fences := 0, 0, 0
@@ -149,7 +149,7 @@
 	wait.Wait()
 	fmt.Fprintf(s.out, "fleets %d, versions %d, fences complete %d, broken %d\n", c.Seeds, published, fences, broken)
 	if broken > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
--- a/internal/lab/ceiling.go
+++ b/internal/lab/ceiling.go
@@ -34,14 +34,14 @@
 }
 
 // tries of a rate, each of which the machine or the lab may spoil.
-const tries = 3
+const maxAttempts = 3
 
 // Ceiling raises the open-loop rate by a factor until the added p99 passes the bound in milliseconds.
-func FindCeiling(ctx context.Context, path string, sets []string, o realtime.Options, from, factor, bound float64, tell func(Step)) ([]Step, error) {
+func FindCeiling(ctx context.Context, path string, overrides []string, o realtime.Options, from, factor, bound float64, report func(Step)) ([]Step, error) {
 	var steps []Step
-	tried := 0
+	attempts := 0
 	for rate := from; ctx.Err() == nil; {
-		x, err := LoadExperiment(path, append(slices.Clone(sets), fmt.Sprintf("arrivals.rate=%.1f", rate))...)
+		x, err := LoadExperiment(path, append(slices.Clone(overrides), fmt.Sprintf("arrivals.rate=%.1f", rate))...)
 		if err != nil {
 			return steps, err
 		}
@@ -61,10 +61,10 @@
 			Completed: float64(r.InTime) / (float64(x.Length-x.Warmup) / 1000), CPUPerItem: p.CPU * 1e6 / float64(max(jobs, 1)),
 			CPUsUsed: p.CPU / (float64(x.Length) / 1000), Void: r.Void}
 		steps = append(steps, s)
-		tell(s)
+		report(s)
 		if s.WithinBound(bound) {
-			tried, rate = 0, rate*factor
-		} else if tried++; tried == tries { // a machine's hiccup does not come three times
+			attempts, rate = 0, rate*factor
+		} else if attempts++; attempts == maxAttempts { // a machine's hiccup does not come three times
 			break
 		}
 	}
--- a/internal/lab/chaos.go
+++ b/internal/lab/chaos.go
@@ -21,15 +21,15 @@
 )
 
 // Drawn is the experiment with the faults of a number in place of its storm.
-func WithSampledFaults(x *fleetmodel.Experiment, number uint64) *fleetmodel.Experiment {
+func WithSampledFaults(x *fleetmodel.Experiment, seed uint64) *fleetmodel.Experiment {
 	y := *x
 	y.Faults = slices.Clone(x.Faults)
 	s := x.Chaos
 	if s == nil {
 		return &y
 	}
-	r := rand.New(rand.NewPCG(number, 0x73746f726d))
-	harmed := map[int]bool{} // voters whose promise is gone
+	r := rand.New(rand.NewPCG(seed, 0x73746f726d))
+	damagedVoters := map[int]bool{} // voters whose promise is gone
 	for range s.Count/2 + r.IntN(s.Count-s.Count/2+1) {
 		f := fleetmodel.Fault{Type: s.Types[r.IntN(len(s.Types))]}
 		f.Defaults()
@@ -51,11 +51,11 @@
 		case "folder_empty", "folder_older", "folder_flipped":
 			f.Duration, f.Dispatchers = 0, f.Dispatchers[:1]
 			// So many voters may lose what they promised that the rest still has a majority.
-			if d := f.Dispatchers[0]; x.Fleet != nil && d < x.Fleet.Voters && !harmed[d] {
-				if len(harmed) >= (x.Fleet.Voters-1)/2 {
+			if d := f.Dispatchers[0]; x.Fleet != nil && d < x.Fleet.Voters && !damagedVoters[d] {
+				if len(damagedVoters) >= (x.Fleet.Voters-1)/2 {
 					f.Type = "dispatcher_kill"
 				} else {
-					harmed[d] = true
+					damagedVoters[d] = true
 				}
 			}
 		}
@@ -86,25 +86,25 @@
 	Violations            []invariants.Violation
 	Void                  string
 	Pauses                []realtime.Pause
-	played                *fleetmodel.Experiment
+	experiment            *fleetmodel.Experiment
 }
 
 // StallFigures are of stalls of more than two beats: how many, how long until one was found and, from its going on, until
 // its process was current again. Sorted.
-func PauseDelays(all []ChaosResult, beat float64) (found, up []float64) {
+func PauseDelays(all []ChaosResult, heartbeatInterval float64) (detection, recovery []float64) {
 	for _, s := range all {
 		for _, x := range s.Pauses {
-			if x.End-x.Start > 2*beat+100 && x.DetectedAt > 0 {
-				found = append(found, x.DetectedAt-x.Start)
+			if x.End-x.Start > 2*heartbeatInterval+100 && x.DetectedAt > 0 {
+				detection = append(detection, x.DetectedAt-x.Start)
 			}
 			if x.End > 0 && x.RecoveredAt > 0 {
-				up = append(up, x.RecoveredAt-x.End)
+				recovery = append(recovery, x.RecoveredAt-x.End)
 			}
 		}
 	}
-	slices.Sort(found)
-	slices.Sort(up)
-	return found, up
+	slices.Sort(detection)
+	slices.Sort(recovery)
+	return detection, recovery
 }
 
 // Storm plays one number on sockets.
@@ -120,7 +120,7 @@
 	if err != nil {
 		return ChaosResult{Seed: seed}, err
 	}
-	s := ChaosResult{Seed: seed, Faults: len(y.Faults), Jobs: len(p.Model.Jobs), Answers: p.Model.Checker.Answers, UnansweredWhilePaused: p.Model.Checker.UnansweredWhilePaused, Void: p.Void, Pauses: p.Pauses, played: y}
+	s := ChaosResult{Seed: seed, Faults: len(y.Faults), Jobs: len(p.Model.Jobs), Answers: p.Model.Checker.Answers, UnansweredWhilePaused: p.Model.Checker.UnansweredWhilePaused, Void: p.Void, Pauses: p.Pauses, experiment: y}
 	s.Violations = append(s.Violations, p.Model.Checker.Violations...)
 	if f := p.Fleet; f != nil {
 		s.Violations = append(s.Violations, f.Violations...)
@@ -145,20 +145,20 @@
 	return head + ": kept"
 }
 
-const apart = 3 * time.Second
+const startInterval = 3 * time.Second
 
 // Storms plays so many, some side by side, and prints a line for each. One on which the lab itself was late is void and
 // played once more.
-func RunChaosSeries(ctx context.Context, x *fleetmodel.Experiment, first uint64, count, side int, o realtime.Options, out io.Writer) (all []ChaosResult, err error) {
+func RunChaosSeries(ctx context.Context, x *fleetmodel.Experiment, first uint64, count, parallel int, o realtime.Options, out io.Writer) (all []ChaosResult, err error) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	seeds := make(chan uint64)
-	for k := range max(side, 1) {
+	for k := range max(parallel, 1) {
 		wait.Go(func() {
-			time.Sleep(time.Duration(k) * apart) // so many processes started at once would keep one another waiting
+			time.Sleep(time.Duration(k) * startInterval) // so many processes started at once would keep one another waiting
 			for seed := range seeds {
 				s, e := RunChaos(ctx, x, seed, o)
-				for again := 0; again < 2 && ctx.Err() == nil && (e != nil || s.Void != "" && len(s.Violations) == 0); again++ {
+				for retries := 0; retries < 2 && ctx.Err() == nil && (e != nil || s.Void != "" && len(s.Violations) == 0); retries++ {
 					s, e = RunChaos(ctx, x, seed, o)
 				}
 				mu.Lock()
@@ -186,16 +186,16 @@
 // Cut leaves out one fault after another for as long as the day still breaks without it. On sockets a day does not repeat
 // exactly; what is left broke it at least twice.
 func MinimizeFaults(ctx context.Context, s ChaosResult, o realtime.Options, out io.Writer) ([]fleetmodel.Fault, error) {
-	y := *s.played
+	y := *s.experiment
 	for k := len(y.Faults) - 1; k >= 0 && ctx.Err() == nil; k-- {
-		less := y
-		less.Faults = slices.Delete(slices.Clone(y.Faults), k, k+1)
-		p, err := realtime.Run(ctx, &less, s.Seed, o)
+		candidate := y
+		candidate.Faults = slices.Delete(slices.Clone(y.Faults), k, k+1)
+		p, err := realtime.Run(ctx, &candidate, s.Seed, o)
 		if err != nil {
 			return y.Faults, err
 		}
 		if !p.Model.Checker.Clean() || p.Fleet != nil && len(p.Fleet.Violations) > 0 {
-			y.Faults = less.Faults
+			y.Faults = candidate.Faults
 		}
 		fmt.Fprintf(out, "cut: %d faults left\n", len(y.Faults))
 	}
--- a/internal/lab/chaos_test.go
+++ b/internal/lab/chaos_test.go
@@ -15,7 +15,7 @@
 )
 
 // built holds the two programs of one build, with a change of the source or without.
-func built(t *testing.T, change func(read func(path string) string) map[string]string) realtime.Options {
+func buildPrograms(t *testing.T, change func(read func(path string) string) map[string]string) realtime.Options {
 	t.Helper()
 	dir := t.TempDir()
 	root, err := filepath.Abs("../..")
@@ -60,7 +60,7 @@
 }
 
 // short is the day of lab/fleet-audit.toml in small: three voters and two followers, twelve seconds.
-func short(t *testing.T, sets ...string) *fleetmodel.Experiment {
+func shortExperiment(t *testing.T, sets ...string) *fleetmodel.Experiment {
 	t.Helper()
 	x, err := LoadExperiment("../../lab/fleet-audit.toml", append([]string{`length="12s"`, `dispatchers.count=5`, `fleet.voters=3`, `arrivals.rate=80`, `storm.until="6s"`,
 		`storm.span="1500ms"`, `storm.faults=10`, `storm.most=2`}, sets...)...)
@@ -71,10 +71,10 @@
 }
 
 // TestStorms plays fixed numbers with real processes: none may be broken.
-func TestStorms(t *testing.T) {
+func TestChaosRuns(t *testing.T) {
 	t.Parallel()
-	o := built(t, nil)
-	x, judged := short(t), 0
+	o := buildPrograms(t, nil)
+	x, judged := shortExperiment(t), 0
 	for seed := range uint64(4) {
 		// A day on which this machine kept the lab itself waiting shows nothing of the fleet: it is played again.
 		for range 3 {
@@ -99,7 +99,7 @@
 }
 
 // TestWrongFleets plays fleets that are wrong in one place each: the judge has to convict them.
-func TestWrongFleets(t *testing.T) {
+func TestFaultyFleetsDetected(t *testing.T) {
 	t.Parallel()
 	for _, w := range []struct {
 		name         string
@@ -123,10 +123,10 @@
 	} {
 		t.Run(w.name, func(t *testing.T) {
 			t.Parallel()
-			o := built(t, func(read func(string) string) map[string]string {
+			o := buildPrograms(t, func(read func(string) string) map[string]string {
 				return map[string]string{w.path: strings.Replace(read(w.path), w.from, w.to, 1)}
 			})
-			x := short(t, append([]string{`length="10s"`, `fleet.heal="3s"`}, w.sets...)...)
+			x := shortExperiment(t, append([]string{`length="10s"`, `fleet.heal="3s"`}, w.sets...)...)
 			for seed := w.first; seed < w.first+w.count; seed++ {
 				s, err := RunChaos(context.Background(), x, seed, o)
 				if err != nil {
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	draws      = 4000 // of the bootstrap
+	resamples  = 4000 // of the bootstrap
 	confidence = 0.95
 )
 
@@ -36,7 +36,7 @@
 		return Interval{}
 	}
 	r := rand.New(rand.NewPCG(1, uint64(len(values))))
-	means := make([]float64, draws)
+	means := make([]float64, resamples)
 	sample := make([]float64, len(values))
 	for k := range means {
 		for n := range sample {
@@ -65,16 +65,16 @@
 	{"slowdown", -1, func(r *Result) float64 { return r.MeanSlowdown }},
 	{"added p99 ms", -1, func(r *Result) float64 { return r.Added.P99 }},
 	{"CPU us/job", -1, func(r *Result) float64 { return r.CPUPerJob() }},
-	{"broken rules", -1, func(r *Result) float64 { return float64(r.Broken()) }},
+	{"broken rules", -1, func(r *Result) float64 { return float64(r.ViolationCount()) }},
 }
 
 // Compare plays two policies over the same seeds in virtual time, their days interleaved.
 func Compare(ctx context.Context, name string, x *fleetmodel.Experiment, a, b string, seeds []uint64, progress func(float64)) (as, bs []*Result, err error) {
-	var days []day
+	var runs []runSpec
 	for _, s := range seeds {
-		days = append(days, day{name, x, s, a}, day{name, x, s, b})
+		runs = append(runs, runSpec{name, x, s, a}, runSpec{name, x, s, b})
 	}
-	all, err := playAll(ctx, days, progress)
+	all, err := runAll(ctx, runs, progress)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -96,8 +96,8 @@
 				return as, bs, err
 			}
 			if r.Interrupted { // whole pairs only
-				whole := min(len(as), len(bs))
-				return as[:whole], bs[:whole], nil
+				pairs := min(len(as), len(bs))
+				return as[:pairs], bs[:pairs], nil
 			}
 			*sides[side] = append(*sides[side], r)
 		}
@@ -113,12 +113,12 @@
 	fmt.Fprintf(out, "%s: A = %s, B = %s, %d paired seeds, %s\n", as[0].Experiment, as[0].Policy, bs[0].Policy, len(as), as[0].Driver)
 	fmt.Fprintf(out, "%-14s %12s %12s %12s   95%% interval\n", "", "A", "B", "B - A")
 	for _, f := range Metrics {
-		var va, vb, diff []float64
+		var valuesA, valuesB, differences []float64
 		for k := range as {
-			va, vb = append(va, f.Value(as[k])), append(vb, f.Value(bs[k]))
-			diff = append(diff, vb[k]-va[k])
+			valuesA, valuesB = append(valuesA, f.Value(as[k])), append(valuesB, f.Value(bs[k]))
+			differences = append(differences, valuesB[k]-valuesA[k])
 		}
-		i := Bootstrap(diff)
+		i := Bootstrap(differences)
 		verdict := "within noise"
 		switch {
 		case i.Mean == 0 && i.Low == 0 && i.High == 0:
@@ -128,7 +128,7 @@
 		case !i.IncludesZero():
 			verdict = "A is better"
 		}
-		fmt.Fprintf(out, "%-14s %12.4f %12.4f %+12.4f   [%+.4f, %+.4f]  %s\n", f.Name, stat.Mean(va, nil), stat.Mean(vb, nil), i.Mean, i.Low, i.High, verdict)
+		fmt.Fprintf(out, "%-14s %12.4f %12.4f %+12.4f   [%+.4f, %+.4f]  %s\n", f.Name, stat.Mean(valuesA, nil), stat.Mean(valuesB, nil), i.Mean, i.Low, i.High, verdict)
 	}
 	for _, side := range [][]*Result{as, bs} {
 		for _, r := range side {
@@ -148,15 +148,15 @@
 
 // Table plays every policy on every experiment over the same seeds.
 func RunTable(ctx context.Context, names []string, xs []*fleetmodel.Experiment, policies []string, seeds []uint64, progress func(float64)) ([][]Cell, error) {
-	var days []day
+	var runs []runSpec
 	for k, x := range xs {
 		for _, s := range seeds {
 			for _, p := range policies {
-				days = append(days, day{names[k], x, s, p})
+				runs = append(runs, runSpec{names[k], x, s, p})
 			}
 		}
 	}
-	all, err := playAll(ctx, days, progress)
+	all, err := runAll(ctx, runs, progress)
 	if err != nil {
 		return nil, err
 	}
@@ -171,7 +171,7 @@
 				service = append(service, r.Service)
 				slowdown = append(slowdown, r.MeanSlowdown)
 				against = append(against, r.Service-first.Service)
-				table[k][p].Violations += r.Broken()
+				table[k][p].Violations += r.ViolationCount()
 			}
 			c := &table[k][p]
 			c.Service, c.Slowdown, c.ServiceDifference = Bootstrap(service), Bootstrap(slowdown), Bootstrap(against)
@@ -194,19 +194,19 @@
 	for k, name := range names {
 		fmt.Fprintf(out, "| %s |", name)
 		for p, c := range table[k] {
-			sign := ""
+			marker := ""
 			switch {
 			case p == 0 || c.ServiceDifference.IncludesZero():
 			case c.ServiceDifference.Mean > 0:
-				sign = " +"
+				marker = " +"
 			default:
-				sign = " -"
+				marker = " -"
 			}
-			broken := ""
+			violations := ""
 			if c.Violations > 0 {
-				broken = fmt.Sprintf(" (broken %d)", c.Violations)
+				violations = fmt.Sprintf(" (broken %d)", c.Violations)
 			}
-			fmt.Fprintf(out, " %.3f ±%.3f%s%s |", c.Service.Mean, (c.Service.High-c.Service.Low)/2, sign, broken)
+			fmt.Fprintf(out, " %.3f ±%.3f%s%s |", c.Service.Mean, (c.Service.High-c.Service.Low)/2, marker, violations)
 		}
 		fmt.Fprintln(out)
 	}
@@ -214,13 +214,13 @@
 
 // Sweep plays an experiment with each of several values over the same seeds. Results come value by value.
 func Sweep(ctx context.Context, name, key string, values []string, xs []*fleetmodel.Experiment, policy string, seeds []uint64, progress func(float64)) ([]*Result, error) {
-	var days []day
+	var runs []runSpec
 	for k, x := range xs {
 		for _, s := range seeds {
-			days = append(days, day{fmt.Sprintf("%s %s=%s", name, key, values[k]), x, s, policy})
+			runs = append(runs, runSpec{fmt.Sprintf("%s %s=%s", name, key, values[k]), x, s, policy})
 		}
 	}
-	return playAll(ctx, days, progress)
+	return runAll(ctx, runs, progress)
 }
 
 // PrintSweep writes a line for each value.
@@ -233,11 +233,11 @@
 	for k, v := range values {
 		fmt.Fprintf(out, "%-24s", v)
 		for _, f := range Metrics {
-			var of []float64
+			var values []float64
 			for _, r := range all[k*seeds : (k+1)*seeds] {
-				of = append(of, f.Value(r))
+				values = append(values, f.Value(r))
 			}
-			i := Bootstrap(of)
+			i := Bootstrap(values)
 			fmt.Fprintf(out, " %11.3f ±%7.3f", i.Mean, (i.High-i.Low)/2)
 		}
 		fmt.Fprintln(out)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -21,7 +21,7 @@
 )
 
 // program is bin/weldmast as it stands, for the tests on sockets.
-var program string
+var weldmastPath string
 
 func TestMain(m *testing.M) {
 	// The same worlds each time, so that the verdict is the same.
@@ -34,8 +34,8 @@
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "weldmast")
-	if out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "../../cmd/weldmast").CombinedOutput(); err != nil {
+	weldmastPath = filepath.Join(dir, "weldmast")
+	if out, err := exec.Command("go", "build", "-buildvcs=false", "-o", weldmastPath, "../../cmd/weldmast").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
@@ -44,7 +44,7 @@
 }
 
 // sources reads what the program is built from: go test keeps results until a file changes that a test has read.
-func sources(t *testing.T) {
+func readSources(t *testing.T) {
 	t.Helper()
 	for _, dir := range []string{"../../internal", "../../cmd/weldmast", "../../go.mod"} {
 		if err := filepath.WalkDir(dir, func(path string, d os.DirEntry, err error) error {
@@ -68,7 +68,7 @@
 }
 
 // TestSame: one seed gives the same bytes, on one core and on eight, alone and among others; another seed does not.
-func TestSame(t *testing.T) {
+func TestSameSeedSameBytes(t *testing.T) {
 	x := load(t, "all-faults", `length="12s"`)
 	text := func(r *Result) string {
 		var b bytes.Buffer
@@ -77,14 +77,14 @@
 		}
 		return b.String()
 	}
-	var days []day
+	var days []runSpec
 	for _, s := range []uint64{5, 6, 5, 7} {
-		days = append(days, day{"x", x, s, OwnPolicy})
+		days = append(days, runSpec{"x", x, s, OwnPolicy})
 	}
 	var first string
 	for _, cores := range []int{1, 8} {
 		old := runtime.GOMAXPROCS(cores)
-		all, err := playAll(t.Context(), days, nil)
+		all, err := runAll(t.Context(), days, nil)
 		runtime.GOMAXPROCS(old)
 		if err != nil {
 			t.Fatal(err)
@@ -116,7 +116,7 @@
 
 // TestSITABesideRandom: on a heavy tail with first come first served workers, size interval assignment has the lower
 // slowdown and the lower response time, as the paper has it.
-func TestSITABesideRandom(t *testing.T) {
+func TestSITABeatsRandomOnHeavyTail(t *testing.T) {
 	x := load(t, "heavy-hints")
 	as, bs, err := Compare(t.Context(), "heavy-hints", x, "random", "sita", []uint64{1, 2, 3, 4}, nil)
 	if err != nil {
@@ -160,8 +160,8 @@
 		if name == "list-wrong" { // believed, the list would cost a ninth
 			least = 0.99
 		}
-		if r.Broken() > 0 || r.Jobs < 1000 || r.Service < least || len(r.Marks) < len(x.Faults) {
-			t.Errorf("%s: service %.3f, %d jobs, %d marks, %v", name, r.Service, r.Jobs, len(r.Marks), r.Violations)
+		if r.ViolationCount() > 0 || r.Jobs < 1000 || r.Service < least || len(r.Annotations) < len(x.Faults) {
+			t.Errorf("%s: service %.3f, %d jobs, %d marks, %v", name, r.Service, r.Jobs, len(r.Annotations), r.Violations)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.Broken() > 0 || r.Service < 0.5 {
+			if r.ViolationCount() > 0 || r.Service < 0.5 {
 				t.Errorf("%s, %s: service %.3f, %v", name, p, r.Service, r.Violations[:min(3, len(r.Violations))])
 			}
 		}
@@ -187,21 +187,21 @@
 
 // TestColdThirty: thirty dispatchers under a burst, beside cold workers. Budgets that hold for each dispatcher alone, as the
 // baselines', push workers over by the sum of all, by the operators' figure; weldmast's hold for the sum.
-func TestColdThirty(t *testing.T) {
+func TestColdWorkersWithThirtyDispatchers(t *testing.T) {
 	x := load(t, "cold-thirty")
 	for _, p := range []string{OwnPolicy, "random"} {
 		r, err := RunVirtual(t.Context(), "cold-thirty", x, 1, p, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if broken := r.Broken() > 0; broken != (p != OwnPolicy) {
+		if broken := r.ViolationCount() > 0; broken != (p != OwnPolicy) {
 			t.Errorf("%s: broken %v: %v", p, broken, r.Violations[:min(3, len(r.Violations))])
 		}
 	}
 }
 
 // TestWorlds: small worlds with troubles, drawn at random, break no rule.
-func TestWorlds(t *testing.T) {
+func TestRandomScenarios(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := RandomScenario(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }, false)
 		_, v, err := RunScenario(t.Context(), x, rapid.Uint64().Draw(t, "seed"))
@@ -212,8 +212,8 @@
 }
 
 // TestAgree: the same calm day in virtual time and on sockets, within what docs/lab.md states.
-func TestAgree(t *testing.T) {
-	sources(t)
+func TestVirtualAgreesWithRealTime(t *testing.T) {
+	readSources(t)
 	x := load(t, "calm", `length="6s"`, `warmup="1s"`, `arrivals.load=0.4`)
 	v, err := RunVirtual(t.Context(), "calm", x, 4, OwnPolicy, nil)
 	if err != nil {
@@ -221,7 +221,7 @@
 	}
 	var s *Result
 	for range 3 { // a day on which other programs held the lab up tells nothing
-		s, err = RunRealTime(t.Context(), "calm", x, 4, realtime.Options{Program: program})
+		s, err = RunRealTime(t.Context(), "calm", x, 4, realtime.Options{Program: weldmastPath})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -232,7 +232,7 @@
 	if s.Void != "" {
 		t.Skip(s.Void)
 	}
-	if s.Broken() > 0 || s.Jobs != v.Jobs || math.Abs(s.Service-v.Service) > 0.02 || math.Abs(s.Latency.P50-v.Latency.P50) > 5 {
+	if s.ViolationCount() > 0 || s.Jobs != v.Jobs || math.Abs(s.Service-v.Service) > 0.02 || math.Abs(s.Latency.P50-v.Latency.P50) > 5 {
 		t.Errorf("sockets: service %.4f, p50 %.2f ms, %d jobs; virtual %.4f, %.2f, %d; %v", s.Service, s.Latency.P50, s.Jobs,
 			v.Service, v.Latency.P50, v.Jobs, s.Violations)
 	}
@@ -242,24 +242,24 @@
 }
 
 // TestVoid: a day on which the lab was late says so.
-func TestVoid(t *testing.T) {
+func TestLateLabVoidsRun(t *testing.T) {
 	x := load(t, "calm", `length="1s"`, `warmup=0`, `arrivals.load=0.1`)
-	s, err := RunRealTime(t.Context(), "calm", x, 4, realtime.Options{Program: program, MaxLatenessP99: 1e-6, MaxLateness: 1e-6})
+	s, err := RunRealTime(t.Context(), "calm", x, 4, realtime.Options{Program: weldmastPath, MaxLatenessP99: 1e-6, MaxLateness: 1e-6})
 	if err != nil || !strings.Contains(s.Void, "late") {
 		t.Errorf("%v, void %q", err, s.Void)
 	}
 }
 
 // TestFaultsOnSockets: a worker's death, a silent one, drains and the death of the dispatcher itself, on real sockets.
-func TestFaultsOnSockets(t *testing.T) {
+func TestFaultsInRealTime(t *testing.T) {
 	x := load(t, "restarts", `length="7s"`, `warmup=0`, `arrivals.load=0.3`, `dispatchers.restart="500ms"`,
 		`fault=[{at="1s",for="1s",what="kill",count=2},{at="2s",for="1s",what="vanish",count=2},{at="3s",for="1s",what="drain",count=2},`+
 			`{at="4s",what="dispatcher_kill",count=1},{at="4500ms",what="dispatcher_stop",count=1},{at="5s",what="dispatcher_reload"}]`)
-	s, err := RunRealTime(t.Context(), "faults", x, 4, realtime.Options{Program: program})
+	s, err := RunRealTime(t.Context(), "faults", x, 4, realtime.Options{Program: weldmastPath})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Broken() > 0 || s.Service < 0.8 || len(s.Marks) < 6 || s.Outcomes["finished"] < s.Jobs*8/10 {
+	if s.ViolationCount() > 0 || s.Service < 0.8 || len(s.Annotations) < 6 || s.Outcomes["finished"] < s.Jobs*8/10 {
 		t.Errorf("service %.3f, %v, %v", s.Service, s.Outcomes, s.Violations)
 	}
 }
@@ -271,7 +271,7 @@
 	x := load(t, "many-workers", `length="7s"`, `dispatchers.count=3`, `kind.0.count=50`, `kind.1.count=220`, `arrivals.rate=160`, `fault.2.for="2500ms"`, `fault.3.at="4s"`,
 		`fault.4.at="5s"`, `fault.4.amount=10`)
 	for range 3 { // a day on which this machine kept the lab itself waiting shows nothing: it is played again
-		s, err := RunRealTime(t.Context(), "many-workers", x, 2, realtime.Options{Program: program, MaxLatenessP99: 100, MaxLateness: 500})
+		s, err := RunRealTime(t.Context(), "many-workers", x, 2, realtime.Options{Program: weldmastPath, MaxLatenessP99: 100, MaxLateness: 500})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -279,7 +279,7 @@
 			t.Log(s.Void)
 			continue
 		}
-		if s.Broken() > 0 || s.Service < 0.85 || s.Outcomes["finished"] < s.Jobs*95/100 {
+		if s.ViolationCount() > 0 || s.Service < 0.85 || s.Outcomes["finished"] < s.Jobs*95/100 {
 			t.Errorf("service %.3f, %v of %d, %v", s.Service, s.Outcomes, s.Jobs, s.Violations[:min(3, len(s.Violations))])
 		}
 		for _, k := range s.Kinds {
@@ -320,7 +320,7 @@
 }
 
 // TestInterruptedTable: days cut short are no figures.
-func TestInterruptedTable(t *testing.T) {
+func TestInterruptedComparison(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	if _, _, err := Compare(ctx, "calm", load(t, "calm"), OwnPolicy, "random", []uint64{1}, nil); err == nil {
@@ -342,7 +342,7 @@
 }
 
 // TestSet: values are changed by key, and what is no value is named.
-func TestSet(t *testing.T) {
+func TestOverrides(t *testing.T) {
 	x := load(t, "zone-lost", `arrivals.load=0.9`, `fault.0.at="1s"`, `workers.sites=3`)
 	if x.Arrivals.Load != 0.9 || x.Faults[0].At != 1000 || x.Workers.Sites != 3 {
 		t.Errorf("%v %v %v", x.Arrivals, x.Faults, x.Workers)
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -19,15 +19,15 @@
 )
 
 //go:embed report.html
-var page embed.FS
+var reportTemplate embed.FS
 
 const (
-	plotWide = 18 * vg.Centimeter
-	plotHigh = 6 * vg.Centimeter
+	plotWidth  = 18 * vg.Centimeter
+	plotHeight = 6 * vg.Centimeter
 )
 
 // view is one result as the page shows it.
-type view struct {
+type reportSection struct {
 	*Result
 	Plots []template.HTML
 	Text  string
@@ -35,13 +35,13 @@
 
 // Report writes one self-contained page with a part for each result.
 func Report(out io.Writer, results []*Result) error {
-	t, err := template.ParseFS(page, "report.html")
+	t, err := template.ParseFS(reportTemplate, "report.html")
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	var views []view
+	var sections []reportSection
 	for _, r := range results {
-		v := view{Result: r}
+		v := reportSection{Result: r}
 		var text bytes.Buffer
 		r.Print(&text)
 		v.Text = text.String()
@@ -50,22 +50,22 @@
 			if err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
-			svg, err := paint(p)
+			svg, err := renderSVG(p)
 			if err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
 			v.Plots = append(v.Plots, svg)
 		}
-		views = append(views, v)
+		sections = append(sections, v)
 	}
-	if err := t.Execute(out, views); err != nil {
+	if err := t.Execute(out, sections); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	return nil
 }
 
-func paint(p *plot.Plot) (template.HTML, error) {
-	c := vgsvg.New(plotWide, plotHigh)
+func renderSVG(p *plot.Plot) (template.HTML, error) {
+	c := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(c))
 	var svg bytes.Buffer
 	if _, err := c.WriteTo(&svg); err != nil {
@@ -79,7 +79,7 @@
 }
 
 // frame is a plot over the seconds of the day, with its faults.
-func frame(r *Result, title, unit string) (*plot.Plot, error) {
+func newPlot(r *Result, title, unit string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
 	p.X.Min, p.X.Max, p.Y.Min = 0, float64(len(r.Seconds)), 0
@@ -89,8 +89,8 @@
 }
 
 // marks draws each fault as a line across the plot, once its height is known.
-func marks(p *plot.Plot, r *Result) error {
-	for _, m := range r.Marks {
+func addAnnotations(p *plot.Plot, r *Result) error {
+	for _, m := range r.Annotations {
 		l, err := plotter.NewLine(plotter.XYs{{X: m.At / 1000, Y: p.Y.Min}, {X: m.At / 1000, Y: p.Y.Max}})
 		if err != nil {
 			return fmt.Errorf("mark: %w", err)
@@ -102,10 +102,10 @@
 }
 
 // line draws one value of each second.
-func line(p *plot.Plot, r *Result, k int, name string, of func(SecondStats) float64) error {
+func addLine(p *plot.Plot, r *Result, k int, name string, value func(SecondStats) float64) error {
 	var xys plotter.XYs
 	for _, s := range r.Seconds {
-		xys = append(xys, plotter.XY{X: float64(s.At) + 0.5, Y: of(s)})
+		xys = append(xys, plotter.XY{X: float64(s.At) + 0.5, Y: value(s)})
 	}
 	if len(xys) == 0 {
 		return nil
@@ -120,29 +120,29 @@
 	return nil
 }
 
-type curve struct {
-	name string
-	of   func(SecondStats) float64
+type series struct {
+	name  string
+	value func(SecondStats) float64
 }
 
-func curves(r *Result, title, unit string, all []curve) (*plot.Plot, error) {
-	p, err := frame(r, title, unit)
+func seriesPlot(r *Result, title, unit string, all []series) (*plot.Plot, error) {
+	p, err := newPlot(r, title, unit)
 	if err != nil {
 		return nil, err
 	}
 	for k, c := range all {
-		if err := line(p, r, k, c.name, c.of); err != nil {
+		if err := addLine(p, r, k, c.name, c.value); err != nil {
 			return nil, err
 		}
 	}
 	if p.Y.Max <= p.Y.Min {
 		p.Y.Max = p.Y.Min + 1
 	}
-	return p, marks(p, r)
+	return p, addAnnotations(p, r)
 }
 
 func servicePlot(r *Result) (*plot.Plot, error) {
-	return curves(r, "Work items wanted in each second, and what became of them", "items", []curve{
+	return seriesPlot(r, "Work items wanted in each second, and what became of them", "items", []series{
 		{"wanted", func(s SecondStats) float64 { return float64(s.Jobs) }},
 		{"in time", func(s SecondStats) float64 { return float64(s.InTime) }},
 		{"late", func(s SecondStats) float64 { return float64(s.Late) }},
@@ -151,19 +151,19 @@
 }
 
 func latencyPlot(r *Result) (*plot.Plot, error) {
-	return curves(r, "Latency of those finished", "ms", []curve{
+	return seriesPlot(r, "Latency of those finished", "ms", []series{
 		{"p50", func(s SecondStats) float64 { return s.P50 }}, {"p99", func(s SecondStats) float64 { return s.P99 }}})
 }
 
 func loadPlot(r *Result) (*plot.Plot, error) {
-	var all []curve
+	var all []series
 	for k, kind := range r.Kinds {
-		all = append(all, curve{kind.Name, func(s SecondStats) float64 {
-			if k < len(s.Busy) {
-				return s.Busy[k]
+		all = append(all, series{kind.Name, func(s SecondStats) float64 {
+			if k < len(s.BusyCores) {
+				return s.BusyCores[k]
 			}
 			return 0
 		}})
 	}
-	return curves(r, "Cores at work, by kind", "cores", all)
+	return seriesPlot(r, "Cores at work, by kind", "cores", all)
 }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -39,11 +39,11 @@
 	Kinds            []KindResult            `json:"kinds"`
 	ViolationsByRule map[invariants.Rule]int `json:"rules"` // convictions
 	Violations       []invariants.Violation  `json:"verdicts,omitempty"`
-	Marks            []fleetmodel.Annotation `json:"marks,omitempty"`
+	Annotations      []fleetmodel.Annotation `json:"marks,omitempty"`
 	Seconds          []SecondStats           `json:"seconds"`
 	Processes        []ProcessUsage          `json:"processes,omitempty"`
 	Lateness         *Percentiles            `json:"late,omitempty"` // how late the lab itself was, on sockets
-	from             float64
+	arrivalStart     float64
 }
 
 // Percentiles of a time in milliseconds.
@@ -73,15 +73,15 @@
 
 // Second is one second of the day, by the time at which jobs were wanted.
 type SecondStats struct {
-	At       int       `json:"at"`
-	Jobs     int       `json:"jobs"`
-	InTime   int       `json:"in_time"`
-	Late     int       `json:"late"`
-	Deferred int       `json:"deferred"`
-	Failed   int       `json:"failed"`
-	P50      float64   `json:"p50"`
-	P99      float64   `json:"p99"`
-	Busy     []float64 `json:"busy"` // cores at work of each kind
+	At        int       `json:"at"`
+	Jobs      int       `json:"jobs"`
+	InTime    int       `json:"in_time"`
+	Late      int       `json:"late"`
+	Deferred  int       `json:"deferred"`
+	Failed    int       `json:"failed"`
+	P50       float64   `json:"p50"`
+	P99       float64   `json:"p99"`
+	BusyCores []float64 `json:"busy"` // cores at work of each kind
 }
 
 // Process is what a dispatcher's process used, on sockets.
@@ -95,7 +95,7 @@
 }
 
 // latencies counts microseconds, up to an hour, to three digits.
-func latencies() *hdrhistogram.Histogram { return hdrhistogram.New(1, 3600e6, 3) }
+func newLatencyHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 3600e6, 3) }
 
 func record(h *hdrhistogram.Histogram, ms float64) {
 	if err := h.RecordValue(int64(math.Round(min(max(ms*1000, 0), 3600e6)))); err != nil {
@@ -112,14 +112,14 @@
 }
 
 // tally counts one category or tenant.
-type tally struct {
-	jobs         int
-	credit, good float64
-	hist         *hdrhistogram.Histogram
+type groupCounts struct {
+	jobs                 int
+	credit, creditInTime float64
+	hist                 *hdrhistogram.Histogram
 }
 
-func (t *tally) part(name string) GroupResult {
-	return GroupResult{name, t.jobs, ratio(t.good, t.credit), percentiles(t.hist)}
+func (t *groupCounts) result(name string) GroupResult {
+	return GroupResult{name, t.jobs, ratio(t.creditInTime, t.credit), percentiles(t.hist)}
 }
 
 func ratio(a, b float64) float64 {
@@ -132,27 +132,27 @@
 // Count sums up a day whose clients came from start on.
 func Summarize(w *fleetmodel.Model, start float64) *Result {
 	x := w.Experiment
-	r := &Result{About: x.About, Outcomes: map[string]int{}, ViolationsByRule: map[invariants.Rule]int{}, from: start}
+	r := &Result{About: x.About, Outcomes: map[string]int{}, ViolationsByRule: map[invariants.Rule]int{}, arrivalStart: start}
 	for _, rule := range invariants.DispatcherRules {
 		r.ViolationsByRule[rule] = w.Checker.Counts[rule]
 	}
 	r.Violations = w.Checker.Violations[:min(len(w.Checker.Violations), 50)]
 	for _, m := range w.Annotations {
-		r.Marks = append(r.Marks, fleetmodel.Annotation{At: m.At - start, Text: m.Text})
+		r.Annotations = append(r.Annotations, fleetmodel.Annotation{At: m.At - start, Text: m.Text})
 	}
-	all, added := latencies(), latencies()
-	tallies := func(n int) []tally {
-		t := make([]tally, n)
+	all, added := newLatencyHistogram(), newLatencyHistogram()
+	newGroups := func(n int) []groupCounts {
+		t := make([]groupCounts, n)
 		for k := range t {
-			t[k].hist = latencies()
+			t[k].hist = newLatencyHistogram()
 		}
 		return t
 	}
-	categories, tenants := tallies(len(x.Categories)), tallies(len(x.Tenants))
-	kinds := make([]int, len(x.Kinds))
+	categories, tenants := newGroups(len(x.Categories)), newGroups(len(x.Tenants))
+	finishedByKind := make([]int, len(x.Kinds))
 	seconds := make([]SecondStats, int(math.Ceil(float64(x.Length)/1000)))
-	hists := make([]*hdrhistogram.Histogram, len(seconds))
-	credit, good, latency, slowdown, tries, finished := 0., 0., 0., 0., 0, 0
+	latencyBySecond := make([]*hdrhistogram.Histogram, len(seconds))
+	credit, creditInTime, latency, slowdown, tries, finished := 0., 0., 0., 0., 0, 0
 	for _, j := range w.Jobs {
 		inTime := x.InTime(j)
 		if at := int((j.Arrival - start) / 1000); at >= 0 && at < len(seconds) {
@@ -169,10 +169,10 @@
 				s.Failed++
 			}
 			if j.Outcome == fleetmodel.Finished {
-				if hists[at] == nil {
-					hists[at] = latencies()
+				if latencyBySecond[at] == nil {
+					latencyBySecond[at] = newLatencyHistogram()
 				}
-				record(hists[at], j.End-j.Arrival)
+				record(latencyBySecond[at], j.End-j.Arrival)
 			}
 		}
 		if j.Arrival < start+float64(x.Warmup) || j.Outcome == fleetmodel.ClientLeft {
@@ -183,61 +183,61 @@
 		tries += j.Requests
 		c := x.Categories[j.Category].Credit
 		credit += c
-		parts := []*tally{&categories[j.Category]}
+		groups := []*groupCounts{&categories[j.Category]}
 		if j.Tenant >= 0 {
-			parts = append(parts, &tenants[j.Tenant])
+			groups = append(groups, &tenants[j.Tenant])
 		}
 		if inTime {
 			r.InTime++
-			good += c
+			creditInTime += c
 		}
-		for _, p := range parts {
+		for _, p := range groups {
 			p.jobs++
 			p.credit += c
 			if inTime {
-				p.good += c
+				p.creditInTime += c
 			}
 		}
 		if j.Outcome == fleetmodel.Finished {
-			took := j.End - j.Arrival
+			elapsed := j.End - j.Arrival
 			finished++
-			latency += took
-			slowdown += took / j.Cost
-			record(all, took)
-			for _, p := range parts {
-				record(p.hist, took)
+			latency += elapsed
+			slowdown += elapsed / j.Cost
+			record(all, elapsed)
+			for _, p := range groups {
+				record(p.hist, elapsed)
 			}
 			if j.Kind >= 0 {
-				kinds[j.Kind]++
-				record(added, took-j.Cost/x.Kinds[j.Kind].Speed)
+				finishedByKind[j.Kind]++
+				record(added, elapsed-j.Cost/x.Kinds[j.Kind].Speed)
 			}
 		}
 	}
-	r.Service, r.Latency, r.RequestsPerJob = ratio(good, credit), percentiles(all), ratio(float64(tries), float64(r.Jobs))
+	r.Service, r.Latency, r.RequestsPerJob = ratio(creditInTime, credit), percentiles(all), ratio(float64(tries), float64(r.Jobs))
 	r.Added = percentiles(added)
 	r.MeanLatency, r.MeanSlowdown = ratio(latency, float64(finished)), ratio(slowdown, float64(finished))
 	for k, c := range x.Categories {
-		r.Categories = append(r.Categories, categories[k].part(c.Name))
+		r.Categories = append(r.Categories, categories[k].result(c.Name))
 	}
 	for k, t := range x.Tenants {
-		r.Tenants = append(r.Tenants, tenants[k].part(t.Name))
+		r.Tenants = append(r.Tenants, tenants[k].result(t.Name))
 	}
 	for k, kind := range x.Kinds {
 		busy := 0.
 		for at := range min(len(seconds), len(w.LoadSamples)) {
 			busy += w.LoadSamples[at].BusyCores[k]
 		}
-		r.Kinds = append(r.Kinds, KindResult{kind.Name, kinds[k],
+		r.Kinds = append(r.Kinds, KindResult{kind.Name, finishedByKind[k],
 			ratio(busy, float64(kind.Count*min(kind.Cores, kind.Slots)*len(seconds)))})
 	}
 	for k := range seconds {
 		s := &seconds[k]
 		s.At = k
-		if h := hists[k]; h != nil {
+		if h := latencyBySecond[k]; h != nil {
 			s.P50, s.P99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
 		}
 		if k < len(w.LoadSamples) {
-			s.Busy = w.LoadSamples[k].BusyCores
+			s.BusyCores = w.LoadSamples[k].BusyCores
 		}
 	}
 	r.Seconds = seconds
@@ -257,7 +257,7 @@
 }
 
 // Broken counts convictions of all rules.
-func (r *Result) Broken() (n int) {
+func (r *Result) ViolationCount() (n int) {
 	for _, k := range r.ViolationsByRule {
 		n += k
 	}
@@ -319,7 +319,7 @@
 	if r.Lateness != nil {
 		fmt.Fprintf(out, "  the lab itself was late by p50 %.2f  p99 %.2f  max %.2f ms\n", r.Lateness.P50, r.Lateness.P99, r.Lateness.Max)
 	}
-	if r.Broken() == 0 {
+	if r.ViolationCount() == 0 {
 		fmt.Fprintln(out, "rules kept")
 	}
 	for _, rule := range invariants.DispatcherRules {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -25,13 +25,13 @@
 const OwnPolicy = "weldmast"
 
 // Load reads an experiment's file. Sets are changes such as "arrivals.load=0.8", each as KEY=VALUE in TOML.
-func LoadExperiment(path string, sets ...string) (*fleetmodel.Experiment, error) {
+func LoadExperiment(path string, overrides ...string) (*fleetmodel.Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
-	if len(sets) > 0 {
-		if text, err = change(text, sets); err != nil {
+	if len(overrides) > 0 {
+		if text, err = applyOverrides(text, overrides); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -39,38 +39,38 @@
 }
 
 // change sets values in a file; parts of a key that are numbers are positions in lists.
-func change(text []byte, sets []string) ([]byte, error) {
+func applyOverrides(text []byte, overrides []string) ([]byte, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return nil, fmt.Errorf("no TOML: %w", err)
 	}
-	for _, set := range sets {
-		key, value, ok := strings.Cut(set, "=")
+	for _, override := range overrides {
+		key, value, ok := strings.Cut(override, "=")
 		var v struct{ X any }
 		if err := toml.Unmarshal([]byte("X = "+value), &v); err != nil || !ok {
-			return nil, fmt.Errorf("%q is not KEY=VALUE with a TOML value", set)
+			return nil, fmt.Errorf("%q is not KEY=VALUE with a TOML value", override)
 		}
 		parts := strings.Split(key, ".")
-		at := any(tree)
+		node := any(tree)
 		for k, part := range parts {
 			last := k == len(parts)-1
-			switch here := at.(type) {
+			switch container := node.(type) {
 			case map[string]any:
 				if last {
-					here[part] = v.X
-				} else if here[part] == nil {
-					here[part] = map[string]any{}
+					container[part] = v.X
+				} else if container[part] == nil {
+					container[part] = map[string]any{}
 				}
-				at = here[part]
+				node = container[part]
 			case []any:
 				n, err := strconv.Atoi(part)
-				if err != nil || n < 0 || n >= len(here) {
-					return nil, fmt.Errorf("%s: %q is no position in a list of %d", key, part, len(here))
+				if err != nil || n < 0 || n >= len(container) {
+					return nil, fmt.Errorf("%s: %q is no position in a list of %d", key, part, len(container))
 				}
 				if last {
-					here[n] = v.X
+					container[n] = v.X
 				}
-				at = here[n]
+				node = container[n]
 			default:
 				return nil, fmt.Errorf("%s: nothing stands below %s", key, strings.Join(parts[:k], "."))
 			}
@@ -87,7 +87,7 @@
 func ExperimentName(path string) string { return strings.TrimSuffix(filepath.Base(path), ".toml") }
 
 // decide makes the deciders of a policy's day; nil for the program's own. An error names the policies there are.
-func decide(policy string, x *fleetmodel.Experiment) (virtualtime.NewDecider, error) {
+func newDecider(policy string, x *fleetmodel.Experiment) (virtualtime.NewDecider, error) {
 	if policy == OwnPolicy {
 		return nil, nil
 	}
@@ -107,16 +107,16 @@
 
 // Virtual plays one day in virtual time.
 func RunVirtual(ctx context.Context, name string, x *fleetmodel.Experiment, seed uint64, policy string, progress func(float64)) (*Result, error) {
-	d, err := decide(policy, x)
+	d, err := newDecider(policy, x)
 	if err != nil {
 		return nil, err
 	}
-	w, whole, err := virtualtime.Run(ctx, x, seed, d, progress)
+	w, complete, err := virtualtime.Run(ctx, x, seed, d, progress)
 	if err != nil {
 		return nil, err
 	}
 	r := Summarize(w, virtualtime.ArrivalStart)
-	r.Experiment, r.Driver, r.Policy, r.Seed, r.Interrupted = name, "virtual", policy, seed, !whole
+	r.Experiment, r.Driver, r.Policy, r.Seed, r.Interrupted = name, "virtual", policy, seed, !complete
 	return r, nil
 }
 
@@ -138,34 +138,34 @@
 }
 
 // day is one of many to play.
-type day struct {
-	name   string
-	x      *fleetmodel.Experiment
-	seed   uint64
-	policy string
+type runSpec struct {
+	name       string
+	experiment *fleetmodel.Experiment
+	seed       uint64
+	policy     string
 }
 
 // playAll plays days side by side, one to a core, and returns their results in order.
-func playAll(ctx context.Context, days []day, progress func(float64)) ([]*Result, error) {
-	results, errs := make([]*Result, len(days)), make([]error, len(days))
+func runAll(ctx context.Context, specs []runSpec, progress func(float64)) ([]*Result, error) {
+	results, errs := make([]*Result, len(specs)), make([]error, len(specs))
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	done := 0
 	next := make(chan int)
-	for range min(runtime.GOMAXPROCS(0), len(days)) {
+	for range min(runtime.GOMAXPROCS(0), len(specs)) {
 		wait.Go(func() {
 			for k := range next {
-				d := days[k]
-				results[k], errs[k] = RunVirtual(ctx, d.name, d.x, d.seed, d.policy, nil)
+				d := specs[k]
+				results[k], errs[k] = RunVirtual(ctx, d.name, d.experiment, d.seed, d.policy, nil)
 				mu.Lock()
 				if done++; progress != nil {
-					progress(float64(done) / float64(len(days)))
+					progress(float64(done) / float64(len(specs)))
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	for k := range days {
+	for k := range specs {
 		next <- k
 	}
 	close(next)
@@ -175,7 +175,7 @@
 	}
 	for k, err := range errs {
 		if err != nil {
-			return nil, fmt.Errorf("%s, seed %d: %w", days[k].policy, days[k].seed, err)
+			return nil, fmt.Errorf("%s, seed %d: %w", specs[k].policy, specs[k].seed, err)
 		}
 	}
 	return results, nil
--- a/internal/lab/scenarios.go
+++ b/internal/lab/scenarios.go
@@ -25,65 +25,65 @@
 
 // SmallWorld draws a deployment of up to four dispatchers and a dozen workers with up to six troubles. Crowded: workers
 // may take more at once than they have cores for.
-func RandomScenario(draw Sampler, crowded bool) *fleetmodel.Experiment {
+func RandomScenario(sample Sampler, crowded bool) *fleetmodel.Experiment {
 	x, err := fleetmodel.ParseExperiment("small", []byte("[[kind]]\nname = \"a\"\n[[category]]\nname = \"a\"\n[arrivals]\nload = 0.5\n"))
 	if err != nil {
 		panic(err) // the text is our own
 	}
-	yes := func() bool { return draw(2) == 1 }
-	of := func(values ...float64) float64 { return values[draw(len(values))] }
-	span := func(values ...float64) fleetmodel.Millis { return fleetmodel.Millis(of(values...)) }
-	x.Length = span(1000, 3000, 6000)
+	coin := func() bool { return sample(2) == 1 }
+	oneOf := func(values ...float64) float64 { return values[sample(len(values))] }
+	oneMillis := func(values ...float64) fleetmodel.Millis { return fleetmodel.Millis(oneOf(values...)) }
+	x.Length = oneMillis(1000, 3000, 6000)
 	d := &x.Dispatchers
-	d.Count, d.PeerMessages, d.SecondCopies, d.MayCancel, d.HonorRetryAfter = 1+draw(4), yes(), yes(), yes(), yes()
-	d.DiscoveryOnRequest, d.MaxHandOffs, d.MaxOpen = draw(4) == 0, 1+draw(5), int(of(5, 50, 20000))
-	d.RestartDelay, d.StopTimeout = span(100, 1000), span(500, 3700)
-	x.Network.CrossSite, x.Network.Jitter = span(1, 20), span(0, 0.05, 2)
-	x.Network.DiscoveryDelay, x.Network.DetectionDelay, x.Network.IdleTimeout = span(1, 100, 400), span(100, 2000), span(50, 15000)
-	x.Workers.Sites = 1 + draw(3)
-	x.Workers.WarmUpTime, x.Workers.OverloadWindow, x.Workers.StartCapacity = span(500, 3000, 10000), span(500, 2000), of(0.05, 0.1, 0.5)
-	x.Workers.ReportStart, x.Workers.ProgressInterval = yes(), span(0, 100, 1000)
+	d.Count, d.PeerMessages, d.SecondCopies, d.MayCancel, d.HonorPauses = 1+sample(4), coin(), coin(), coin(), coin()
+	d.DiscoveryOnRequest, d.MaxHandOffs, d.MaxOpen = sample(4) == 0, 1+sample(5), int(oneOf(5, 50, 20000))
+	d.RestartDelay, d.StopTimeout = oneMillis(100, 1000), oneMillis(500, 3700)
+	x.Network.CrossSite, x.Network.Jitter = oneMillis(1, 20), oneMillis(0, 0.05, 2)
+	x.Network.DiscoveryDelay, x.Network.DetectionDelay, x.Network.IdleTimeout = oneMillis(1, 100, 400), oneMillis(100, 2000), oneMillis(50, 15000)
+	x.Workers.Sites = 1 + sample(3)
+	x.Workers.WarmUp, x.Workers.OverloadWindow, x.Workers.StartShare = oneMillis(500, 3000, 10000), oneMillis(500, 2000), oneOf(0.05, 0.1, 0.5)
+	x.Workers.ReportStart, x.Workers.ProgressInterval = coin(), oneMillis(0, 100, 1000)
 	x.Kinds = nil
-	for k := range 1 + draw(3) {
-		kind := fleetmodel.Kind{Name: string(rune('a' + k)), Count: 1 + draw(4), Speed: of(0.5, 1, 3), Cores: 1 + draw(3),
-			Slots: 1 + draw(4), QueueLimit: draw(6)}
+	for k := range 1 + sample(3) {
+		kind := fleetmodel.Kind{Name: string(rune('a' + k)), Count: 1 + sample(4), Speed: oneOf(0.5, 1, 3), Cores: 1 + sample(3),
+			Slots: 1 + sample(4), QueueLimit: sample(6)}
 		if !crowded {
 			kind.Slots = min(kind.Slots, kind.Cores)
 		}
 		x.Kinds = append(x.Kinds, kind)
 	}
 	x.Categories = nil
-	for k := range 1 + draw(3) {
+	for k := range 1 + sample(3) {
 		c := fleetmodel.Category{Name: string(rune('a' + k))}
 		c.Defaults()
-		c.RepeatPolicy = []string{"rerunnable", "ticketed", "exclusive"}[draw(3)]
-		c.DedupScope = []string{"all", "zone"}[draw(2)]
-		c.DedupWindow, c.DueTime, c.Expiry = span(0, 200, 2000), span(50, 500), span(100, 1000, 3000)
-		c.MeanCost, c.Distribution, c.HintSigma = span(2, 20, 100), []string{"fixed", "exponential", "pareto"}[draw(3)], of(0, 0.5)
-		c.NoHintShare, c.MaxCostFactor = of(0, 0.2, 1), 50
+		c.Repeat = []string{"rerunnable", "ticketed", "exclusive"}[sample(3)]
+		c.Group = []string{"all", "zone"}[sample(2)]
+		c.TicketWindow, c.DueTime, c.Expiry = oneMillis(0, 200, 2000), oneMillis(50, 500), oneMillis(100, 1000, 3000)
+		c.MeanCost, c.Distribution, c.HintSigma = oneMillis(2, 20, 100), []string{"fixed", "exponential", "pareto"}[sample(3)], oneOf(0, 0.5)
+		c.NoHintShare, c.MaxCostFactor = oneOf(0, 0.2, 1), 50
 		x.Categories = append(x.Categories, c)
 	}
-	if yes() {
+	if coin() {
 		x.Tenants = []fleetmodel.Tenant{{Name: "a", Share: 1}, {Name: "b", Share: 3}}
 	}
-	x.Arrivals.Load = of(0.2, 0.6, 0.9, 1.5)
-	if most := 600.; x.ArrivalRate() > most { // a world is to be small
-		x.Arrivals.Rate, x.Arrivals.Load = most, 0
+	x.Arrivals.Load = oneOf(0.2, 0.6, 0.9, 1.5)
+	if maxRate := 600.; x.ArrivalRate() > maxRate { // a world is to be small
+		x.Arrivals.Rate, x.Arrivals.Load = maxRate, 0
 	}
-	x.Clients.MaxRetries, x.Clients.LeaveShare = draw(3), of(0, 0, 0.1)
+	x.Clients.MaxRetries, x.Clients.LeaveShare = sample(3), oneOf(0, 0, 0.1)
 	kinds := []string{"kill", "vanish", "site_loss", "cut", "drain", "deploy", "slow", "neighbour", "fail", "tail", "burst",
 		"discovery_silent", "discovery_late", "messages_lost", "messages_late", "callbacks_repeat", "callbacks_late",
 		"dispatcher_kill", "dispatcher_stop", "dispatcher_reload", "clock_jump"}
-	for range draw(7) {
-		f := fleetmodel.Fault{At: fleetmodel.Millis(draw(int(x.Length))), Duration: span(50, 300, 1000, 2000), Type: kinds[draw(len(kinds))]}
+	for range sample(7) {
+		f := fleetmodel.Fault{At: fleetmodel.Millis(sample(int(x.Length))), Duration: oneMillis(50, 300, 1000, 2000), Type: kinds[sample(len(kinds))]}
 		f.Defaults()
-		f.Share, f.Count = of(0.2, 0.5, 1), draw(3)
-		f.Path = []string{"workers", "clients", "siblings", "discovery"}[draw(4)]
-		if f.Type == "site_loss" || f.Type == "cut" && yes() {
-			f.Site = fleetmodel.SiteName(draw(x.Workers.Sites))
+		f.Share, f.Count = oneOf(0.2, 0.5, 1), sample(3)
+		f.Path = []string{"workers", "clients", "siblings", "discovery"}[sample(4)]
+		if f.Type == "site_loss" || f.Type == "cut" && coin() {
+			f.Site = fleetmodel.SiteName(sample(x.Workers.Sites))
 		}
 		if f.Type == "clock_jump" {
-			f.Amount = of(-5000, 100, 5000)
+			f.Amount = oneOf(-5000, 100, 5000)
 		}
 		x.Faults = append(x.Faults, f)
 	}
--- a/internal/lab/theory.go
+++ b/internal/lab/theory.go
@@ -17,13 +17,13 @@
 
 // Law is one known mean.
 type QueueMean struct {
-	Name     string
-	Load     float64
-	Expected float64 // ms
-	Measured float64
-	StdError float64 // standard error of Got over the repetitions
-	wait     bool    // of the wait, else of the whole response
-	text     string
+	Name       string
+	Load       float64
+	Expected   float64 // ms
+	Measured   float64
+	StdError   float64 // standard error of Got over the repetitions
+	waitOnly   bool    // of the wait, else of the whole response
+	experiment string
 }
 
 // Off is by how much the model differs, as a part of what theory says.
@@ -33,7 +33,7 @@
 
 // laws are M/M/4 (Erlang C), M/D/1 and M/G/1 first come first served (Pollaczek and Khinchine), and M/G/1 with
 // processor sharing, at three loads each.
-func laws() (all []*QueueMean) {
+func queueMeans() (all []*QueueMean) {
 	const servers, sigma = 4, 1.
 	for _, load := range []float64{0.5, 0.7, 0.9} {
 		c := float64(servers)
@@ -45,30 +45,30 @@
 			}
 			sum += term
 		}
-		last := term * a / c / (1 - load)
-		queued := last / (sum + last)
-		second := math.Exp(sigma * sigma) // of the lognormal law, in squared means
+		waitTerm := term * a / c / (1 - load)
+		waitProbability := waitTerm / (sum + waitTerm)
+		secondMoment := math.Exp(sigma * sigma) // of the lognormal law, in squared means
 		file := func(kind, category string) string {
 			return fmt.Sprintf("[network]\nnear = 0\nfar = 0\njitter = 0\n[workers]\ntell_start = false\nprogress = 0\n"+
 				"[arrivals]\nload = %v\n[[kind]]\nname = \"k\"\nqueue = 1000000000\n%s\n[[category]]\nname = \"c\"\n"+
 				"cost = %v\nexpiry = \"100s\"\n%s\n", load, kind, meanCost, category)
 		}
-		one, law := "slots = 1", fmt.Sprintf("law = \"lognormal\"\nshape = %v\nmost = 1e9", sigma)
+		singleSlot, lognormal := "slots = 1", fmt.Sprintf("law = \"lognormal\"\nshape = %v\nmost = 1e9", sigma)
 		all = append(all,
-			&QueueMean{Name: "M/M/4 wait", Load: load, Expected: queued * meanCost / (c * (1 - load)), wait: true,
-				text: file("slots = 4\ncores = 4", "most = 1e9")},
-			&QueueMean{Name: "M/D/1 wait", Load: load, Expected: load * meanCost / (2 * (1 - load)), wait: true,
-				text: file(one, "law = \"fixed\"")},
-			&QueueMean{Name: "M/G/1 wait", Load: load, Expected: load * meanCost * second / (2 * (1 - load)), wait: true,
-				text: file(one, law)},
-			&QueueMean{Name: "M/G/1-PS response", Load: load, Expected: meanCost / (1 - load), text: file("slots = 100000\ncores = 1", law)})
+			&QueueMean{Name: "M/M/4 wait", Load: load, Expected: waitProbability * meanCost / (c * (1 - load)), waitOnly: true,
+				experiment: file("slots = 4\ncores = 4", "most = 1e9")},
+			&QueueMean{Name: "M/D/1 wait", Load: load, Expected: load * meanCost / (2 * (1 - load)), waitOnly: true,
+				experiment: file(singleSlot, "law = \"fixed\"")},
+			&QueueMean{Name: "M/G/1 wait", Load: load, Expected: load * meanCost * secondMoment / (2 * (1 - load)), waitOnly: true,
+				experiment: file(singleSlot, lognormal)},
+			&QueueMean{Name: "M/G/1-PS response", Load: load, Expected: meanCost / (1 - load), experiment: file("slots = 100000\ncores = 1", lognormal)})
 	}
 	return all
 }
 
 // Theory plays each law so many times with so many jobs, eight times as often at the highest load: waits vary most there.
 func CheckTheory(ctx context.Context, repeats, jobs int, progress func(float64)) ([]*QueueMean, error) {
-	all := laws()
+	all := queueMeans()
 	means := make([][]float64, len(all))
 	type task struct{ law, repeat int }
 	tasks := make(chan task)
@@ -88,7 +88,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		wait.Go(func() {
 			for t := range tasks {
-				mean, err := play(all[t.law], uint64(t.law*1000+t.repeat), jobs)
+				mean, err := simulatedMean(all[t.law], uint64(t.law*1000+t.repeat), jobs)
 				mu.Lock()
 				if means[t.law][t.repeat] = mean; err != nil {
 					failed = err
@@ -120,8 +120,8 @@
 }
 
 // play gives one repetition's mean, without its first tenth.
-func play(l *QueueMean, seed uint64, jobs int) (float64, error) {
-	x, err := fleetmodel.ParseExperiment(l.Name, []byte(l.text))
+func simulatedMean(l *QueueMean, seed uint64, jobs int) (float64, error) {
+	x, err := fleetmodel.ParseExperiment(l.Name, []byte(l.experiment))
 	if err != nil {
 		return 0, fmt.Errorf("theory: %w", err)
 	}
@@ -131,7 +131,7 @@
 	sum, n := 0., 0
 	for _, j := range w.Jobs[len(w.Jobs)/10:] {
 		sum += j.End - j.Arrival
-		if l.wait {
+		if l.waitOnly {
 			sum -= j.Cost
 		}
 		n++
--- a/internal/realtime/stubs.go
+++ b/internal/realtime/stubs.go
@@ -195,7 +195,7 @@
 		return
 	}
 	id := string(ctx.Request.Header.Peek("X-Request-Id"))
-	result := make(chan fleetmodel.HandOffResult, 2)
+	results := make(chan fleetmodel.HandOffResult, 2)
 	release, receivedAt := string(ctx.Request.Header.Peek("X-Release")), r.now()
 	r.enqueue(func() {
 		if previous := d.handOffs[id]; previous != nil {
@@ -204,15 +204,15 @@
 		if r.fleet != nil {
 			r.fleet.recordHandOff(d, id, release, receivedAt)
 		}
-		d.handOffs[id] = r.model.HandOff(d.dispatcher.index, id, d.worker, result)
+		d.handOffs[id] = r.model.HandOff(d.dispatcher.index, id, d.worker, results)
 	})
-	var ended fleetmodel.HandOffResult
+	var result fleetmodel.HandOffResult
 	select {
-	case ended = <-result:
+	case result = <-results:
 	case <-r.ctx.Done():
-		ended = fleetmodel.ConnectionReset
+		result = fleetmodel.ConnectionReset
 	}
-	switch ended {
+	switch result {
 	case fleetmodel.Accepted:
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
 	case fleetmodel.Rejected:
