--- a/internal/lab/chaos_test.go
+++ b/internal/lab/chaos_test.go
@@ -109,16 +109,16 @@
 		first, count uint64
 		rules        []invariants.Rule
 	}{
-		{"a lease that outlasts its grant by half", "internal/member/member.go", "m.self.Renewed(sent, a.Renewal)", "sent = m.o.Clock.Now() + m.o.Figures.Lease/2\n\t\tm.self.Renewed(sent, a.Renewal)",
+		{"a lease that outlasts its grant by half", "internal/fleetagent/agent.go", "a.holder.HandleRenewal(sent, reply.Renewal)", "sent = a.opts.Clock.Now() + a.opts.Timing.Lease/2\n\t\ta.holder.HandleRenewal(sent, reply.Renewal)",
 			[]string{`storm.what=["publish", "publish", "publish", "publish", "link_cut", "link_cut"]`, `storm.span="4s"`, `storm.faults=24`, `storm.most=1`}, 1, 20, []invariants.Rule{invariants.FenceRespected}},
-		{"a promise forgotten at a restart", "internal/council/store.go", "\treturn d.write(next, records...)\n}\n\n// Compact", "\treturn nil\n}\n\n// Compact",
+		{"a promise forgotten at a restart", "internal/consensus/disk_store.go", "\treturn d.write(next, records...)\n}\n\n// Compact", "\treturn nil\n}\n\n// Compact",
 			[]string{`storm.what=["publish", "publish", "dispatcher_kill", "dispatcher_kill"]`, `storm.most=5`}, 1, 20, []invariants.Rule{invariants.SingleHistory, invariants.FleetRecovered}},
-		{"a version skipped", "internal/fleet/self.go", "\tm.pending = newest\n", "\tm.pending = newest\n\tif older, ok := m.state.Version(newest - 1); ok {\n\t\tv.Text = older.Text\n\t}\n",
+		{"a version skipped", "internal/fleet/lease_holder.go", "\th.pendingVersion = newest\n", "\th.pendingVersion = newest\n\tif older, ok := h.state.Version(newest - 1); ok {\n\t\tv.Text = older.Text\n\t}\n",
 			[]string{`storm.what=["publish", "publish", "publish_twice", "link_late"]`}, 1, 20, []invariants.Rule{invariants.FenceRespected, invariants.AuditComplete}},
-		{"an act booked late", "internal/member/gate.go", "g.run.Book(g.clock.Unix(), a)", "g.run.Book(g.clock.Unix()+1500, a)",
+		{"an act booked late", "internal/fleetagent/lease_guard.go", "g.run.RecordAction(g.clock.UnixTime(), a)", "g.run.RecordAction(g.clock.UnixTime()+1500, a)",
 			[]string{`storm.what=["publish"]`}, 1, 20, []invariants.Rule{invariants.AuditComplete}},
-		{"a snapshot without its last entry", "internal/fleet/history.go", "return Encode(snapshot{Format, s.c, s.last}) }",
-			"c := s.c; if k := len(c.Versions); k > 0 { c.Versions = c.Versions[:k-1] }; return Encode(snapshot{Format, c, s.last}) }",
+		{"a snapshot without its last entry", "internal/fleet/state.go", "return Encode(snapshot{FormatVersion, s.data, s.lastEntry}) }",
+			"d := s.data; if k := len(d.Versions); k > 0 { d.Versions = d.Versions[:k-1] }; return Encode(snapshot{FormatVersion, d, s.lastEntry}) }",
 			[]string{`storm.what=["publish", "publish", "folder_empty", "folder_empty"]`}, 1, 20, []invariants.Rule{invariants.FleetRecovered}},
 	} {
 		t.Run(w.name, func(t *testing.T) {
