--- a/internal/realtime/fleet.go
+++ b/internal/realtime/fleet.go
@@ -1,5 +1,6 @@
-// This file owns a fleet's part of the rig: its members' files, the relays between each two of them, what is done to their
-// links and folders, and an operator who publishes and asks. It judges nothing itself.
+// This file contains the fleet of a run: the members' files, the relays between each two members, the faults
+// of their links and state folders, and an operator who publishes versions and requests the status. It only
+// records; invariants.FleetChecker judges the records.
 
 package realtime
 
@@ -26,29 +27,29 @@
 const (
 	fleetName        = "lab"
 	memberListenAddr = "127.0.3.1:0"
-	statusInterval   = 25 * time.Millisecond // the operator asks how the fleet stands
+	statusInterval   = 25 * time.Millisecond // interval of the operator's status requests
 	statusTimeout    = 1500 * time.Millisecond
 	adminTimeout     = 4 * time.Second
 	publishAttempts  = 3
 )
 
-// fleetRig is the fleet of a day. What the world's goroutine does not own is behind the mutex.
+// fleetRun is the fleet of a run. The fields below the mutex are shared; the others belong to the event loop.
 type fleetRun struct {
 	r            *run
 	config       *fleetmodel.Fleet
-	rng          *rand.Rand // the world's goroutine's
+	rng          *rand.Rand // used by the event loop only
 	addrs        []string
-	relays       map[[2]int]*relay // from one to another
+	relays       map[[2]int]*relay // by sender and target
 	client       *fleetrpc.Client
-	folderFaults map[int]string // what is done to a folder before the next start
+	folderFaults map[int]string // fault to apply to a folder before the next start
 	undoFault    map[*fleetmodel.Fault]func()
 	publishCount int
 
 	mu         sync.Mutex
 	pauses     []Pause
-	settled    chan struct{} // closed once all is healed, or was not in time
+	settled    chan struct{} // closed when the fleet has recovered, or has failed to in time
 	checker    invariants.FleetChecker
-	unanswered map[string]bool // requests that were published and have no answer
+	unanswered map[string]bool // IDs of publish requests without an answer
 }
 
 func (r *run) newFleet(seed uint64) error {
@@ -66,7 +67,8 @@
 	for from := range r.dispatchers {
 		var via []string
 		for to := range r.dispatchers {
-			if from == to || from >= f.config.Voters && to >= f.config.Voters { // followers do not speak to each other
+			// followers do not connect to each other
+			if from == to || from >= f.config.Voters && to >= f.config.Voters {
 				continue
 			}
 			link, err := newRelay(f.addrs[to])
@@ -83,7 +85,7 @@
 		text := fmt.Sprintf("[fleet]\nname = %q\nlisten = %q\nvoters = [%s]\nvia = [%s]\nfolder = %q\nalone = %q\nbeat = %g\nlease = %g\ndrift = %g\n", fleetName,
 			f.addrs[from], strings.Join(voters, ", "), strings.Join(via, ", "), r.dir, f.config.WhenIsolated, float64(f.config.HeartbeatInterval), float64(f.config.LeaseDuration), f.config.MaxClockDrift)
 		if err := os.WriteFile(f.file(from), []byte(text), 0o600); err != nil {
-			return fmt.Errorf("fleet: %w", err)
+			return fmt.Errorf("fleet configuration: %w", err)
 		}
 	}
 	lastFaultEnd := 0.
@@ -99,16 +101,17 @@
 	return nil
 }
 
-// Stall is a process that stood still, as an operator saw it. Times are the lab's, 0 where it did not come to that.
+// Pause is an interval in which a process was paused, as an operator observes it. Times are in ms of the
+// model's time; 0: the event did not occur.
 type Pause struct {
 	Dispatcher  int
 	Start, End  float64
-	DetectedAt  float64 // told to be no longer in order
-	RecoveredAt float64 // told to be current again, after it went on
-	Killed      bool    // killed meanwhile
+	DetectedAt  float64 // first status that no longer shows the member as current or behind
+	RecoveredAt float64 // first status after the end that shows it as current again
+	Killed      bool    // killed during the pause
 }
 
-// froze notes that a process stands still, or goes on.
+// recordPause records the start or the end of a pause.
 func (f *fleetRun) recordPause(d int, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,7 +127,7 @@
 	}
 }
 
-// stands holds what an operator was told of members against the stalls that are open. The lock is held.
+// updatePauses compares a status with the open pauses. The caller holds the lock.
 func (f *fleetRun) updatePauses(call invariants.OperatorCall, members []fleet.MemberStatus) {
 	for k := range f.pauses {
 		s := &f.pauses[k]
@@ -147,7 +150,7 @@
 func (f *fleetRun) file(d int) string   { return filepath.Join(f.r.dir, fmt.Sprintf("fleet%d.toml", d)) }
 func (f *fleetRun) folder(d int) string { return filepath.Join(f.r.dir, f.name(d)) }
 
-// member tells which program a dispatcher is, and its file.
+// program returns the program that a dispatcher runs and its file.
 func (f *fleetRun) program(d int) (program, file string) {
 	if d < f.config.Voters {
 		return f.r.options.VoterProgram, f.file(d)
@@ -155,7 +158,7 @@
 	return f.r.options.Program, f.file(d)
 }
 
-// starts alters a folder before a start, as a fault had it, and keeps a copy of it as it is.
+// prepareFolder applies a pending fault to a folder before a start, and then keeps a copy of the folder.
 func (f *fleetRun) prepareFolder(d int) {
 	dir, backup := f.folder(d), f.folder(d)+".before"
 	var err error
@@ -173,7 +176,7 @@
 	}
 	delete(f.folderFaults, d)
 	if err != nil && !os.IsNotExist(err) {
-		f.r.failure = fmt.Errorf("folder: %w", err)
+		f.r.failure = fmt.Errorf("state folder: %w", err)
 		return
 	}
 	if _, err := os.Stat(dir); err == nil {
@@ -181,12 +184,12 @@
 			err = os.CopyFS(backup, os.DirFS(dir))
 		}
 		if err != nil {
-			f.r.failure = fmt.Errorf("folder: %w", err)
+			f.r.failure = fmt.Errorf("state folder: %w", err)
 		}
 	}
 }
 
-// flip turns one bit round in each file of a folder.
+// flipBits inverts one bit in each file of a folder.
 func (f *fleetRun) flipBits(d int) error {
 	return filepath.WalkDir(f.folder(d), func(path string, x fs.DirEntry, err error) error {
 		if err != nil || x.IsDir() {
@@ -201,7 +204,8 @@
 	})
 }
 
-// way gives one direction between two members a manner: what one opens, and what it answers to what the other opens.
+// setDirection sets the fault of one direction between two members: the connections that the sender opens,
+// and its answers on those that the other opens.
 func (f *fleetRun) setDirection(from, to int, m linkFault) {
 	if l := f.relays[[2]int{from, to}]; l != nil {
 		l.setFault(true, m)
@@ -211,7 +215,7 @@
 	}
 }
 
-// Trouble is one of links, folders or operators.
+// SetFleetFault starts or ends a fault of links, folders or operators.
 func (r *run) SetFleetFault(x *fleetmodel.Fault, hit []int, on bool) {
 	f := r.fleet
 	if f == nil {
@@ -233,7 +237,7 @@
 		}
 	case "folder_gone":
 		for _, d := range hit {
-			_ = os.Rename(f.folder(d), f.folder(d)+".gone") // there may be none yet
+			_ = os.Rename(f.folder(d), f.folder(d)+".gone") // fails if the folder does not exist yet, which is fine
 		}
 		f.undoFault[x] = func() {
 			for _, d := range hit {
@@ -247,7 +251,8 @@
 		setFileSizeLimit := func(n uint64) {
 			for _, d := range hit {
 				if h := r.dispatchers[d]; h.running {
-					_ = unix.Prlimit(h.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: n, Max: unix.RLIM_INFINITY}, nil) // it may have ended
+					// fails if the process has ended, which is fine
+					_ = unix.Prlimit(h.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: n, Max: unix.RLIM_INFINITY}, nil)
 				}
 			}
 		}
@@ -263,7 +268,8 @@
 	}
 }
 
-// links gives all links of those hit with the rest a manner; one-way only what they say themselves.
+// setLinks sets the fault of all links between the given members and the rest. A one-way fault affects only
+// what the given members send.
 func (f *fleetRun) setLinks(hit []int, m linkFault) {
 	for _, a := range hit {
 		for b := range f.r.dispatchers {
@@ -278,8 +284,9 @@
 	}
 }
 
-// publish has the operator publish a version by a member that was hit; without an answer again, by others, under the same
-// request. Twice: two operators at once, by two members.
+// publish lets the operator publish a version through one of the given members. Without an answer the
+// operator tries other members with the same request ID. For publish_twice, two operators publish at once
+// through two members.
 func (f *fleetRun) publish(x *fleetmodel.Fault, hit []int) {
 	operators := 1
 	if x.Type == "publish_twice" {
@@ -302,7 +309,7 @@
 	}
 }
 
-// tell publishes once; true: it was answered.
+// publishOnce sends one publish request and returns whether it was answered.
 func (f *fleetRun) publishOnce(request string, at int, fence bool) bool {
 	call := invariants.OperatorCall{Start: f.r.now(), Request: request}
 	a, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.PublishVersion, RequestID: request, RequestedBy: "lab", IssuedAt: float64(time.Now().UnixMilli()),
@@ -320,7 +327,7 @@
 	return call.Answered
 }
 
-// status asks one member how the fleet stands.
+// status requests the fleet's status from one member.
 func (f *fleetRun) status(at int, withAudit bool) (fleetrpc.AdminReply, bool) {
 	call := invariants.OperatorCall{Start: f.r.now()}
 	a, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Audit: withAudit}, statusTimeout)
@@ -341,10 +348,10 @@
 	return a, true
 }
 
-// look is an operator who watches, by one member after another.
+// watchStatus is an operator who requests the status repeatedly.
 func (f *fleetRun) watchStatus() {
 	for at := 0; f.sleep(statusInterval); {
-		if _, ok := f.status(at, false); !ok { // the next one, until one answers
+		if _, ok := f.status(at, false); !ok { // continues with the next member until one answers
 			at = (at + 1) % len(f.addrs)
 		}
 	}
@@ -359,8 +366,8 @@
 	}
 }
 
-// heal is what comes after the last fault: what was published without an answer is asked for once more, voters that lost
-// their folders are seated anew, and all members have to be current in time.
+// awaitRecovery runs after the last fault. It repeats the publish requests without an answer and adds voters
+// that lost their folders again. All members must become current in time.
 func (f *fleetRun) awaitRecovery() {
 	defer close(f.settled)
 	startedAt := f.r.now()
@@ -405,12 +412,13 @@
 	f.checker.NotRecovered(f.r.now(), fmt.Sprintf("%.0f ms after the last fault:%s", f.r.now()-startedAt, reason))
 }
 
-// seat gives a voter that lost its folder a new seat.
+// addVoter adds a voter that lost its folder again, under a new raft ID.
 func (f *fleetRun) addVoter(name string) {
-	_, _ = f.client.Admin(f.addrs[0], fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.AddVoter, Member: name, RequestID: "seat " + name, RequestedBy: "lab"}}, adminTimeout) // asked again if it fails
+	// awaitRecovery repeats it if it fails
+	_, _ = f.client.Admin(f.addrs[0], fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.AddVoter, Member: name, RequestID: "seat " + name, RequestedBy: "lab"}}, adminTimeout)
 }
 
-// saw notes a hand-off that came to a worker, on the world's goroutine.
+// recordHandOff records a hand-off that reached a worker. The event loop calls it.
 func (f *fleetRun) recordHandOff(d *endpoint, id, release string, receivedAt float64) {
 	_, resumed := f.r.model.DispatcherPaused(d.dispatcher.index)
 	f.mu.Lock()
@@ -418,11 +426,11 @@
 	f.checker.HandOffs = append(f.checker.HandOffs, invariants.ObservedHandOff{At: receivedAt, Dispatcher: d.dispatcher.index, ID: id, Worker: d.worker, Release: release, SenderResumed: resumed})
 }
 
-// judge asks for the last audit and judges the day. The members go on meanwhile.
+// check requests the final audit and checks the run. The members continue to run meanwhile.
 func (f *fleetRun) check() *invariants.FleetChecker {
 	var audit *fleet.Audit
 	<-f.settled
-	time.Sleep(2 * time.Duration(f.config.HeartbeatInterval*1e6)) // the last acts come with the next beats
+	time.Sleep(2 * time.Duration(f.config.HeartbeatInterval*1e6)) // the last actions arrive with the next heartbeats
 	for k := range 3 * len(f.addrs) {
 		if a, ok := f.status(k%len(f.addrs), true); ok && a.Audit != nil {
 			audit = a.Audit
--- a/internal/realtime/link_relay.go
+++ b/internal/realtime/link_relay.go
@@ -1,6 +1,6 @@
-// This file owns the relays that stand between each two processes of a fleet: each carries what one of them opens to the
-// other, byte for byte, until it is told to lose, hold or slow down what goes one way. It must never change a byte or
-// the order of any.
+// This file contains the relays between each two processes of a fleet. A relay carries the connections that
+// one process opens to the other, byte for byte, until a link fault makes it drop, hold or delay one
+// direction. It must never change a byte or the order of bytes.
 
 package realtime
 
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// manner is how a relay treats one direction.
+// linkFault is the fault of one direction of a relay.
 type linkFault struct {
-	kind  string        // empty: it passes; else the fault's name without link_
-	delay time.Duration // of late
+	kind  string        // the fault's type without the prefix link_; empty: no fault
+	delay time.Duration // of kind late
 }
 
-// relay is one way to a member's address, for one other member.
+// relay carries the connections of one member to the address of another.
 type relay struct {
 	listener    net.Listener
 	target      string
 	mu          sync.Mutex
-	changed     chan struct{} // closed when a manner changes
-	forward     linkFault     // from the one that opens
+	changed     chan struct{} // closed when a fault changes
+	forward     linkFault     // from the process that opens the connection
 	backward    linkFault
 	conns       map[*net.TCPConn]bool
-	bytesPassed int64 // bytes passed
+	bytesPassed int64
 }
 
 func newRelay(target string) (*relay, error) {
@@ -35,13 +35,13 @@
 		return nil, fmt.Errorf("relay: %w", err)
 	}
 	r := &relay{listener: l, target: target, changed: make(chan struct{}), conns: map[*net.TCPConn]bool{}}
-	go r.serve() // ends with the listener
+	go r.serve() // returns when the listener is closed
 	return r, nil
 }
 
 func (r *relay) addr() string { return r.listener.Addr().String() }
 
-// set gives one direction another manner.
+// setFault replaces the fault of one direction.
 func (r *relay) setFault(forward bool, m linkFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,7 +103,7 @@
 		}
 		m, _ := r.currentFault(true)
 		from := r.track(c)
-		if m.kind == "cut" || m.kind == "reset" { // nobody is there
+		if m.kind == "cut" || m.kind == "reset" { // the connection fails as if the target were down
 			_ = from.SetLinger(0)
 			r.untrack(from)
 			continue
@@ -127,13 +127,14 @@
 	<-done
 }
 
-// piece is what was read at once.
+// chunk is the data of one read.
 type chunk struct {
 	readAt time.Time
 	data   []byte
 }
 
-// copy carries one direction: bytes keep their order, and those that are lost leave the connection half open.
+// copyDirection carries one direction. Bytes keep their order; if bytes are dropped, the connection stays
+// open.
 func (r *relay) copyDirection(from, to *net.TCPConn, forward bool) {
 	chunks := make(chan chunk, 1024)
 	go func() {
@@ -151,7 +152,7 @@
 	}()
 	defer func() {
 		go func() {
-			for range chunks { // let the reader end
+			for range chunks { // lets the reading goroutine end
 			}
 		}()
 	}()
@@ -162,7 +163,7 @@
 	}
 }
 
-// pass writes a piece as the manner of the moment says; false: the connection has ended.
+// deliver writes a chunk as the current fault demands. It returns false if the connection has ended.
 func (r *relay) deliver(p chunk, to *net.TCPConn, forward bool) bool {
 	for {
 		m, changed := r.currentFault(forward)
@@ -170,7 +171,7 @@
 		case "cut", "reset":
 			_ = to.SetLinger(0)
 			return false
-		case "oneway", "half": // swallowed: neither side is told
+		case "oneway", "half": // dropped; neither side is notified
 			return true
 		case "held":
 			select {
@@ -180,7 +181,7 @@
 			}
 			continue
 		case "late":
-			select { // a change of manner lets it go at once
+			select { // a change of the fault releases the chunk at once
 			case <-changed:
 			case <-time.After(time.Until(p.readAt.Add(m.delay))):
 			}
--- a/internal/realtime/realtime.go
+++ b/internal/realtime/realtime.go
@@ -1,9 +1,9 @@
-// Package sockets plays a world in real time against the built program: one process for each dispatcher, stand-ins for
-// discovery, workers, clients and the paths between siblings on loopback. The world is the same as in virtual time and
-// owns all that happens; this package carries messages. It must never decide anything, nor speak to an address that is
-// not loopback.
+// Package realtime runs an experiment in real time against the built program: one process per dispatcher, and
+// stubs for discovery, the workers, the clients and the network between peers on loopback. The fleet model is
+// the same as in virtual time and determines everything that happens; this package only carries messages. It
+// must never make a decision of its own, nor contact an address that is not loopback.
 //
-// This file owns the clock and the dispatchers' processes.
+// This file contains the event loop, which follows the wall clock, and the dispatchers' processes.
 package realtime
 
 import (
@@ -32,55 +32,56 @@
 	"weldmast/internal/invariants"
 )
 
-// Options say what is played.
+// Options are the settings of a run.
 type Options struct {
-	Program        string // bin/weldmast
-	VoterProgram   string // bin/weldmast-voter, of a fleet's voters
+	Program        string // path of bin/weldmast
+	VoterProgram   string // path of bin/weldmast-voter, for the voters of a fleet
 	OperatorFile   string // the operator's file for each dispatcher; empty: none
-	LogDir         string // folder for the dispatchers' logs; empty: they are dropped
-	MemoryMB       int    // limits, as the configuration has them
+	LogDir         string // directory for the dispatchers' logs; empty: logs are discarded
+	MemoryMB       int    // limits in each dispatcher's configuration
 	Descriptors    int
 	Cores          float64
-	MaxLatenessP99 float64 // ms; a day on which the lab itself was later than this is void
+	MaxLatenessP99 float64 // ms; a run in which the event loop itself was later than this is void
 	MaxLateness    float64
 	Progress       func(part float64)
-	// Watch, if not nil, is called about ten times a second on the world's goroutine.
+	// Watch, if not nil, is called about ten times a second by the event loop.
 	Watch func(w *fleetmodel.Model)
-	// Inject brings in what to do on the world's goroutine, from anywhere; nil: nothing comes.
+	// Inject delivers functions that the event loop is to execute, sent from any goroutine. It may be nil.
 	Inject <-chan func(w *fleetmodel.Model)
-	// Endless: the day goes on until the context ends.
+	// Endless lets the run continue until the context ends.
 	Endless bool
-	// Gentle: at the end the dispatchers are told to stop and given some seconds, as for what they write then.
+	// GracefulStop sends SIGTERM to the dispatchers at the end and gives them up to 5 s, for what they write
+	// on exit.
 	GracefulStop bool
 }
 
-// Usage is what one dispatcher's processes used.
+// Usage is the resource usage of all processes of one dispatcher.
 type Usage struct {
-	CPUSeconds  float64 // seconds
+	CPUSeconds  float64
 	Uptime      float64
-	MemoryMB    float64 // most resident at once
-	IdleMB      float64 // resident as it became ready
-	Descriptors int     // most open at once
+	MemoryMB    float64 // highest resident memory
+	IdleMB      float64 // resident memory when the process became ready
+	Descriptors int     // highest number of open descriptors
 }
 
-// Played is a day.
+// Result is the outcome of a run.
 type Result struct {
 	Model        *fleetmodel.Model
-	ArrivalStart float64 // when clients came, on the world's clock
-	Complete     bool    // it was not ended before its time
+	ArrivalStart float64 // first arrivals, in ms of the model's time
+	Complete     bool    // the run reached its end
 	Usage        []Usage
 	Pauses       []Pause
-	Fleet        *invariants.FleetChecker // judged; nil: the dispatchers are of none
-	Lateness     *hdrhistogram.Histogram  // microseconds
-	Void         string                   // why the lab spoilt the day; empty: it did not
+	Fleet        *invariants.FleetChecker // nil: the dispatchers form no fleet
+	Lateness     *hdrhistogram.Histogram  // of the event loop, in microseconds
+	Void         string                   // why the lab itself invalidated the run; empty: it is valid
 }
 
 const (
-	arrivalDelay = 1500             // ms: clients come then; by then all dispatchers must be ready
-	readyTimeout = 15 * time.Second // a process that is not ready by then never will be
+	arrivalDelay = 1500             // ms until clients arrive; all dispatchers must be ready by then
+	readyTimeout = 15 * time.Second // a process that is not ready by then is given up
 )
 
-// rig is one day under way.
+// run is the state of one run.
 type run struct {
 	options          Options
 	experiment       *fleetmodel.Experiment
@@ -97,37 +98,39 @@
 	httpClient       *http.Client
 	workerServer     *fasthttp.Server
 	callbackClient   *fasthttp.Client
-	endpoints        sync.Map // port of a listener to its door
+	endpoints        sync.Map // endpoint by the port on which it listens
 	failure          error
-	fleet            *fleetRun // nil: the dispatchers are of none
+	fleet            *fleetRun // nil: the dispatchers form no fleet
 	discoverySilent  atomic.Bool
-	outOfDescriptors atomic.Bool // the lab has no descriptor left
+	outOfDescriptors atomic.Bool // this process has reached its descriptor limit
 }
 
-// host is one dispatcher's place: its addresses stay, its processes come and go.
+// dispatcher is one dispatcher of the run. Its addresses stay the same; its processes are replaced.
 type dispatcher struct {
 	index           int
 	listen          string
 	discoveryServer *http.Server
 	discoveryAddr   string
 	peerAddr        *net.UDPAddr
-	peerRelays      []*net.UDPConn // by sibling: where this dispatcher finds it; its own: to all
-	cmd             *exec.Cmd
-	paused          *exec.Cmd   // that was stopped
-	processes       []*exec.Cmd // those before it as well
-	running         bool
-	startedAt       time.Time
-	usage           Usage
-	watches         map[int]chan []byte
-	lastWatch       int
-	endpoints       map[string]*endpoint // by worker
-	cancelRequest   map[string]context.CancelFunc
-	configPath      string
-	startCount      int
-	callbackQueues  map[string]chan fleetmodel.Callback // by worker
+	// by peer: the address at which this dispatcher finds it; at its own index: the address for all
+	peerRelays     []*net.UDPConn
+	cmd            *exec.Cmd
+	paused         *exec.Cmd   // the process that SetPaused has stopped
+	processes      []*exec.Cmd // all processes so far, the current one included
+	running        bool
+	startedAt      time.Time
+	usage          Usage
+	watches        map[int]chan []byte
+	lastWatch      int
+	endpoints      map[string]*endpoint // by worker
+	cancelRequest  map[string]context.CancelFunc
+	configPath     string
+	startCount     int
+	callbackQueues map[string]chan fleetmodel.Callback // by worker
 }
 
-// Play plays an experiment.
+// Run runs an experiment. It returns an error if the lab itself fails, for example if a process cannot be
+// started.
 func Run(ctx context.Context, x *fleetmodel.Experiment, seed uint64, o Options) (p *Result, err error) {
 	if o.MemoryMB == 0 {
 		o.MemoryMB = 192
@@ -143,7 +146,7 @@
 	}
 	dir, err := os.MkdirTemp("", "weldlab")
 	if err != nil {
-		return nil, fmt.Errorf("lab: %w", err)
+		return nil, fmt.Errorf("run directory: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	r := &run{options: o, experiment: x, model: fleetmodel.New(x, seed), dir: dir, startTime: time.Now(), tasks: make(chan func(), 65536),
@@ -202,13 +205,14 @@
 	return p, nil
 }
 
-// now is the world's clock: milliseconds since the beginning.
+// now returns the model's time: milliseconds since the start of the run.
 func (r *run) now() float64 { return float64(time.Since(r.startTime)) / 1e6 }
 
-// unix is a time of the world as Unix time.
+// unixMillis converts a time of the model to Unix time in milliseconds.
 func (r *run) unixMillis(at float64) float64 { return float64(r.startTime.UnixMicro())/1000 + at }
 
-// do has something done on the world's goroutine, at the world's time of now.
+// enqueue passes a function to the event loop, which executes it at the current time. It is dropped once the
+// run has ended.
 func (r *run) enqueue(f func()) {
 	select {
 	case r.tasks <- f:
@@ -216,7 +220,7 @@
 	}
 }
 
-// loop is the world's goroutine. It tells whether the day came to its end.
+// eventLoop is the only goroutine that uses the model. It returns whether the run reached its end.
 func (r *run) eventLoop(ctx context.Context, arrivalStart float64) bool {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -224,14 +228,14 @@
 	sampledAt, readyChecked := 0., false
 	for !r.model.Done() || r.options.Endless {
 		if r.outOfDescriptors.Load() && r.failure == nil {
-			r.failure = errors.New("the lab's own descriptors ran out: fewer workers, dispatchers or waiting clients, or a higher limit (ulimit -n)")
+			r.failure = errors.New("weldlab's own descriptors ran out: use fewer workers, dispatchers or waiting clients, or raise the limit (ulimit -n)")
 		}
 		if r.failure != nil {
 			return false
 		}
 		if !readyChecked && r.model.Now() >= arrivalStart {
 			if readyChecked = true; !r.model.AllDispatchersReady() {
-				r.failure = fmt.Errorf("the dispatchers are not ready after %.0f ms; --logs DIR keeps what they say", r.now())
+				r.failure = fmt.Errorf("dispatchers not ready after %.0f ms; --logs DIR keeps their logs", r.now())
 				return false
 			}
 		}
@@ -275,11 +279,12 @@
 	return true
 }
 
-// advance does what is due, and notes by how much the lab was late for it.
+// advance executes all events that are due and records how late they are.
 func (r *run) advance(to float64) {
 	for r.model.Next() <= to {
 		if late := r.now() - r.model.Next(); late < 60e3 {
-			_ = r.lateness.RecordValue(int64(math.Round(max(late*1000, 1)))) // within the histogram's range
+			// the value lies within the histogram's range
+			_ = r.lateness.RecordValue(int64(math.Round(max(late*1000, 1))))
 		}
 		r.model.Step()
 	}
@@ -287,7 +292,7 @@
 	r.discoverySilent.Store(r.model.DiscoverySilent())
 }
 
-// look notes what the processes use.
+// sampleUsage records the memory and the descriptors that the processes use.
 func (r *run) sampleUsage() {
 	for _, h := range r.dispatchers {
 		if h.cmd == nil || !h.running {
@@ -295,7 +300,7 @@
 		}
 		p, err := procfs.NewProc(h.cmd.Process.Pid)
 		if err != nil {
-			continue // it has just ended
+			continue // the process has just ended
 		}
 		if n, err := p.FileDescriptorsLen(); err == nil {
 			h.usage.Descriptors = max(h.usage.Descriptors, n)
@@ -306,7 +311,7 @@
 	}
 }
 
-// collect adds up what a living process has used.
+// addRunningUsage adds the CPU time and the uptime of a process that still runs.
 func (r *run) addRunningUsage(h *dispatcher) {
 	if h.cmd == nil || !h.running {
 		return
@@ -319,19 +324,20 @@
 	h.usage.Uptime += time.Since(h.startedAt).Seconds()
 }
 
-// Addresses that are closed and opened again are not on 127.0.0.1: its ports go to whoever connects meanwhile.
+// Addresses that are closed and opened again are not on 127.0.0.1: the kernel assigns ports of 127.0.0.1 to
+// outgoing connections in the meantime.
 const (
 	dispatcherListenAddr = "127.0.1.1:0"
 	workerListenAddr     = "127.0.2.1:0"
 )
 
-// freeAddr is an address for a dispatcher that nobody listens at.
+// freeDispatcherAddr returns an address for a dispatcher on which nothing listens.
 func freeDispatcherAddr() (string, error) { return freeAddrAt(dispatcherListenAddr) }
 
 func freeAddrAt(at string) (string, error) {
 	l, err := net.Listen("tcp4", at)
 	if err != nil {
-		return "", fmt.Errorf("lab: %w", err)
+		return "", fmt.Errorf("free address: %w", err)
 	}
 	defer l.Close()
 	return l.Addr().String(), nil
@@ -350,7 +356,7 @@
 	}
 	h.discoveryAddr = l.Addr().String()
 	h.discoveryServer = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { r.serveDiscovery(h, w, q) })}
-	r.goroutines.Go(func() { _ = h.discoveryServer.Serve(l) }) // ends when it is closed
+	r.goroutines.Go(func() { _ = h.discoveryServer.Serve(l) }) // returns when the server is closed
 	if r.experiment.Dispatchers.PeerMessages && r.experiment.Dispatchers.Count > 1 {
 		if err := r.openPeerRelays(h); err != nil {
 			return nil, err
@@ -359,18 +365,19 @@
 	return h, nil
 }
 
-// newRelays opens the addresses at which a dispatcher finds its siblings.
+// openPeerRelays opens the addresses at which a dispatcher finds its peers.
 func (r *run) openPeerRelays(h *dispatcher) error {
-	mine, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 1, 1)}) // not among the ports that others draw from
+	// not 127.0.0.1, whose ports are assigned to other sockets
+	mine, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 1, 1)})
 	if err != nil {
-		return fmt.Errorf("siblings: %w", err)
+		return fmt.Errorf("peer relay: %w", err)
 	}
 	h.peerAddr = mine.LocalAddr().(*net.UDPAddr)
-	mine.Close() // free for the dispatcher
+	mine.Close() // the dispatcher binds it
 	for to := range r.experiment.Dispatchers.Count {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
-			return fmt.Errorf("siblings: %w", err)
+			return fmt.Errorf("peer relay: %w", err)
 		}
 		h.peerRelays = append(h.peerRelays, c)
 		if to == h.index {
@@ -391,7 +398,7 @@
 	return nil
 }
 
-// configure writes a dispatcher's configuration.
+// writeConfig writes a dispatcher's configuration file.
 func (r *run) writeConfig(h *dispatcher, seed uint64, known []fleetmodel.WorkerEntry) error {
 	c := map[string]any{"name": "n" + strconv.Itoa(h.index), "listen": h.listen, "discovery": h.discoveryAddr,
 		"seed": fmt.Sprintf("%016x", seed), "settings": r.experiment.Settings(h.index),
@@ -417,7 +424,7 @@
 	return nil
 }
 
-// Start runs a dispatcher's process.
+// StartDispatcher starts a dispatcher's process and reports to the model when it is ready.
 func (r *run) StartDispatcher(d int, known []fleetmodel.WorkerEntry) {
 	h := r.dispatchers[d]
 	if h.startCount++; r.fleet != nil {
@@ -446,8 +453,9 @@
 	})
 }
 
-// launch runs one more process of a dispatcher; nil: the lab failed. Only where processes take each other's place do they
-// have an address for operators and a folder to meet in.
+// startProcess starts another process of a dispatcher. It returns nil if the lab failed. Only in experiments
+// with upgrades do the processes get an address for operators and a shared temporary directory, in which the
+// old and the new process find each other.
 func (r *run) startProcess(h *dispatcher) (cmd *exec.Cmd, ops string) {
 	program, file := r.options.Program, r.options.OperatorFile
 	if r.fleet != nil {
@@ -467,7 +475,7 @@
 		}
 		cmd.Env = append(cmd.Env, "ROUTER_OPS="+ops, "TMPDIR="+temp)
 	}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the lab
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the kernel kills it when this process ends
 	if r.options.LogDir != "" {
 		f, err := os.OpenFile(filepath.Join(r.options.LogDir, fmt.Sprintf("n%d.log", h.index)), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 		if err != nil {
@@ -482,14 +490,14 @@
 		return nil, ""
 	}
 	r.goroutines.Go(func() {
-		_ = cmd.Wait() // how it ended shows in its state
+		_ = cmd.Wait() // processExited reads how it ended from its state
 		r.enqueue(func() { r.processExited(h, cmd) })
 	})
 	h.processes = append(h.processes, cmd)
 	return cmd, ops
 }
 
-// whenReady has something done on the world's goroutine once a process says that it is ready.
+// onceReady executes a function in the event loop once a process answers that it is ready.
 func (r *run) onceReady(url string, then func()) {
 	for startedAt := time.Now(); time.Since(startedAt) < readyTimeout && r.ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 		resp, err := r.httpClient.Get(url)
@@ -504,8 +512,8 @@
 	}
 }
 
-// Upgrade starts a process beside the one that serves. Once it is ready the older one is told to stop, and is killed
-// when the time that it has is over.
+// UpgradeDispatcher starts a process beside the running one. Once it is ready, the predecessor gets SIGTERM,
+// and SIGKILL after stopTimeout.
 func (r *run) UpgradeDispatcher(d int) {
 	h := r.dispatchers[d]
 	if !h.running {
@@ -523,14 +531,16 @@
 			predecessor := h.cmd
 			h.cmd = cmd
 			_ = predecessor.Process.Signal(syscall.SIGTERM)
-			time.AfterFunc(stopTimeout, func() { _ = predecessor.Process.Kill() }) // one that has ended needs none
+			// fails if it has ended, which is fine
+			time.AfterFunc(stopTimeout, func() { _ = predecessor.Process.Kill() })
 		})
 	})
 }
 
-const stopTimeout = 3700 * time.Millisecond // after SIGTERM: the longest deadline, 3 s at most, and a grace
+const stopTimeout = 3700 * time.Millisecond // after SIGTERM: the longest deadline, at most 3 s, and a margin
 
-// Flood opens connections that never say a whole request: half of them say nothing, half the beginning of one.
+// FloodConnections opens connections that never send a complete request: half of them send nothing, half send
+// the beginning of a request.
 func (r *run) FloodConnections(d int, rate, span float64) {
 	h := r.dispatchers[d]
 	for k := range int(rate * span / 1000) {
@@ -542,7 +552,7 @@
 			}
 			defer c.Close()
 			if k%2 == 0 {
-				_, _ = c.Write([]byte("POST /flood HTTP/1.1\r\nHost: x\r\n")) // the dispatcher may have closed it
+				_, _ = c.Write([]byte("POST /flood HTTP/1.1\r\nHost: x\r\n")) // fails if the dispatcher has closed it
 			}
 			_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
 			_, _ = c.Read(make([]byte, 1))
@@ -550,7 +560,7 @@
 	}
 }
 
-// exited notes the end of a process, whether or not it was killed.
+// processExited records the end of a process, whether it was killed or not.
 func (r *run) processExited(h *dispatcher, cmd *exec.Cmd) {
 	if s := cmd.ProcessState; s != nil {
 		h.usage.CPUSeconds += (s.UserTime() + s.SystemTime()).Seconds()
@@ -564,28 +574,28 @@
 	}
 }
 
-// Kill ends a process at once.
+// KillDispatcher kills a dispatcher's processes.
 func (r *run) KillDispatcher(d int) {
 	if h := r.dispatchers[d]; h.running {
 		h.kill()
 	}
 }
 
-// kill ends all processes of a dispatcher.
+// kill kills all processes of a dispatcher.
 func (h *dispatcher) kill() {
 	h.running = false
 	for _, c := range h.processes {
-		_ = c.Process.Kill() // one that has ended needs none
+		_ = c.Process.Kill() // fails if it has ended, which is fine
 	}
 }
 
-// Stop and Reload send their signals.
+// StopDispatcher sends SIGTERM.
 func (r *run) StopDispatcher(d int) { r.signal(d, syscall.SIGTERM) }
 
-// Reload as Stop.
+// ReloadDispatcher sends SIGHUP.
 func (r *run) ReloadDispatcher(d int) { r.signal(d, syscall.SIGHUP) }
 
-// Freeze stops a process or has it go on.
+// SetPaused stops a dispatcher's process with SIGSTOP or resumes it with SIGCONT.
 func (r *run) SetPaused(d int, on bool) {
 	if r.fleet != nil {
 		r.fleet.recordPause(d, on)
@@ -594,8 +604,8 @@
 	switch {
 	case on && h.running:
 		h.paused = h.cmd
-		_ = h.paused.Process.Signal(syscall.SIGSTOP) // one that has just ended needs none
-	case !on && h.paused != nil: // the same one, whoever serves by now
+		_ = h.paused.Process.Signal(syscall.SIGSTOP) // fails if it has just ended, which is fine
+	case !on && h.paused != nil: // the process that was stopped, even if another one serves by now
 		_ = h.paused.Process.Signal(syscall.SIGCONT)
 		h.paused = nil
 	}
@@ -603,11 +613,11 @@
 
 func (r *run) signal(d int, s syscall.Signal) {
 	if h := r.dispatchers[d]; h.running {
-		_ = h.cmd.Process.Signal(s) // one that has just ended needs none
+		_ = h.cmd.Process.Signal(s) // fails if it has just ended, which is fine
 	}
 }
 
-// close ends whatever was started.
+// close ends all processes, servers and goroutines of the run.
 func (r *run) close() {
 	if r.options.GracefulStop {
 		r.stopGracefully()
@@ -640,7 +650,7 @@
 	}()
 	for {
 		select {
-		case <-r.tasks: // let go of those that still hand something in
+		case <-r.tasks: // unblocks goroutines that still enqueue functions
 		case <-done:
 			r.httpClient.CloseIdleConnections()
 			return
@@ -648,7 +658,7 @@
 	}
 }
 
-// gentle waits for the dispatchers to end by themselves.
+// stopGracefully sends SIGTERM to the dispatchers and waits until they have ended, 5 s at most.
 func (r *run) stopGracefully() {
 	for _, h := range r.dispatchers {
 		if h.running {
@@ -673,14 +683,15 @@
 	}
 }
 
-// ranOut ends the day when the lab's own descriptors have run out: what breaks then is no dispatcher's fault.
+// noteDescriptorError ends the run if this process has reached its descriptor limit: the failures that follow
+// are not the dispatchers'.
 func (r *run) noteDescriptorError(err error) {
 	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		r.outOfDescriptors.Store(true)
 	}
 }
 
-// quiet drops what the stand-ins' server would log: broken connections are part of the day.
+// discardLogger discards the log of the stub workers' server: broken connections are part of a run.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
--- a/internal/realtime/stubs.go
+++ b/internal/realtime/stubs.go
@@ -1,4 +1,5 @@
-// This file owns the stand-ins: workers that take hand-offs and call back, discovery's agent, and clients.
+// This file contains the stubs: workers that accept hand-offs and send callbacks, discovery's agent, and
+// clients.
 
 package realtime
 
@@ -24,13 +25,13 @@
 	"weldmast/internal/fleetmodel"
 )
 
-// standIn is one worker: an address for each dispatcher, so that it is known who sends.
+// stubWorker is one worker. It has an address for each dispatcher, so that the sender of a hand-off is known.
 type stubWorker struct {
 	id        string
 	endpoints []*endpoint
 }
 
-// door is where one dispatcher finds one worker.
+// endpoint is the address of one worker for one dispatcher.
 type endpoint struct {
 	dispatcher *dispatcher
 	worker     string
@@ -38,12 +39,12 @@
 	port       int
 	mu         sync.Mutex
 	listener   net.Listener
-	reservedFD int // the descriptor that keeps the port while nothing listens there; 0: none
+	reservedFD int // socket that reserves the port while nothing listens on it; 0: none
 	conns      map[net.Conn]bool
-	handOffs   map[string]*fleetmodel.HandOff // the last of each id; the world's goroutine's
+	handOffs   map[string]*fleetmodel.HandOff // the latest of each ID; used by the event loop only
 }
 
-// Accept keeps account of connections, so that a worker's death can reset them.
+// trackingListener records the connections it accepts, so that they can be reset when the worker dies.
 type trackingListener struct {
 	net.Listener
 	endpoint *endpoint
@@ -92,7 +93,7 @@
 func (r *run) openEndpoint(d *endpoint, at string) error {
 	l, err := net.Listen("tcp4", at)
 	if err != nil {
-		return fmt.Errorf("worker: %w", err)
+		return fmt.Errorf("stub worker: %w", err)
 	}
 	a := l.Addr().(*net.TCPAddr)
 	d.addr, d.port = a.String(), a.Port
@@ -101,16 +102,18 @@
 	d.releasePort()
 	d.mu.Unlock()
 	r.endpoints.Store(d.port, d)
-	r.goroutines.Go(func() { _ = r.workerServer.Serve(trackingListener{l, d, r}) }) // ends when it is closed
+	// returns when the listener is closed
+	r.goroutines.Go(func() { _ = r.workerServer.Serve(trackingListener{l, d, r}) })
 	return nil
 }
 
-// reserve keeps the port of a worker that is down: bound and not listening, so that connections are refused, and that nobody
-// who asks for any port gets it meanwhile. Without it the worker could not come back.
+// reservePort keeps the port of a worker that is down. The port is bound but nothing listens on it, so that
+// connections are refused and the kernel assigns it to no other socket. Without it the worker might not get
+// its port back.
 func (d *endpoint) reservePort() {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return // listening there again will tell
+		return // openEndpoint reports it if the port is lost
 	}
 	at := net.TCPAddrFromAddrPort(netip.MustParseAddrPort(d.addr))
 	if syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1) != nil ||
@@ -128,7 +131,7 @@
 	}
 }
 
-// close refuses connections and resets those that are there.
+// close refuses new connections and resets the open ones.
 func (s *stubWorker) close() {
 	for _, d := range s.endpoints {
 		d.mu.Lock()
@@ -149,10 +152,10 @@
 	}
 }
 
-// Up and Down are a worker's process: with it its connections end, and new ones are refused.
+// WorkerStarted opens the addresses of a worker whose process starts.
 func (r *run) WorkerStarted(id string) {
 	s := r.workers[id]
-	if s == nil { // a replacement that was not there at the start
+	if s == nil { // a replacement that did not exist at the start of the run
 		if err := r.newWorker(fleetmodel.WorkerEntry{ID: id}); err != nil && r.failure == nil {
 			r.failure = err
 		}
@@ -170,14 +173,14 @@
 	}
 }
 
-// Down as Up.
+// WorkerStopped resets the connections of a worker whose process ends, and refuses new ones.
 func (r *run) WorkerStopped(id string) {
 	if s := r.workers[id]; s != nil {
 		s.close()
 	}
 }
 
-// handOff serves all workers: POST hands a job off, DELETE calls one off.
+// serveHandOff serves all workers: POST hands off a job, DELETE cancels one.
 func (r *run) serveHandOff(ctx *fasthttp.RequestCtx) {
 	found, ok := r.endpoints.Load(ctx.LocalAddr().(*net.TCPAddr).Port)
 	if !ok {
@@ -199,7 +202,7 @@
 	release, receivedAt := string(ctx.Request.Header.Peek("X-Release")), r.now()
 	r.enqueue(func() {
 		if previous := d.handOffs[id]; previous != nil {
-			r.model.CancelHandOff(previous) // its connection was closed, or it would not be sent again
+			r.model.CancelHandOff(previous) // its connection has ended, otherwise the ID would not be sent again
 		}
 		if r.fleet != nil {
 			r.fleet.recordHandOff(d, id, release, receivedAt)
@@ -228,15 +231,16 @@
 	}
 }
 
-// Ended answers a hand-off's request.
+// HandOffEnded answers a hand-off's request.
 func (r *run) HandOffEnded(_ int, h *fleetmodel.HandOff, how fleetmodel.HandOffResult) {
 	select {
 	case h.Tag.(chan fleetmodel.HandOffResult) <- how:
-	default: // it was answered
+	default: // it was answered before
 	}
 }
 
-// Callback is told in order by one goroutine for each worker and dispatcher, with further tries until it is taken.
+// Callback queues a callback. One goroutine for each worker and dispatcher sends them in order and retries
+// until the dispatcher accepts them, up to ten times.
 func (r *run) Callback(n int, c fleetmodel.Callback) bool {
 	h := r.dispatchers[n]
 	q := h.callbackQueues[c.From]
@@ -247,7 +251,7 @@
 	}
 	select {
 	case q <- c:
-	default: // a dispatcher that takes none: more would only wait
+	default: // the dispatcher accepts none, and the queue is full: the callback is dropped
 	}
 	return true
 }
@@ -260,7 +264,7 @@
 		case c := <-q:
 			body, err := json.Marshal(map[string]any{"id": c.ID, "from": c.From, "state": c.State, "share": c.Progress, "result": c.Result})
 			if err != nil {
-				panic(err) // of texts and a number
+				panic(err) // cannot happen: strings and a number
 			}
 			for range 10 {
 				if r.postCallback("http://"+h.listen+"/callback", body) {
@@ -290,7 +294,7 @@
 
 var phaseNames = map[dispatch.WorkerState]string{dispatch.Up: "in_service", dispatch.Draining: "terminating", dispatch.Gone: "terminated"}
 
-// list is a listing as discovery's agent writes it for one dispatcher.
+// discoveryListing returns an update in the form in which discovery's agent sends it to one dispatcher.
 func (r *run) discoveryListing(h *dispatcher, l fleetmodel.DiscoveryUpdate) map[string]any {
 	members := []any{}
 	for _, m := range l.Workers {
@@ -308,7 +312,7 @@
 	return map[string]any{"revision": l.Revision, "complete": l.Complete, "members": members}
 }
 
-// discovery serves one dispatcher's agent.
+// serveDiscovery is the discovery agent of one dispatcher.
 func (r *run) serveDiscovery(h *dispatcher, w http.ResponseWriter, q *http.Request) {
 	lines := make(chan []byte, 256)
 	after, err := strconv.ParseInt(q.FormValue("after"), 10, 64)
@@ -319,7 +323,7 @@
 	r.enqueue(func() {
 		h.lastWatch++
 		watch = h.lastWatch
-		for _, previous := range h.watches { // a newer watch takes the place of the one before, which says nothing more
+		for _, previous := range h.watches { // a new watch replaces the previous one, which ends
 			close(previous)
 		}
 		h.watches = map[int]chan []byte{watch: lines}
@@ -356,23 +360,23 @@
 	}
 }
 
-// List hands a line to the watch that it belongs to.
+// DiscoveryUpdated sends an update to the watch it belongs to.
 func (r *run) DiscoveryUpdated(d int, l fleetmodel.DiscoveryUpdate) {
 	h := r.dispatchers[d]
 	text, err := json.Marshal(r.discoveryListing(h, l))
 	if err != nil {
-		panic(err) // of texts and numbers
+		panic(err) // cannot happen: strings and numbers
 	}
 	if lines := h.watches[l.Watch]; lines != nil {
 		select {
 		case lines <- text:
-		default: // nobody reads; it will ask again
+		default: // nobody reads the watch: it ends, and the dispatcher opens a new one
 			r.WatchEnded(d, l.Watch)
 		}
 	}
 }
 
-// Broken ends a watch.
+// WatchEnded ends a watch.
 func (r *run) WatchEnded(d, watch int) {
 	h := r.dispatchers[d]
 	if lines := h.watches[watch]; lines != nil {
@@ -381,13 +385,13 @@
 	}
 }
 
-// Message brings a sibling's datagram from the address at which the dispatcher knows the sibling.
+// PeerMessage delivers a peer's datagram from the address at which the dispatcher knows that peer.
 func (r *run) PeerMessage(d, from int, data []byte) {
 	h := r.dispatchers[d]
-	_, _ = h.peerRelays[from].WriteToUDP(data, h.peerAddr) // lost, as datagrams may be
+	_, _ = h.peerRelays[from].WriteToUDP(data, h.peerAddr) // an error is a lost datagram
 }
 
-// Request is a client's; its answer comes back to the world.
+// RequestArrived sends a client's request and passes the answer to the model.
 func (r *run) RequestArrived(d int, t *fleetmodel.Request) {
 	h := r.dispatchers[d]
 	ctx, cancel := context.WithCancel(r.ctx)
@@ -402,7 +406,7 @@
 		defer cancel()
 		q, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s/%d", h.listen, r.experiment.Categories[j.Category].Name, j.Number), http.NoBody)
 		if err != nil {
-			panic(err) // our own address and names
+			panic(err) // cannot happen: the address and the names are valid
 		}
 		q.Header = http.Header{"X-Request-Id": {t.ID}, "X-Deadline": {strconv.FormatFloat(max(left, 0)/1000, 'f', 6, 64)}}
 		if j.Hint > 0 {
@@ -431,7 +435,7 @@
 			case a.StatusCode == http.StatusOK:
 				r.model.Answer(d, t.ID, fleetmodel.Served, string(body), 0)
 			case slices.Contains([]int{http.StatusTooManyRequests, http.StatusServiceUnavailable}, a.StatusCode):
-				retryAfter, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64) // none: no advice
+				retryAfter, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64) // 0 without the header
 				r.model.Answer(d, t.ID, fleetmodel.RetryLater, "", retryAfter*1000)
 			default:
 				r.model.Answer(d, t.ID, fleetmodel.OtherStatus, "", 0)
@@ -440,7 +444,7 @@
 	})
 }
 
-// Leave closes a client's connection.
+// ClientLeft closes a client's connection.
 func (r *run) ClientLeft(d int, t *fleetmodel.Request) {
 	if cancel := r.dispatchers[d].cancelRequest[t.ID]; cancel != nil {
 		cancel()
