--- a/internal/lab/ceiling.go
+++ b/internal/lab/ceiling.go
@@ -1,4 +1,5 @@
-// This file owns the search for the ceiling: how much one dispatcher's process carries before it adds too much of its own.
+// This file searches for the ceiling: the highest rate at which one dispatcher process adds no more latency
+// than allowed.
 
 package lab
 
@@ -14,29 +15,32 @@
 	"weldmast/internal/realtime"
 )
 
-// Step is one rate that was played.
+// Step is the result of one rate.
 type Step struct {
-	Rate        float64     `json:"rate"` // work items a second that were wanted
-	Completed   float64     `json:"done"` // that were finished in time
+	Rate        float64     `json:"rate"` // requested work items per second
+	Completed   float64     `json:"done"` // work items finished in time, per second
 	Service     float64     `json:"service"`
-	Added       Percentiles `json:"added"` // latency beyond the work itself
-	CPUPerItem  float64     `json:"cpu"`   // microseconds of CPU for each work item
-	CPUsUsed    float64     `json:"busy"`  // CPU seconds in a second
+	Added       Percentiles `json:"added"` // latency less the execution time
+	CPUPerItem  float64     `json:"cpu"`   // CPU time per work item in microseconds
+	CPUsUsed    float64     `json:"busy"`  // CPU seconds per second
 	MemoryMB    float64     `json:"memory_mb"`
 	IdleMB      float64     `json:"idle_mb"`
 	Descriptors int         `json:"descriptors"`
 	Void        string      `json:"void,omitempty"`
 }
 
-// Within tells whether the step kept the bound on what is added at p99, and served nearly all in time.
+// WithinBound reports whether the added latency at p99 is within the bound in ms, at least 99 % of the
+// credit was answered in time, and the run is valid.
 func (s *Step) WithinBound(bound float64) bool {
 	return s.Added.P99 <= bound && s.Service >= 0.99 && s.Void == ""
 }
 
-// tries of a rate, each of which the machine or the lab may spoil.
+// maxAttempts is the number of attempts per rate: a disturbance of the machine or of the lab can spoil one of
+// them.
 const maxAttempts = 3
 
-// Ceiling raises the open-loop rate by a factor until the added p99 passes the bound in milliseconds.
+// FindCeiling multiplies the open-loop rate by the factor until the added latency at p99 exceeds the bound in
+// milliseconds.
 func FindCeiling(ctx context.Context, path string, overrides []string, o realtime.Options, from, factor, bound float64, report func(Step)) ([]Step, error) {
 	var steps []Step
 	attempts := 0
@@ -64,17 +68,17 @@
 		report(s)
 		if s.WithinBound(bound) {
 			attempts, rate = 0, rate*factor
-		} else if attempts++; attempts == maxAttempts { // a machine's hiccup does not come three times
+		} else if attempts++; attempts == maxAttempts { // a random disturbance hardly occurs in all attempts
 			break
 		}
 	}
 	return steps, nil
 }
 
-// StepHead and Print write steps as lines.
+// StepHeader is the table header for the lines that Step.Print writes.
 const StepHeader = "   rate/s   done/s  service  added p50    p99 ms  CPU us/item  busy  memory MB  idle MB  descriptors"
 
-// Print writes the step.
+// Print writes the step as a line of the table.
 func (s *Step) Print(out io.Writer) {
 	void := ""
 	if s.Void != "" {
@@ -84,7 +88,8 @@
 		s.CPUPerItem, s.CPUsUsed, s.MemoryMB, s.IdleMB, s.Descriptors, void)
 }
 
-// TopCPU reads a CPU profile and writes the functions that most time was spent in, themselves and with all they called.
+// TopCPU reads a CPU profile and writes the functions with the most CPU time, both their own and including
+// the functions they call.
 func TopCPU(out io.Writer, path string, most int) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -114,7 +119,7 @@
 		}
 	}
 	if all == 0 {
-		return fmt.Errorf("profile %s: it is empty", path)
+		return fmt.Errorf("profile %s: it has no samples", path)
 	}
 	for _, by := range []struct {
 		title string
--- a/internal/lab/chaos.go
+++ b/internal/lab/chaos.go
@@ -1,5 +1,5 @@
-// This file owns storms: days with faults that are drawn by number, each judged, and a broken one cut down to the fewest
-// faults that still break it.
+// This file contains fault-injection runs in real time: runs with random faults by seed, each checked, and
+// the reduction of a failed run to the fewest faults with which it still fails.
 
 package lab
 
@@ -20,7 +20,7 @@
 	"weldmast/internal/realtime"
 )
 
-// Drawn is the experiment with the faults of a number in place of its storm.
+// WithSampledFaults returns a copy of the experiment that has the random faults of a seed added.
 func WithSampledFaults(x *fleetmodel.Experiment, seed uint64) *fleetmodel.Experiment {
 	y := *x
 	y.Faults = slices.Clone(x.Faults)
@@ -29,7 +29,7 @@
 		return &y
 	}
 	r := rand.New(rand.NewPCG(seed, 0x73746f726d))
-	damagedVoters := map[int]bool{} // voters whose promise is gone
+	damagedVoters := map[int]bool{} // voters that lose persisted state
 	for range s.Count/2 + r.IntN(s.Count-s.Count/2+1) {
 		f := fleetmodel.Fault{Type: s.Types[r.IntN(len(s.Types))]}
 		f.Defaults()
@@ -43,14 +43,14 @@
 		switch f.Type {
 		case "publish", "publish_twice":
 			f.Duration = 0
-			f.Amount = float64(r.IntN(2)) // half of them fence
+			f.Amount = float64(r.IntN(2)) // half of them have a fence
 		case "link_late":
 			f.Amount = 20 + r.Float64()*400
 		case "dispatcher_kill", "dispatcher_stop":
 			f.Duration = 0
 		case "folder_empty", "folder_older", "folder_flipped":
 			f.Duration, f.Dispatchers = 0, f.Dispatchers[:1]
-			// So many voters may lose what they promised that the rest still has a majority.
+			// Only so many voters may lose what they have persisted that the rest is still a majority.
 			if d := f.Dispatchers[0]; x.Fleet != nil && d < x.Fleet.Voters && !damagedVoters[d] {
 				if len(damagedVoters) >= (x.Fleet.Voters-1)/2 {
 					f.Type = "dispatcher_kill"
@@ -73,24 +73,25 @@
 	return &y
 }
 
-// Stormed is what became of one storm.
+// ChaosResult is the result of one fault-injection run.
 type ChaosResult struct {
 	Seed                  uint64
 	Faults                int
 	Jobs                  int
 	Answers               int
 	Versions              int
-	CompletedFences       int // told to be complete
-	LateActions           int // hand-offs of processes that stood still between look and write
-	UnansweredWhilePaused int // work items that only a standstill kept from their answer
+	CompletedFences       int // fences reported complete
+	LateActions           int // hand-offs of processes that were paused between the lease check and the write
+	UnansweredWhilePaused int // work items that have no answer only because of a pause
 	Violations            []invariants.Violation
 	Void                  string
 	Pauses                []realtime.Pause
 	experiment            *fleetmodel.Experiment
 }
 
-// StallFigures are of stalls of more than two beats: how many, how long until one was found and, from its going on, until
-// its process was current again. Sorted.
+// PauseDelays returns, for pauses longer than two heartbeat intervals and 100 ms, the times from the pause to
+// its detection; and for all pauses, the times from their end until the process was current again. Both are
+// sorted, in ms.
 func PauseDelays(all []ChaosResult, heartbeatInterval float64) (detection, recovery []float64) {
 	for _, s := range all {
 		for _, x := range s.Pauses {
@@ -107,10 +108,10 @@
 	return detection, recovery
 }
 
-// Storm plays one number on sockets.
+// RunChaos runs the faults of one seed in real time.
 func RunChaos(ctx context.Context, x *fleetmodel.Experiment, seed uint64, o realtime.Options) (ChaosResult, error) {
 	y := WithSampledFaults(x, seed)
-	if o.LogDir != "" { // one folder for each number
+	if o.LogDir != "" { // one directory for each seed
 		o.LogDir = filepath.Join(o.LogDir, strconv.FormatUint(seed, 10))
 		if err := os.MkdirAll(o.LogDir, 0o755); err != nil {
 			return ChaosResult{Seed: seed}, fmt.Errorf("logs: %w", err)
@@ -132,7 +133,7 @@
 	return s, nil
 }
 
-// Line says it in one.
+// Summary returns a line of text about the run.
 func (s ChaosResult) Summary() string {
 	head := fmt.Sprintf("seed %d: faults %d, jobs %d, answers %d, versions %d, fences complete %d, late acts %d, stalled %d", s.Seed, s.Faults, s.Jobs, s.Answers,
 		s.Versions, s.CompletedFences, s.LateActions, s.UnansweredWhilePaused)
@@ -147,15 +148,15 @@
 
 const startInterval = 3 * time.Second
 
-// Storms plays so many, some side by side, and prints a line for each. One on which the lab itself was late is void and
-// played once more.
+// RunChaosSeries runs consecutive seeds, some of them in parallel, and prints a line for each. A run that
+// failed, or is void without a violation, is repeated up to two times.
 func RunChaosSeries(ctx context.Context, x *fleetmodel.Experiment, first uint64, count, parallel int, o realtime.Options, out io.Writer) (all []ChaosResult, err error) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	seeds := make(chan uint64)
 	for k := range max(parallel, 1) {
 		wait.Go(func() {
-			time.Sleep(time.Duration(k) * startInterval) // so many processes started at once would keep one another waiting
+			time.Sleep(time.Duration(k) * startInterval) // processes that all start at once would delay one another
 			for seed := range seeds {
 				s, e := RunChaos(ctx, x, seed, o)
 				for retries := 0; retries < 2 && ctx.Err() == nil && (e != nil || s.Void != "" && len(s.Violations) == 0); retries++ {
@@ -183,8 +184,9 @@
 	return all, err
 }
 
-// Cut leaves out one fault after another for as long as the day still breaks without it. On sockets a day does not repeat
-// exactly; what is left broke it at least twice.
+// MinimizeFaults removes one fault after another as long as the run still fails without it. A run in real
+// time does not repeat exactly; once a fault is removed, the remaining ones have been part of at least two
+// failed runs.
 func MinimizeFaults(ctx context.Context, s ChaosResult, o realtime.Options, out io.Writer) ([]fleetmodel.Fault, error) {
 	y := *s.experiment
 	for k := len(y.Faults) - 1; k >= 0 && ctx.Err() == nil; k-- {
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -1,4 +1,5 @@
-// This file owns comparisons: the same seeds for each side, the differences seed by seed, and how sure one may be.
+// This file contains comparisons: each side runs with the same seeds, and the differences per seed give a
+// confidence interval.
 
 package lab
 
@@ -27,10 +28,11 @@
 	High float64 `json:"high"`
 }
 
-// Noise tells that the interval holds 0: a difference that may be chance.
+// IncludesZero reports whether the interval includes 0: the difference may be noise.
 func (i Interval) IncludesZero() bool { return i.Low <= 0 && i.High >= 0 }
 
-// Bootstrap draws the values again and again, by the percentile method; the same values give the same interval.
+// Bootstrap returns the mean of the values and its interval by the percentile bootstrap. The same values
+// always give the same interval.
 func Bootstrap(values []float64) Interval {
 	if len(values) == 0 {
 		return Interval{}
@@ -49,14 +51,14 @@
 	return Interval{stat.Mean(values, nil), q((1 - confidence) / 2), q((1 + confidence) / 2)}
 }
 
-// Figure is one thing that is compared.
+// Metric is a value of a result that comparisons show.
 type Metric struct {
 	Name      string
-	Direction int // 1: more is better, -1: less
+	Direction int // 1: higher is better, -1: lower is better
 	Value     func(*Result) float64
 }
 
-// Figures are what comparisons show.
+// Metrics are the metrics that comparisons show.
 var Metrics = []Metric{
 	{"service", 1, func(r *Result) float64 { return r.Service }},
 	{"p50 ms", -1, func(r *Result) float64 { return r.Latency.P50 }},
@@ -68,7 +70,7 @@
 	{"broken rules", -1, func(r *Result) float64 { return float64(r.ViolationCount()) }},
 }
 
-// Compare plays two policies over the same seeds in virtual time, their days interleaved.
+// Compare runs two policies with the same seeds in virtual time.
 func Compare(ctx context.Context, name string, x *fleetmodel.Experiment, a, b string, seeds []uint64, progress func(float64)) (as, bs []*Result, err error) {
 	var runs []runSpec
 	for _, s := range seeds {
@@ -84,7 +86,8 @@
 	return as, bs, nil
 }
 
-// CompareBuilds plays two programs in real time over the same seeds, one day after the other, each first in turn.
+// CompareBuilds runs two programs in real time with the same seeds, one run after the other. The program that
+// runs first alternates.
 func CompareBuilds(ctx context.Context, name string, x *fleetmodel.Experiment, a, b realtime.Options, seeds []uint64) (as, bs []*Result, err error) {
 	for k, s := range seeds {
 		pair := []realtime.Options{a, b}
@@ -95,7 +98,7 @@
 			if err != nil {
 				return as, bs, err
 			}
-			if r.Interrupted { // whole pairs only
+			if r.Interrupted { // drops an incomplete pair
 				pairs := min(len(as), len(bs))
 				return as[:pairs], bs[:pairs], nil
 			}
@@ -105,7 +108,7 @@
 	return as, bs, nil
 }
 
-// PrintComparison writes each figure's means, their difference B - A with its interval, and what to make of it.
+// PrintComparison writes the means of each metric, their difference B - A with its interval, and a verdict.
 func PrintComparison(out io.Writer, as, bs []*Result) {
 	if len(as) == 0 {
 		return
@@ -139,14 +142,14 @@
 	}
 }
 
-// Cell is one policy on one experiment.
+// Cell is the result of one policy in one experiment.
 type Cell struct {
 	Service, Slowdown Interval
 	Violations        int
-	ServiceDifference Interval // its service less the first policy's, seed by seed
+	ServiceDifference Interval // mean difference per seed to the service of the first policy
 }
 
-// Table plays every policy on every experiment over the same seeds.
+// RunTable runs every policy in every experiment with the same seeds.
 func RunTable(ctx context.Context, names []string, xs []*fleetmodel.Experiment, policies []string, seeds []uint64, progress func(float64)) ([][]Cell, error) {
 	var runs []runSpec
 	for k, x := range xs {
@@ -180,7 +183,8 @@
 	return table, nil
 }
 
-// PrintTable writes the services as a table in Markdown. A difference to the first policy that is no noise is marked.
+// PrintTable writes the services as a Markdown table. It marks differences to the first policy that are
+// significant.
 func PrintTable(out io.Writer, names, policies []string, table [][]Cell) {
 	fmt.Fprint(out, "| experiment |")
 	for _, p := range policies {
@@ -212,7 +216,8 @@
 	}
 }
 
-// Sweep plays an experiment with each of several values over the same seeds. Results come value by value.
+// Sweep runs an experiment with each of several values and the same seeds. The results are ordered by value,
+// then by seed.
 func Sweep(ctx context.Context, name, key string, values []string, xs []*fleetmodel.Experiment, policy string, seeds []uint64, progress func(float64)) ([]*Result, error) {
 	var runs []runSpec
 	for k, x := range xs {
@@ -223,7 +228,7 @@
 	return runAll(ctx, runs, progress)
 }
 
-// PrintSweep writes a line for each value.
+// PrintSweep writes one line for each value.
 func PrintSweep(out io.Writer, key string, values []string, seeds int, all []*Result) {
 	fmt.Fprintf(out, "%-24s", key)
 	for _, f := range Metrics {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -347,7 +347,7 @@
 	if x.Arrivals.Load != 0.9 || x.Faults[0].At != 1000 || x.Workers.Sites != 3 {
 		t.Errorf("%v %v %v", x.Arrivals, x.Faults, x.Workers)
 	}
-	for set, want := range map[string]string{"arrivals.load=much": "TOML value", "fault.7.at=1": "position", "arrivals.load.x=1": "nothing stands below",
+	for set, want := range map[string]string{"arrivals.load=much": "TOML value", "fault.7.at=1": "position", "arrivals.load.x=1": "neither a table nor a list",
 		"arrivals.laod=1": "arrivals.laod: is not known", "workers.sites=99": "99 is above 26"} {
 		if _, err := LoadExperiment("../../lab/zone-lost.toml", set); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", set, err)
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -1,4 +1,4 @@
-// This file owns the page of plots: one file that needs nothing else.
+// This file draws the report: one HTML page that needs no other file.
 
 package lab
 
@@ -26,14 +26,14 @@
 	plotHeight = 6 * vg.Centimeter
 )
 
-// view is one result as the page shows it.
+// reportSection is one result as the page shows it. The template uses its fields by name.
 type reportSection struct {
 	*Result
 	Plots []template.HTML
 	Text  string
 }
 
-// Report writes one self-contained page with a part for each result.
+// Report writes one self-contained page with a section for each result.
 func Report(out io.Writer, results []*Result) error {
 	t, err := template.ParseFS(reportTemplate, "report.html")
 	if err != nil {
@@ -72,13 +72,13 @@
 		return "", fmt.Errorf("plot: %w", err)
 	}
 	text := svg.String()
-	if at := bytes.Index(svg.Bytes(), []byte("<svg")); at > 0 { // without the head of a file of its own
+	if at := bytes.Index(svg.Bytes(), []byte("<svg")); at > 0 { // removes the XML header, which is for a separate file
 		text = text[at:]
 	}
-	return template.HTML(text), nil // drawn here, from numbers
+	return template.HTML(text), nil // safe: generated here, from numbers
 }
 
-// frame is a plot over the seconds of the day, with its faults.
+// newPlot returns an empty plot over the seconds of the run.
 func newPlot(r *Result, title, unit string) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
@@ -88,7 +88,7 @@
 	return p, nil
 }
 
-// marks draws each fault as a line across the plot, once its height is known.
+// addAnnotations draws each fault as a vertical line. It needs the plot's final height.
 func addAnnotations(p *plot.Plot, r *Result) error {
 	for _, m := range r.Annotations {
 		l, err := plotter.NewLine(plotter.XYs{{X: m.At / 1000, Y: p.Y.Min}, {X: m.At / 1000, Y: p.Y.Max}})
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// line draws one value of each second.
+// addLine draws one value of each second.
 func addLine(p *plot.Plot, r *Result, k int, name string, value func(SecondStats) float64) error {
 	var xys plotter.XYs
 	for _, s := range r.Seconds {
@@ -142,8 +142,8 @@
 }
 
 func servicePlot(r *Result) (*plot.Plot, error) {
-	return seriesPlot(r, "Work items wanted in each second, and what became of them", "items", []series{
-		{"wanted", func(s SecondStats) float64 { return float64(s.Jobs) }},
+	return seriesPlot(r, "Work items by second of arrival and outcome", "items", []series{
+		{"arrived", func(s SecondStats) float64 { return float64(s.Jobs) }},
 		{"in time", func(s SecondStats) float64 { return float64(s.InTime) }},
 		{"late", func(s SecondStats) float64 { return float64(s.Late) }},
 		{"deferred", func(s SecondStats) float64 { return float64(s.Deferred) }},
@@ -151,7 +151,7 @@
 }
 
 func latencyPlot(r *Result) (*plot.Plot, error) {
-	return seriesPlot(r, "Latency of those finished", "ms", []series{
+	return seriesPlot(r, "Latency of finished work items", "ms", []series{
 		{"p50", func(s SecondStats) float64 { return s.P50 }}, {"p99", func(s SecondStats) float64 { return s.P99 }}})
 }
 
@@ -165,5 +165,5 @@
 			return 0
 		}})
 	}
-	return seriesPlot(r, "Cores at work, by kind", "cores", all)
+	return seriesPlot(r, "Busy cores, by kind", "cores", all)
 }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -1,7 +1,7 @@
-// Package lab plays experiments, counts what came of them, compares dispatchers and draws reports. It must never change
-// what is measured: it sees a world only when its day is over.
+// Package lab runs experiments, summarizes their results, compares dispatchers and draws reports. It must
+// never influence what it measures: it reads a model only after the run has ended.
 //
-// This file owns what is counted on a day.
+// This file contains the summary of a run.
 package lab
 
 import (
@@ -16,37 +16,41 @@
 	"weldmast/internal/invariants"
 )
 
-// Result is one day played. Times are milliseconds from the first arrivals on.
+// Result is the summary of one run. Times are in milliseconds from the first arrivals.
 type Result struct {
-	Experiment       string                  `json:"experiment"`
-	About            string                  `json:"about"`
-	Driver           string                  `json:"driver"` // virtual or sockets
-	Policy           string                  `json:"policy"` // weldmast, a build's path or a baseline
-	Seed             uint64                  `json:"seed"`
-	Interrupted      bool                    `json:"interrupted"`
-	Void             string                  `json:"void,omitempty"` // why the lab itself spoilt the day
-	Jobs             int                     `json:"jobs"`           // counted: those wanted after the warm-up
-	Service          float64                 `json:"service"`        // credit answered by its due time, as a part of all credit
-	Outcomes         map[string]int          `json:"outcomes"`
-	InTime           int                     `json:"in_time"`
-	Latency          Percentiles             `json:"latency"`  // from the intended time to the answer, of those finished
-	Added            Percentiles             `json:"added"`    // the same beyond the work itself on the worker that did it
-	MeanLatency      float64                 `json:"response"` // mean latency
-	MeanSlowdown     float64                 `json:"slowdown"` // mean of latency over cost
-	RequestsPerJob   float64                 `json:"tries"`    // requests a job
+	Experiment  string `json:"experiment"`
+	About       string `json:"about"`
+	Driver      string `json:"driver"` // virtual or sockets
+	Policy      string `json:"policy"` // weldmast, the path of a build, or a baseline
+	Seed        uint64 `json:"seed"`
+	Interrupted bool   `json:"interrupted"`
+	// why the lab itself invalidated the run; empty: it is valid
+	Void string `json:"void,omitempty"`
+	// counted jobs: those that arrive after the warm-up and whose client stays
+	Jobs int `json:"jobs"`
+	// credit answered by its due time, as a fraction of all credit
+	Service  float64        `json:"service"`
+	Outcomes map[string]int `json:"outcomes"`
+	InTime   int            `json:"in_time"`
+	// of finished jobs, from the intended arrival to the answer
+	Latency          Percentiles             `json:"latency"`
+	Added            Percentiles             `json:"added"`    // Latency less the execution time on the worker
+	MeanLatency      float64                 `json:"response"` // of finished jobs, in ms
+	MeanSlowdown     float64                 `json:"slowdown"` // mean ratio of latency to cost
+	RequestsPerJob   float64                 `json:"tries"`
 	Categories       []GroupResult           `json:"categories"`
 	Tenants          []GroupResult           `json:"tenants,omitempty"`
 	Kinds            []KindResult            `json:"kinds"`
-	ViolationsByRule map[invariants.Rule]int `json:"rules"` // convictions
+	ViolationsByRule map[invariants.Rule]int `json:"rules"` // number of violations
 	Violations       []invariants.Violation  `json:"verdicts,omitempty"`
 	Annotations      []fleetmodel.Annotation `json:"marks,omitempty"`
 	Seconds          []SecondStats           `json:"seconds"`
 	Processes        []ProcessUsage          `json:"processes,omitempty"`
-	Lateness         *Percentiles            `json:"late,omitempty"` // how late the lab itself was, on sockets
+	Lateness         *Percentiles            `json:"late,omitempty"` // of the lab's event loop; real time only
 	arrivalStart     float64
 }
 
-// Percentiles of a time in milliseconds.
+// Percentiles are those of a time in milliseconds.
 type Percentiles struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -56,7 +60,7 @@
 	N    int64   `json:"n"`
 }
 
-// Part is what one category or tenant got.
+// GroupResult is the result of one category or tenant.
 type GroupResult struct {
 	Name    string      `json:"name"`
 	Jobs    int         `json:"jobs"`
@@ -64,14 +68,14 @@
 	Latency Percentiles `json:"latency"`
 }
 
-// KindPart is what one kind of worker did.
+// KindResult is the result of one kind of worker.
 type KindResult struct {
 	Name     string  `json:"name"`
 	Finished int     `json:"finished"`
-	Load     float64 `json:"load"` // mean of its cores at work, as a part of all
+	Load     float64 `json:"load"` // mean fraction of its cores that are busy
 }
 
-// Second is one second of the day, by the time at which jobs were wanted.
+// SecondStats are the counts of one second of the run, by the arrival times of the jobs.
 type SecondStats struct {
 	At        int       `json:"at"`
 	Jobs      int       `json:"jobs"`
@@ -81,25 +85,25 @@
 	Failed    int       `json:"failed"`
 	P50       float64   `json:"p50"`
 	P99       float64   `json:"p99"`
-	BusyCores []float64 `json:"busy"` // cores at work of each kind
+	BusyCores []float64 `json:"busy"` // busy cores of each kind
 }
 
-// Process is what a dispatcher's process used, on sockets.
+// ProcessUsage is the resource usage of one dispatcher's processes; real time only.
 type ProcessUsage struct {
 	Dispatcher  int     `json:"dispatcher"`
 	CPU         float64 `json:"cpu"`       // seconds
 	Uptime      float64 `json:"alive"`     // seconds
-	MemoryMB    float64 `json:"memory_mb"` // most resident at once
-	IdleMB      float64 `json:"idle_mb"`   // as it became ready
+	MemoryMB    float64 `json:"memory_mb"` // highest resident memory
+	IdleMB      float64 `json:"idle_mb"`   // resident memory when the process became ready
 	Descriptors int     `json:"descriptors"`
 }
 
-// latencies counts microseconds, up to an hour, to three digits.
+// newLatencyHistogram returns a histogram of microseconds, up to an hour, with three significant digits.
 func newLatencyHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 3600e6, 3) }
 
 func record(h *hdrhistogram.Histogram, ms float64) {
 	if err := h.RecordValue(int64(math.Round(min(max(ms*1000, 0), 3600e6)))); err != nil {
-		panic(fmt.Sprintf("lab: %v ms: %v", ms, err)) // it is held to the histogram's range
+		panic(fmt.Sprintf("lab: %v ms: %v", ms, err)) // cannot happen: the value is clamped to the histogram's range
 	}
 }
 
@@ -111,7 +115,7 @@
 	return Percentiles{at(50), at(90), at(99), at(99.9), float64(h.Max()) / 1000, h.TotalCount()}
 }
 
-// tally counts one category or tenant.
+// groupCounts are the counts of one category or tenant.
 type groupCounts struct {
 	jobs                 int
 	credit, creditInTime float64
@@ -129,7 +133,7 @@
 	return a / b
 }
 
-// Count sums up a day whose clients came from start on.
+// Summarize returns the result of a run whose first arrivals were at start.
 func Summarize(w *fleetmodel.Model, start float64) *Result {
 	x := w.Experiment
 	r := &Result{About: x.About, Outcomes: map[string]int{}, ViolationsByRule: map[invariants.Rule]int{}, arrivalStart: start}
@@ -244,7 +248,7 @@
 	return r
 }
 
-// CPUEach is the dispatchers' CPU for each job of the whole day in microseconds; 0 in virtual time.
+// CPUPerJob returns the dispatchers' CPU time per job of the complete run in microseconds; 0 in virtual time.
 func (r *Result) CPUPerJob() float64 {
 	cpu, jobs := 0., 0
 	for _, p := range r.Processes {
@@ -256,7 +260,7 @@
 	return ratio(cpu*1e6, float64(jobs))
 }
 
-// Broken counts convictions of all rules.
+// ViolationCount returns the number of violations of all rules.
 func (r *Result) ViolationCount() (n int) {
 	for _, k := range r.ViolationsByRule {
 		n += k
@@ -264,7 +268,7 @@
 	return n
 }
 
-// Write adds the result as one line of JSON.
+// Write appends the result as one line of JSON.
 func (r *Result) Write(out io.Writer) error {
 	if err := json.NewEncoder(out).Encode(r); err != nil {
 		return fmt.Errorf("result: %w", err)
@@ -272,7 +276,7 @@
 	return nil
 }
 
-// ReadResults reads lines of JSON as Write makes them.
+// ReadResults reads lines of JSON that Write has written.
 func ReadResults(in io.Reader) (all []*Result, err error) {
 	for dec := json.NewDecoder(in); ; {
 		r := &Result{}
@@ -285,7 +289,7 @@
 	}
 }
 
-// Print writes the result for people.
+// Print writes the result as text.
 func (r *Result) Print(out io.Writer) {
 	state := ""
 	if r.Interrupted {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -1,4 +1,4 @@
-// This file owns how experiments are read and played in virtual time, alone, in pairs and over a range.
+// This file loads experiments and runs them, one by one or many in parallel.
 
 package lab
 
@@ -21,10 +21,11 @@
 	"weldmast/internal/virtualtime"
 )
 
-// Own is the name of the dispatcher itself among policies.
+// OwnPolicy is the policy name of the dispatcher itself.
 const OwnPolicy = "weldmast"
 
-// Load reads an experiment's file. Sets are changes such as "arrivals.load=0.8", each as KEY=VALUE in TOML.
+// LoadExperiment reads an experiment's file. Each override has the form KEY=VALUE with a TOML value, as in
+// "arrivals.load=0.8".
 func LoadExperiment(path string, overrides ...string) (*fleetmodel.Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -38,11 +39,12 @@
 	return fleetmodel.ParseExperiment(path, text)
 }
 
-// change sets values in a file; parts of a key that are numbers are positions in lists.
+// applyOverrides sets values in the text of an experiment. The parts of a key that are numbers are positions
+// in lists.
 func applyOverrides(text []byte, overrides []string) ([]byte, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
-		return nil, fmt.Errorf("no TOML: %w", err)
+		return nil, fmt.Errorf("invalid TOML: %w", err)
 	}
 	for _, override := range overrides {
 		key, value, ok := strings.Cut(override, "=")
@@ -65,28 +67,29 @@
 			case []any:
 				n, err := strconv.Atoi(part)
 				if err != nil || n < 0 || n >= len(container) {
-					return nil, fmt.Errorf("%s: %q is no position in a list of %d", key, part, len(container))
+					return nil, fmt.Errorf("%s: %q is not a position in a list of %d items", key, part, len(container))
 				}
 				if last {
 					container[n] = v.X
 				}
 				node = container[n]
 			default:
-				return nil, fmt.Errorf("%s: nothing stands below %s", key, strings.Join(parts[:k], "."))
+				return nil, fmt.Errorf("%s: %s is neither a table nor a list", key, strings.Join(parts[:k], "."))
 			}
 		}
 	}
 	out, err := toml.Marshal(tree)
 	if err != nil {
-		return nil, fmt.Errorf("set: %w", err)
+		return nil, fmt.Errorf("override: %w", err)
 	}
 	return out, nil
 }
 
-// Name is what an experiment's file is called in tables.
+// ExperimentName returns the name of an experiment's file as tables show it.
 func ExperimentName(path string) string { return strings.TrimSuffix(filepath.Base(path), ".toml") }
 
-// decide makes the deciders of a policy's day; nil for the program's own. An error names the policies there are.
+// newDecider returns the constructor of a policy's deciders; nil for the dispatcher's own policy. For an
+// unknown policy the error lists the known ones.
 func newDecider(policy string, x *fleetmodel.Experiment) (virtualtime.NewDecider, error) {
 	if policy == OwnPolicy {
 		return nil, nil
@@ -97,7 +100,7 @@
 		shared.Parallelism = append(shared.Parallelism, float64(min(k.Slots, k.Cores)))
 	}
 	if baseline.New(policy, dispatch.Settings{}, shared) == nil {
-		return nil, fmt.Errorf("policy %q is none of %s, %s", policy, OwnPolicy, strings.Join(baseline.Names, ", "))
+		return nil, fmt.Errorf("unknown policy %q; known are %s, %s", policy, OwnPolicy, strings.Join(baseline.Names, ", "))
 	}
 	return func(s dispatch.Settings, w *fleetmodel.Model) dispatch.Decider {
 		shared.Oracle = w
@@ -105,7 +108,7 @@
 	}, nil
 }
 
-// Virtual plays one day in virtual time.
+// RunVirtual runs an experiment once in virtual time.
 func RunVirtual(ctx context.Context, name string, x *fleetmodel.Experiment, seed uint64, policy string, progress func(float64)) (*Result, error) {
 	d, err := newDecider(policy, x)
 	if err != nil {
@@ -120,7 +123,7 @@
 	return r, nil
 }
 
-// Sockets plays one day in real time against a program.
+// RunRealTime runs an experiment once in real time against a program.
 func RunRealTime(ctx context.Context, name string, x *fleetmodel.Experiment, seed uint64, o realtime.Options) (*Result, error) {
 	p, err := realtime.Run(ctx, x, seed, o)
 	if err != nil {
@@ -137,7 +140,7 @@
 	return r, nil
 }
 
-// day is one of many to play.
+// runSpec is one of many runs.
 type runSpec struct {
 	name       string
 	experiment *fleetmodel.Experiment
@@ -145,7 +148,7 @@
 	policy     string
 }
 
-// playAll plays days side by side, one to a core, and returns their results in order.
+// runAll executes runs in parallel, one per core, and returns their results in order.
 func runAll(ctx context.Context, specs []runSpec, progress func(float64)) ([]*Result, error) {
 	results, errs := make([]*Result, len(specs)), make([]error, len(specs))
 	var wait sync.WaitGroup
@@ -170,8 +173,8 @@
 	}
 	close(next)
 	wait.Wait()
-	if ctx.Err() != nil { // days cut short must not be counted beside whole ones
-		return nil, fmt.Errorf("interrupted: figures need whole days: %w", ctx.Err())
+	if ctx.Err() != nil { // interrupted runs must not be compared with complete ones
+		return nil, fmt.Errorf("interrupted: results need complete runs: %w", ctx.Err())
 	}
 	for k, err := range errs {
 		if err != nil {
--- a/internal/lab/scenarios.go
+++ b/internal/lab/scenarios.go
@@ -1,4 +1,4 @@
-// This file owns small worlds drawn at random, with troubles drawn at random, on each of which every rule must hold.
+// This file generates small random scenarios with random faults. Every rule must hold in each of them.
 
 package lab
 
@@ -14,21 +14,22 @@
 	"weldmast/internal/virtualtime"
 )
 
-// Draw picks one of n things; a property test draws from its own source, a command from a numbered world's.
+// Sampler returns a random number from 0 to n-1. A property test samples from its own source, a command from
+// a seeded one.
 type Sampler func(n int) int
 
-// Numbered draws what belongs to one number.
+// SeededSampler returns the sampler of a scenario's number.
 func SeededSampler(number uint64) Sampler {
 	r := rand.New(rand.NewPCG(number, 0x77656c64))
 	return func(n int) int { return r.IntN(n) }
 }
 
-// SmallWorld draws a deployment of up to four dispatchers and a dozen workers with up to six troubles. Crowded: workers
-// may take more at once than they have cores for.
+// RandomScenario returns a random deployment of up to four dispatchers and a dozen workers with up to six
+// faults. If crowded, workers may run more items at once than they have cores.
 func RandomScenario(sample Sampler, crowded bool) *fleetmodel.Experiment {
 	x, err := fleetmodel.ParseExperiment("small", []byte("[[kind]]\nname = \"a\"\n[[category]]\nname = \"a\"\n[arrivals]\nload = 0.5\n"))
 	if err != nil {
-		panic(err) // the text is our own
+		panic(err) // cannot happen: the text is constant
 	}
 	coin := func() bool { return sample(2) == 1 }
 	oneOf := func(values ...float64) float64 { return values[sample(len(values))] }
@@ -67,7 +68,7 @@
 		x.Tenants = []fleetmodel.Tenant{{Name: "a", Share: 1}, {Name: "b", Share: 3}}
 	}
 	x.Arrivals.Load = oneOf(0.2, 0.6, 0.9, 1.5)
-	if maxRate := 600.; x.ArrivalRate() > maxRate { // a world is to be small
+	if maxRate := 600.; x.ArrivalRate() > maxRate { // keeps the scenario small
 		x.Arrivals.Rate, x.Arrivals.Load = maxRate, 0
 	}
 	x.Clients.MaxRetries, x.Clients.LeaveShare = sample(3), oneOf(0, 0, 0.1)
@@ -90,19 +91,19 @@
 	return x
 }
 
-// Tally is what became of many worlds.
+// ScenarioCounts are the totals of many scenarios.
 type ScenarioCounts struct {
 	Scenarios, Jobs, Faults int
 	Failed                  []FailedScenario
 }
 
-// BrokenWorld is one with its first conviction.
+// FailedScenario is a scenario with its first violation.
 type FailedScenario struct {
 	Number    uint64
 	Violation invariants.Violation
 }
 
-// TryWorld plays one and gives its first conviction, if any.
+// RunScenario runs a scenario and returns its first violation, if any.
 func RunScenario(ctx context.Context, x *fleetmodel.Experiment, seed uint64) (jobs int, v *invariants.Violation, err error) {
 	w, _, err := virtualtime.Run(ctx, x, seed, nil, nil)
 	if err != nil {
@@ -114,7 +115,7 @@
 	return len(w.Jobs), v, nil
 }
 
-// Worlds plays so many numbered worlds, one to a core.
+// RunScenarios runs numbered scenarios in parallel, one per core.
 func RunScenarios(ctx context.Context, first uint64, count int, crowded bool, progress func(float64)) (ScenarioCounts, error) {
 	var t ScenarioCounts
 	var mu sync.Mutex
--- a/internal/lab/theory.go
+++ b/internal/lab/theory.go
@@ -1,4 +1,5 @@
-// This file owns the model's proof against queueing theory: means that are known exactly, beside what the model plays.
+// This file validates the model against queueing theory: it compares means with a known exact value to the
+// model's means.
 
 package lab
 
@@ -15,24 +16,24 @@
 	"weldmast/internal/fleetmodel"
 )
 
-// Law is one known mean.
+// QueueMean is a mean that theory gives exactly, and the model's value of it.
 type QueueMean struct {
 	Name       string
 	Load       float64
 	Expected   float64 // ms
 	Measured   float64
-	StdError   float64 // standard error of Got over the repetitions
-	waitOnly   bool    // of the wait, else of the whole response
+	StdError   float64 // standard error of Measured over the repetitions
+	waitOnly   bool    // the mean waiting time, not the mean response time
 	experiment string
 }
 
-// Off is by how much the model differs, as a part of what theory says.
+// RelativeError returns the model's deviation as a fraction of the expected value.
 func (l *QueueMean) RelativeError() float64 { return l.Measured/l.Expected - 1 }
 
 const meanCost = 10.
 
-// laws are M/M/4 (Erlang C), M/D/1 and M/G/1 first come first served (Pollaczek and Khinchine), and M/G/1 with
-// processor sharing, at three loads each.
+// queueMeans returns the means of M/M/4 (Erlang C), M/D/1 and M/G/1 with first come, first served
+// (Pollaczek-Khinchine formula), and of M/G/1 with processor sharing, each at three loads.
 func queueMeans() (all []*QueueMean) {
 	const servers, sigma = 4, 1.
 	for _, load := range []float64{0.5, 0.7, 0.9} {
@@ -47,7 +48,7 @@
 		}
 		waitTerm := term * a / c / (1 - load)
 		waitProbability := waitTerm / (sum + waitTerm)
-		secondMoment := math.Exp(sigma * sigma) // of the lognormal law, in squared means
+		secondMoment := math.Exp(sigma * sigma) // of the lognormal distribution, divided by the squared mean
 		file := func(kind, category string) string {
 			return fmt.Sprintf("[network]\nnear = 0\nfar = 0\njitter = 0\n[workers]\ntell_start = false\nprogress = 0\n"+
 				"[arrivals]\nload = %v\n[[kind]]\nname = \"k\"\nqueue = 1000000000\n%s\n[[category]]\nname = \"c\"\n"+
@@ -66,7 +67,8 @@
 	return all
 }
 
-// Theory plays each law so many times with so many jobs, eight times as often at the highest load: waits vary most there.
+// CheckTheory runs each queue the given number of times with the given number of jobs; at the highest load
+// eight times as often, as waiting times vary most there.
 func CheckTheory(ctx context.Context, repeats, jobs int, progress func(float64)) ([]*QueueMean, error) {
 	all := queueMeans()
 	means := make([][]float64, len(all))
@@ -119,7 +121,7 @@
 	return all, failed
 }
 
-// play gives one repetition's mean, without its first tenth.
+// simulatedMean returns the mean of one repetition without its first tenth, the warm-up.
 func simulatedMean(l *QueueMean, seed uint64, jobs int) (float64, error) {
 	x, err := fleetmodel.ParseExperiment(l.Name, []byte(l.experiment))
 	if err != nil {
@@ -139,7 +141,7 @@
 	return sum / float64(n), nil
 }
 
-// PrintTheory writes the laws as a table.
+// PrintTheory writes the means as a table.
 func PrintTheory(out io.Writer, all []*QueueMean) {
 	fmt.Fprintf(out, "%-18s %5s %10s %10s %8s %9s\n", "", "load", "theory ms", "model ms", "off", "std.err.")
 	for _, l := range all {
