--- a/cmd/weldlab/commands.go
+++ b/cmd/weldlab/commands.go
@@ -1,4 +1,4 @@
-// This file owns the commands in virtual time and those on their results.
+// This file contains the commands that run in virtual time, run and compare, and those that read results.
 
 package main
 
@@ -15,7 +15,7 @@
 	"weldmast/internal/realtime"
 )
 
-// output is where results go besides the terminal.
+// outputFlags are the flags for output other than text on the terminal. Kong makes flags of the field names.
 type outputFlags struct {
 	JSON   string `placeholder:"PATH" help:"Add each result to this file as a line of JSON; - for standard output instead of text."`
 	Report string `placeholder:"PATH" help:"Draw a page of plots into this file (HTML)."`
@@ -42,7 +42,7 @@
 		if err := writeReport(o.Report, results); err != nil {
 			return err
 		}
-		fmt.Fprintf(s.errs, "report in %s\n", o.Report)
+		fmt.Fprintf(s.errs, "report written to %s\n", o.Report)
 	}
 	return nil
 }
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// program is what is played on sockets.
+// realTimeFlags are the flags for runs in real time. Kong makes flags of the field names.
 type realTimeFlags struct {
 	Program     string  `default:"bin/weldmast" help:"On sockets: the dispatcher's program."`
 	File        string  `placeholder:"PATH" name:"operator-file" help:"On sockets: its operator's file."`
@@ -79,7 +79,7 @@
 		Cores: p.Cores, MaxLatenessP99: p.LateP99, MaxLateness: p.LateMost}
 }
 
-// verdict is the error to end with after results.
+// resultError returns the error with which a command ends after it has written its results.
 func resultError(results []*lab.Result) error {
 	for _, r := range results {
 		if r.ViolationCount() > 0 {
@@ -109,7 +109,7 @@
 		return err
 	}
 	if c.Sockets && c.Policy != lab.OwnPolicy {
-		return fmt.Errorf("baselines are played in virtual time only")
+		return fmt.Errorf("baselines run in virtual time only")
 	}
 	progress, done := s.progressBar(lab.ExperimentName(c.Path))
 	var r *lab.Result
@@ -133,7 +133,7 @@
 	return resultError([]*lab.Result{r})
 }
 
-// seeds are n from the first on.
+// seedRange returns n consecutive seeds.
 func seedRange(first uint64, n int) (all []uint64) {
 	for k := range n {
 		all = append(all, first+uint64(k))
@@ -297,6 +297,6 @@
 	if err := writeReport(c.Out, all); err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "report in %s\n", c.Out)
+	fmt.Fprintf(s.out, "report written to %s\n", c.Out)
 	return nil
 }
--- a/cmd/weldlab/live.go
+++ b/cmd/weldlab/live.go
@@ -1,4 +1,4 @@
-// This file owns the commands on sockets beside run: ceiling, and the demo that a newcomer starts with.
+// This file contains two commands that run in real time only: ceiling, and the demo for newcomers.
 
 package main
 
@@ -80,7 +80,7 @@
 	realTimeFlags
 }
 
-// keys are troubles by what is pressed.
+// faultKeys are the faults that the demo injects when a key is pressed.
 var faultKeys = []struct {
 	key   byte
 	fault fleetmodel.Fault
@@ -119,7 +119,7 @@
 			}
 		}
 		if !found {
-			return fmt.Errorf("--fault %q: see weldlab demo --help for what there is", c.Fault)
+			return fmt.Errorf("--fault %q is unknown: see weldlab demo --help", c.Fault)
 		}
 	}
 	terminal := false
@@ -131,7 +131,7 @@
 		if state, err := term.MakeRaw(in); err == nil {
 			newline = "\r\n"
 			defer func() { _ = term.Restore(in, state) }()
-			go func() { // ends with the program: nothing else reads
+			go func() { // runs until the program ends: nothing else reads standard input
 				for buf := make([]byte, 1); ; {
 					if n, err := os.Stdin.Read(buf); err != nil || n == 0 {
 						return
@@ -177,7 +177,7 @@
 	return resultError([]*lab.Result{r})
 }
 
-// count is what became of all so far, in a line.
+// statusLine returns the counts of all jobs so far as a line of text.
 func statusLine(x *fleetmodel.Experiment, w *fleetmodel.Model) string {
 	n, inTime := map[fleetmodel.Outcome]int{}, 0
 	for _, j := range w.Jobs {
@@ -195,7 +195,7 @@
 	return line
 }
 
-// picture is the whole screen.
+// renderScreen returns the text of the complete screen.
 func renderScreen(x *fleetmodel.Experiment, w *fleetmodel.Model) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "weldlab demo: one dispatcher, stand-in workers, clients and discovery on loopback\n\n%s\n\n", statusLine(x, w))
--- a/cmd/weldlab/main.go
+++ b/cmd/weldlab/main.go
@@ -1,5 +1,5 @@
-// Command weldlab plays experiments against the dispatcher and counts what comes of them. This file owns its command
-// line; what it says is done in internal/lab.
+// Command weldlab runs experiments against the dispatcher and summarizes their results. This file contains
+// its command line; the experiments are implemented in internal/lab.
 package main
 
 import (
@@ -17,9 +17,9 @@
 	"golang.org/x/term"
 )
 
-// What the program ends with.
+// Exit codes.
 const (
-	exitFault = 1 // a rule was broken, a file is faulty, or the lab itself failed
+	exitFault = 1 // a rule was violated, a file is faulty, or weldlab itself failed
 	exitUsage = 2
 )
 
@@ -40,10 +40,10 @@
 	Report   reportCommand     `cmd:"" help:"Draw a page of plots from results."`
 }
 
-const about = `Plays experiments (lab/*.toml) against the dispatcher: whole nodes in virtual time, or bin/weldmast on loopback
-sockets with stand-ins for everything round it. Judges the rules from what crossed the wire.
+const about = `Runs experiments (lab/*.toml) against the dispatcher: complete nodes in virtual time, or bin/weldmast on loopback
+sockets with stubs for its environment. Checks the rules from the messages on the wire.
 
-Ends with 0 when all is well, 1 for a broken rule or a fault, 2 for arguments that it does not know.`
+Exit status: 0 on success; 1 for a broken rule, a faulty file or a failure of weldlab; 2 for unknown arguments.`
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -53,7 +53,7 @@
 	os.Exit(code)
 }
 
-// errBroken ends a command that did its work and found a broken rule, which it has told.
+// errRuleBroken is the error of a command that completed and found a violated rule, which it has printed.
 var errRuleBroken = errors.New("a rule was broken")
 
 func runCommandLine(ctx context.Context, args []string, out, errs io.Writer) int {
@@ -71,7 +71,7 @@
 	case kongExit >= 0:
 		return kongExit
 	case err != nil:
-		fmt.Fprintf(errs, "weldlab: %v\nweldlab --help tells what there is.\n", err)
+		fmt.Fprintf(errs, "weldlab: %v\nRun weldlab --help for usage.\n", err)
 		return exitUsage
 	}
 	if err := c.Run(); err != nil {
@@ -81,10 +81,10 @@
 	return 0
 }
 
-// streams are where a command writes: what it found, and how it goes on.
+// streams are the outputs of a command: its results, and messages about its progress.
 type streams struct{ out, errs io.Writer }
 
-// bar shows how far a command is, where somebody looks at a terminal.
+// progressBar shows the progress of a command if standard error is a terminal.
 func (s *streams) progressBar(what string) (progress func(float64), done func()) {
 	f, ok := s.errs.(*os.File)
 	if !ok || !term.IsTerminal(int(f.Fd())) {
--- a/cmd/weldlab/main_test.go
+++ b/cmd/weldlab/main_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// programs are weldlab and weldmast as they stand.
+// programDir contains weldlab and weldmast, built from the current source.
 var programDir string
 
 func TestMain(m *testing.M) {
@@ -33,14 +33,14 @@
 
 const calmPath = "../../lab/calm.toml"
 
-// play runs a command line in this process.
+// runArgs runs a command line in this process.
 func runArgs(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
 	code = runCommandLine(context.Background(), args, &o, &e)
 	return code, o.String(), e.String()
 }
 
-// TestEnds: what each command line ends with, and that it says why.
+// TestExitCodes checks the exit code of each command line, and that its output gives the reason.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
@@ -81,17 +81,18 @@
 	}
 }
 
-// TestSameBytes: the command's results of one seed are the same bytes.
+// TestSameBytes checks that two runs of a command with one seed write the same bytes.
 func TestSameBytes(t *testing.T) {
 	_, first, _ := runArgs("run", calmPath, "--set", `length="3s"`, "--seed", "7", "--json", "-")
 	_, again, _ := runArgs("run", calmPath, "--set", `length="3s"`, "--seed", "7", "--json", "-")
 	_, other, _ := runArgs("run", calmPath, "--set", `length="3s"`, "--seed", "8", "--json", "-")
 	if first != again || first == other || !json.Valid([]byte(first)) {
-		t.Errorf("one seed: same %v; another seed: differs %v", first == again, first != other)
+		t.Errorf("one seed: same bytes %v; another seed: different bytes %v", first == again, first != other)
 	}
 }
 
-// TestInterrupt: Ctrl-C in the middle of a day on sockets leaves a whole result and report, and no process.
+// TestInterruptKeepsResults sends an interrupt in the middle of a run in real time. It must leave a complete
+// result and report, and no process.
 func TestInterruptKeepsResults(t *testing.T) {
 	dir := t.TempDir()
 	results, page := filepath.Join(dir, "r.jsonl"), filepath.Join(dir, "r.html")
@@ -115,7 +116,7 @@
 		}
 	case <-time.After(10 * time.Second):
 		_ = cmd.Process.Kill()
-		t.Fatal("it does not end")
+		t.Fatal("weldlab does not end after the interrupt")
 	}
 	var r struct {
 		Interrupted bool
@@ -129,7 +130,7 @@
 		t.Errorf("%v, %+v", err, r)
 	}
 	if text, err := os.ReadFile(page); err != nil || !bytes.HasSuffix(bytes.TrimSpace(text), []byte("</pre>")) {
-		t.Errorf("the report is not whole: %v", err)
+		t.Errorf("the report is incomplete: %v", err)
 	}
 	logs, err := filepath.Glob(filepath.Join(dir, "n*.log"))
 	if err != nil || len(logs) != 3 {
@@ -143,12 +144,12 @@
 		var pid int
 		_, after, _ := strings.Cut(string(text), "pid=")
 		if _, err := fmt.Sscan(after, &pid); err != nil || syscall.Kill(pid, 0) == nil {
-			t.Errorf("%s: process %d still lives (%v)", l, pid, err)
+			t.Errorf("%s: process %d is still running (%v)", l, pid, err)
 		}
 	}
 }
 
-// TestDemo: the newcomer's command comes up, takes a trouble, ends by itself and has kept the rules.
+// TestDemo checks that the demo starts, injects a fault, ends by itself and violates no rule.
 func TestDemo(t *testing.T) {
 	code, out, errs := runArgs("demo", "--seconds", "7", "--fault", "kill", "--program", filepath.Join(programDir, "weldmast"))
 	for _, want := range []string{"taken", "demo, seed", "rules kept"} {
@@ -158,7 +159,8 @@
 	}
 }
 
-// TestDescriptors: where the lab's own descriptors run out it says so, and convicts nobody.
+// TestOutOfDescriptors checks that weldlab reports it when its own descriptors run out, and reports no
+// violation.
 func TestOutOfDescriptors(t *testing.T) {
 	cmd := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n 90 && exec %s run %s --sockets --program %s --set 'length=\"4s\"' --set warmup=0",
 		filepath.Join(programDir, "weldlab"), calmPath, filepath.Join(programDir, "weldmast")))
@@ -169,9 +171,9 @@
 	}
 }
 
-// TestReplacedAndFlooded: each dispatcher is replaced under load, and each is flooded while one stops, in days on sockets:
-// the rules hold over both processes as one; no job of the first meets a connection that is refused, reset or left unread,
-// and the flood keeps none from being answered.
+// TestUpgradeAndFlood upgrades each dispatcher under load, and floods each while one stops, in real time. The
+// rules must hold over the old and the new process together; no job of the upgrade run meets a connection
+// that is refused, reset or left unread, and in spite of the flood every job is answered.
 func TestUpgradeAndFlood(t *testing.T) {
 	for _, day := range []string{"upgrade", "flood"} {
 		logs, json1 := t.TempDir(), filepath.Join(t.TempDir(), "r.jsonl")
@@ -194,10 +196,10 @@
 			handed += strings.Count(string(text), `takeover="handed over"`)
 		}
 		if day == "upgrade" && (handed != 3 || r.Outcomes.Finished != r.Jobs || !strings.Contains(out, "tries 1.00")) {
-			t.Errorf("%d replaced, %+v:\n%s", handed, r, out)
+			t.Errorf("%d upgraded, %+v:\n%s", handed, r, out)
 		}
 		if day == "flood" && r.Outcomes.Finished+r.Outcomes.Refused != r.Jobs {
-			t.Errorf("beside the flood: %+v\n%s", r, out)
+			t.Errorf("jobs without an answer during the flood: %+v\n%s", r, out)
 		}
 	}
 }
--- a/cmd/weldlab/scale.go
+++ b/cmd/weldlab/scale.go
@@ -1,4 +1,5 @@
-// This file owns the commands that measure how the program grows, and what the size that is coming comes to.
+// This file contains the commands that measure how the program's resource usage grows, and that compute the
+// needs of a planned deployment size from those measurements.
 
 package main
 
@@ -63,7 +64,7 @@
 	case r.Void != "":
 		return fmt.Errorf("%w: %s", scaletest.ErrVoid, r.Void)
 	case r.Interrupted:
-		fmt.Fprintln(s.out, "interrupted: what was measured until then")
+		fmt.Fprintln(s.out, "interrupted: measurements up to the interruption")
 	}
 	return nil
 }
@@ -120,7 +121,7 @@
 	return r, nil
 }
 
-// beside prints the slopes of two runs of one plan.
+// compareRuns prints the slopes of two runs of the same plan side by side.
 func (c *capacityCommand) compareRuns(s *streams) error {
 	if c.From == "" {
 		return errors.New("capacity: --with needs --from, the other run")
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// slopes prints those of a run in the form of the file.
+// printSlopes prints the slopes of a run in the format of the capacity file.
 func (c *capacityCommand) printSlopes(s *streams) error {
 	r, err := readRun(c.From)
 	if err != nil {
--- a/cmd/weldlab/storm.go
+++ b/cmd/weldlab/storm.go
@@ -1,4 +1,4 @@
-// This file owns the command that plays storms.
+// This file contains the commands storm, for fault-injection runs, and fleet, for fleets in virtual time.
 
 package main
 
@@ -31,7 +31,7 @@
 		return err
 	}
 	if !c.Sockets {
-		return fmt.Errorf("a fleet is played on sockets only: say --sockets")
+		return fmt.Errorf("fleets run in real time only: use --sockets")
 	}
 	o := c.options()
 	o.VoterProgram = c.Voter
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// quantiles says how many there are, their median, 99% and most.
+// quantiles returns the number of values, their median, 99th percentile and maximum as text.
 func quantiles(sorted []float64) string {
 	n := len(sorted)
 	if n == 0 {
