--- a/internal/lab/chaos_test.go
+++ b/internal/lab/chaos_test.go
@@ -14,7 +14,7 @@
 	"weldmast/internal/realtime"
 )
 
-// built holds the two programs of one build, with a change of the source or without.
+// buildPrograms builds the dispatcher and the voter, from the source as it is or with a change.
 func buildPrograms(t *testing.T, change func(read func(path string) string) map[string]string) realtime.Options {
 	t.Helper()
 	dir := t.TempDir()
@@ -34,7 +34,7 @@
 		}
 		for path, text := range change(read) {
 			if text == read(path) {
-				t.Fatalf("%s: what was to be changed is not there any longer", path)
+				t.Fatalf("%s: the text to replace does not occur", path)
 			}
 			other := filepath.Join(dir, strings.ReplaceAll(path, "/", "_"))
 			if err := os.WriteFile(other, []byte(text), 0o600); err != nil {
@@ -59,7 +59,7 @@
 	return realtime.Options{Program: filepath.Join(dir, "weldmast"), VoterProgram: filepath.Join(dir, "weldmast-voter"), MaxLatenessP99: 10, MaxLateness: 200}
 }
 
-// short is the day of lab/fleet-audit.toml in small: three voters and two followers, twelve seconds.
+// shortExperiment is a small version of lab/fleet-audit.toml: three voters and two followers, twelve seconds.
 func shortExperiment(t *testing.T, sets ...string) *fleetmodel.Experiment {
 	t.Helper()
 	x, err := LoadExperiment("../../lab/fleet-audit.toml", append([]string{`length="12s"`, `dispatchers.count=5`, `fleet.voters=3`, `arrivals.rate=80`, `storm.until="6s"`,
@@ -70,13 +70,13 @@
 	return x
 }
 
-// TestStorms plays fixed numbers with real processes: none may be broken.
+// TestChaosRuns runs fixed seeds with real processes: none may violate a rule.
 func TestChaosRuns(t *testing.T) {
 	t.Parallel()
 	o := buildPrograms(t, nil)
 	x, judged := shortExperiment(t), 0
 	for seed := range uint64(4) {
-		// A day on which this machine kept the lab itself waiting shows nothing of the fleet: it is played again.
+		// A run in which this machine delayed the lab itself shows nothing of the fleet: it is repeated.
 		for range 3 {
 			s, err := RunChaos(context.Background(), x, seed, o)
 			if err != nil {
@@ -94,11 +94,11 @@
 		}
 	}
 	if judged == 0 {
-		t.Error("no day was judged: this machine is too busy")
+		t.Error("every run was void: this machine is too busy")
 	}
 }
 
-// TestWrongFleets plays fleets that are wrong in one place each: the judge has to convict them.
+// TestFaultyFleetsDetected runs fleets with one fault each in the source: the checker must detect it.
 func TestFaultyFleetsDetected(t *testing.T) {
 	t.Parallel()
 	for _, w := range []struct {
@@ -109,13 +109,13 @@
 		first, count uint64
 		rules        []invariants.Rule
 	}{
-		{"a lease that outlasts its grant by half", "internal/fleetagent/agent.go", "a.holder.HandleRenewal(sent, reply.Renewal)", "sent = a.opts.Clock.Now() + a.opts.Timing.Lease/2\n\t\ta.holder.HandleRenewal(sent, reply.Renewal)",
+		{"a lease used for half its duration beyond the grant", "internal/fleetagent/agent.go", "a.holder.HandleRenewal(sent, reply.Renewal)", "sent = a.opts.Clock.Now() + a.opts.Timing.Lease/2\n\t\ta.holder.HandleRenewal(sent, reply.Renewal)",
 			[]string{`storm.what=["publish", "publish", "publish", "publish", "link_cut", "link_cut"]`, `storm.span="4s"`, `storm.faults=24`, `storm.most=1`}, 1, 20, []invariants.Rule{invariants.FenceRespected}},
-		{"a promise forgotten at a restart", "internal/consensus/disk_store.go", "\treturn d.write(next, records...)\n}\n\n// Compact", "\treturn nil\n}\n\n// Compact",
+		{"persisted votes lost at a restart", "internal/consensus/disk_store.go", "\treturn d.write(next, records...)\n}\n\n// Compact", "\treturn nil\n}\n\n// Compact",
 			[]string{`storm.what=["publish", "publish", "dispatcher_kill", "dispatcher_kill"]`, `storm.most=5`}, 1, 20, []invariants.Rule{invariants.SingleHistory, invariants.FleetRecovered}},
-		{"a version skipped", "internal/fleet/lease_holder.go", "\th.pendingVersion = newest\n", "\th.pendingVersion = newest\n\tif older, ok := h.state.Version(newest - 1); ok {\n\t\tv.Text = older.Text\n\t}\n",
+		{"a version replaced by the one before", "internal/fleet/lease_holder.go", "\th.pendingVersion = newest\n", "\th.pendingVersion = newest\n\tif older, ok := h.state.Version(newest - 1); ok {\n\t\tv.Text = older.Text\n\t}\n",
 			[]string{`storm.what=["publish", "publish", "publish_twice", "link_late"]`}, 1, 20, []invariants.Rule{invariants.FenceRespected, invariants.AuditComplete}},
-		{"an act booked late", "internal/fleetagent/lease_guard.go", "g.run.RecordAction(g.clock.UnixTime(), a)", "g.run.RecordAction(g.clock.UnixTime()+1500, a)",
+		{"an action recorded late", "internal/fleetagent/lease_guard.go", "g.run.RecordAction(g.clock.UnixTime(), a)", "g.run.RecordAction(g.clock.UnixTime()+1500, a)",
 			[]string{`storm.what=["publish"]`}, 1, 20, []invariants.Rule{invariants.AuditComplete}},
 		{"a snapshot without its last entry", "internal/fleet/state.go", "return Encode(snapshot{FormatVersion, s.data, s.lastEntry}) }",
 			"d := s.data; if k := len(d.Versions); k > 0 { d.Versions = d.Versions[:k-1] }; return Encode(snapshot{FormatVersion, d, s.lastEntry}) }",
@@ -135,13 +135,13 @@
 				for _, v := range s.Violations {
 					for _, rule := range w.rules {
 						if v.Rule == rule {
-							t.Logf("after %d storms: %s", seed-w.first+1, v)
+							t.Logf("detected after %d runs: %s", seed-w.first+1, v)
 							return
 						}
 					}
 				}
 			}
-			t.Errorf("not convicted in %d storms", w.count)
+			t.Errorf("not detected in %d runs", w.count)
 		})
 	}
 }
