--- a/cmd/weldlab/main_test.go
+++ b/cmd/weldlab/main_test.go
@@ -175,30 +175,30 @@
 // rules must hold over the old and the new process together; no job of the upgrade run meets a connection
 // that is refused, reset or left unread, and in spite of the flood every job is answered.
 func TestUpgradeAndFlood(t *testing.T) {
-	for _, day := range []string{"upgrade", "flood"} {
-		logs, json1 := t.TempDir(), filepath.Join(t.TempDir(), "r.jsonl")
-		code, out, errs := runArgs("run", "../../lab/"+day+".toml", "--sockets", "--set", `length="8s"`, "--logs", logs, "--json", json1,
+	for _, experiment := range []string{"upgrade", "flood"} {
+		logs, resultPath := t.TempDir(), filepath.Join(t.TempDir(), "r.jsonl")
+		code, out, errs := runArgs("run", "../../lab/"+experiment+".toml", "--sockets", "--set", `length="8s"`, "--logs", logs, "--json", resultPath,
 			"--program", filepath.Join(programDir, "weldmast"), "--late-p99", "1000", "--late-most", "10000")
 		var r struct {
 			Jobs     int
 			Outcomes struct{ Finished, Refused int }
 		}
-		text, err := os.ReadFile(json1)
+		text, err := os.ReadFile(resultPath)
 		if err == nil {
 			err = json.Unmarshal(text, &r)
 		}
 		if code != 0 || err != nil || !strings.Contains(out, "rules kept") || r.Jobs < 1000 {
-			t.Fatalf("%s ended with %d, %v, %+v:\n%s%s", day, code, err, r, out, errs)
+			t.Fatalf("%s ended with %d, %v, %+v:\n%s%s", experiment, code, err, r, out, errs)
 		}
-		handed := 0
+		upgraded := 0
 		for k := range 3 {
 			text, _ := os.ReadFile(filepath.Join(logs, fmt.Sprintf("n%d.log", k)))
-			handed += strings.Count(string(text), `takeover="handed over"`)
+			upgraded += strings.Count(string(text), `takeover="handed over"`)
 		}
-		if day == "upgrade" && (handed != 3 || r.Outcomes.Finished != r.Jobs || !strings.Contains(out, "tries 1.00")) {
-			t.Errorf("%d upgraded, %+v:\n%s", handed, r, out)
+		if experiment == "upgrade" && (upgraded != 3 || r.Outcomes.Finished != r.Jobs || !strings.Contains(out, "tries 1.00")) {
+			t.Errorf("%d upgraded, %+v:\n%s", upgraded, r, out)
 		}
-		if day == "flood" && r.Outcomes.Finished+r.Outcomes.Refused != r.Jobs {
+		if experiment == "flood" && r.Outcomes.Finished+r.Outcomes.Refused != r.Jobs {
 			t.Errorf("jobs without an answer during the flood: %+v\n%s", r, out)
 		}
 	}
--- a/internal/lab/ceiling.go
+++ b/internal/lab/ceiling.go
@@ -90,7 +90,7 @@
 
 // TopCPU reads a CPU profile and writes the functions with the most CPU time, both their own and including
 // the functions they call.
-func TopCPU(out io.Writer, path string, most int) error {
+func TopCPU(out io.Writer, path string, limit int) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("profile: %w", err)
@@ -100,10 +100,10 @@
 	if err != nil {
 		return fmt.Errorf("profile %s: %w", path, err)
 	}
-	flat, cum, all := map[string]int64{}, map[string]int64{}, int64(0)
+	flat, cum, total := map[string]int64{}, map[string]int64{}, int64(0)
 	for _, s := range p.Sample {
 		v := s.Value[len(s.Value)-1]
-		all += v
+		total += v
 		seen := map[string]bool{}
 		for k, l := range s.Location {
 			for n, line := range l.Line {
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	if all == 0 {
+	if total == 0 {
 		return fmt.Errorf("profile %s: it has no samples", path)
 	}
 	for _, by := range []struct {
@@ -139,8 +139,8 @@
 			return 1
 		})
 		fmt.Fprintf(out, "CPU, %s:\n", by.title)
-		for _, n := range names[:min(most, len(names))] {
-			fmt.Fprintf(out, "  %5.1f%%  %s\n", 100*float64(by.of[n])/float64(all), n)
+		for _, n := range names[:min(limit, len(names))] {
+			fmt.Fprintf(out, "  %5.1f%%  %s\n", 100*float64(by.of[n])/float64(total), n)
 		}
 	}
 	return nil
--- a/internal/lab/chaos.go
+++ b/internal/lab/chaos.go
@@ -22,11 +22,11 @@
 
 // WithSampledFaults returns a copy of the experiment that has the random faults of a seed added.
 func WithSampledFaults(x *fleetmodel.Experiment, seed uint64) *fleetmodel.Experiment {
-	y := *x
-	y.Faults = slices.Clone(x.Faults)
+	experiment := *x
+	experiment.Faults = slices.Clone(x.Faults)
 	s := x.Chaos
 	if s == nil {
-		return &y
+		return &experiment
 	}
 	r := rand.New(rand.NewPCG(seed, 0x73746f726d))
 	damagedVoters := map[int]bool{} // voters that lose persisted state
@@ -59,9 +59,9 @@
 				}
 			}
 		}
-		y.Faults = append(y.Faults, f)
+		experiment.Faults = append(experiment.Faults, f)
 	}
-	slices.SortStableFunc(y.Faults, func(a, b fleetmodel.Fault) int {
+	slices.SortStableFunc(experiment.Faults, func(a, b fleetmodel.Fault) int {
 		switch {
 		case a.At < b.At:
 			return -1
@@ -70,7 +70,7 @@
 		}
 		return 0
 	})
-	return &y
+	return &experiment
 }
 
 // ChaosResult is the result of one fault-injection run.
@@ -110,18 +110,18 @@
 
 // RunChaos runs the faults of one seed in real time.
 func RunChaos(ctx context.Context, x *fleetmodel.Experiment, seed uint64, o realtime.Options) (ChaosResult, error) {
-	y := WithSampledFaults(x, seed)
+	experiment := WithSampledFaults(x, seed)
 	if o.LogDir != "" { // one directory for each seed
 		o.LogDir = filepath.Join(o.LogDir, strconv.FormatUint(seed, 10))
 		if err := os.MkdirAll(o.LogDir, 0o755); err != nil {
 			return ChaosResult{Seed: seed}, fmt.Errorf("logs: %w", err)
 		}
 	}
-	p, err := realtime.Run(ctx, y, seed, o)
+	p, err := realtime.Run(ctx, experiment, seed, o)
 	if err != nil {
 		return ChaosResult{Seed: seed}, err
 	}
-	s := ChaosResult{Seed: seed, Faults: len(y.Faults), Jobs: len(p.Model.Jobs), Answers: p.Model.Checker.Answers, UnansweredWhilePaused: p.Model.Checker.UnansweredWhilePaused, Void: p.Void, Pauses: p.Pauses, experiment: y}
+	s := ChaosResult{Seed: seed, Faults: len(experiment.Faults), Jobs: len(p.Model.Jobs), Answers: p.Model.Checker.Answers, UnansweredWhilePaused: p.Model.Checker.UnansweredWhilePaused, Void: p.Void, Pauses: p.Pauses, experiment: experiment}
 	s.Violations = append(s.Violations, p.Model.Checker.Violations...)
 	if f := p.Fleet; f != nil {
 		s.Violations = append(s.Violations, f.Violations...)
@@ -188,18 +188,18 @@
 // time does not repeat exactly; once a fault is removed, the remaining ones have been part of at least two
 // failed runs.
 func MinimizeFaults(ctx context.Context, s ChaosResult, o realtime.Options, out io.Writer) ([]fleetmodel.Fault, error) {
-	y := *s.experiment
-	for k := len(y.Faults) - 1; k >= 0 && ctx.Err() == nil; k-- {
-		candidate := y
-		candidate.Faults = slices.Delete(slices.Clone(y.Faults), k, k+1)
+	experiment := *s.experiment
+	for k := len(experiment.Faults) - 1; k >= 0 && ctx.Err() == nil; k-- {
+		candidate := experiment
+		candidate.Faults = slices.Delete(slices.Clone(experiment.Faults), k, k+1)
 		p, err := realtime.Run(ctx, &candidate, s.Seed, o)
 		if err != nil {
-			return y.Faults, err
+			return experiment.Faults, err
 		}
 		if !p.Model.Checker.Clean() || p.Fleet != nil && len(p.Fleet.Violations) > 0 {
-			y.Faults = candidate.Faults
+			experiment.Faults = candidate.Faults
 		}
-		fmt.Fprintf(out, "cut: %d faults left\n", len(y.Faults))
+		fmt.Fprintf(out, "cut: %d faults left\n", len(experiment.Faults))
 	}
-	return y.Faults, nil
+	return experiment.Faults, nil
 }
--- a/internal/lab/scenarios.go
+++ b/internal/lab/scenarios.go
@@ -120,7 +120,7 @@
 	var t ScenarioCounts
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	var failed error
+	var failure error
 	numbers := make(chan uint64)
 	for range runtime.GOMAXPROCS(0) {
 		wait.Go(func() {
@@ -135,7 +135,7 @@
 					t.Failed = append(t.Failed, FailedScenario{n, *v})
 				}
 				if err != nil {
-					failed = fmt.Errorf("world %d: %w", n, err)
+					failure = fmt.Errorf("scenario %d: %w", n, err)
 				}
 				if progress != nil {
 					progress(float64(t.Scenarios) / float64(count))
@@ -151,5 +151,5 @@
 	}
 	close(numbers)
 	wait.Wait()
-	return t, failed
+	return t, failure
 }
--- a/internal/lab/theory.go
+++ b/internal/lab/theory.go
@@ -76,7 +76,7 @@
 	tasks := make(chan task)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	var failed error
+	var failure error
 	done := 0
 	total := 0
 	for k, l := range all {
@@ -93,7 +93,7 @@
 				mean, err := simulatedMean(all[t.law], uint64(t.law*1000+t.repeat), jobs)
 				mu.Lock()
 				if means[t.law][t.repeat] = mean; err != nil {
-					failed = err
+					failure = err
 				}
 				if done++; progress != nil {
 					progress(float64(done) / float64(total))
@@ -111,14 +111,14 @@
 	}
 	close(tasks)
 	wait.Wait()
-	if failed == nil {
-		failed = ctx.Err()
+	if failure == nil {
+		failure = ctx.Err()
 	}
 	for k, l := range all {
 		mean, deviation := stat.MeanStdDev(means[k], nil)
 		l.Measured, l.StdError = mean, deviation/math.Sqrt(float64(len(means[k])))
 	}
-	return all, failed
+	return all, failure
 }
 
 // simulatedMean returns the mean of one repetition without its first tenth, the warm-up.
--- a/internal/realtime/fleet.go
+++ b/internal/realtime/fleet.go
@@ -206,12 +206,12 @@
 
 // setDirection sets the fault of one direction between two members: the connections that the sender opens,
 // and its answers on those that the other opens.
-func (f *fleetRun) setDirection(from, to int, m linkFault) {
+func (f *fleetRun) setDirection(from, to int, fault linkFault) {
 	if l := f.relays[[2]int{from, to}]; l != nil {
-		l.setFault(true, m)
+		l.setFault(true, fault)
 	}
 	if l := f.relays[[2]int{to, from}]; l != nil {
-		l.setFault(false, m)
+		l.setFault(false, fault)
 	}
 }
 
@@ -270,15 +270,15 @@
 
 // setLinks sets the fault of all links between the given members and the rest. A one-way fault affects only
 // what the given members send.
-func (f *fleetRun) setLinks(hit []int, m linkFault) {
+func (f *fleetRun) setLinks(hit []int, fault linkFault) {
 	for _, a := range hit {
 		for b := range f.r.dispatchers {
 			if a == b || slices.Contains(hit, b) {
 				continue
 			}
-			f.setDirection(a, b, m)
-			if m.kind != "oneway" {
-				f.setDirection(b, a, m)
+			f.setDirection(a, b, fault)
+			if fault.kind != "oneway" {
+				f.setDirection(b, a, fault)
 			}
 		}
 	}
@@ -357,11 +357,11 @@
 	}
 }
 
-func (f *fleetRun) sleep(span time.Duration) bool {
+func (f *fleetRun) sleep(duration time.Duration) bool {
 	select {
 	case <-f.r.ctx.Done():
 		return false
-	case <-time.After(span):
+	case <-time.After(duration):
 		return true
 	}
 }
--- a/internal/realtime/link_relay.go
+++ b/internal/realtime/link_relay.go
@@ -42,17 +42,17 @@
 func (r *relay) addr() string { return r.listener.Addr().String() }
 
 // setFault replaces the fault of one direction.
-func (r *relay) setFault(forward bool, m linkFault) {
+func (r *relay) setFault(forward bool, fault linkFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if forward {
-		r.forward = m
+		r.forward = fault
 	} else {
-		r.backward = m
+		r.backward = fault
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
-	if m.kind == "reset" {
+	if fault.kind == "reset" {
 		for c := range r.conns {
 			_ = c.SetLinger(0)
 			c.Close()
@@ -101,9 +101,9 @@
 		if err != nil {
 			return
 		}
-		m, _ := r.currentFault(true)
+		fault, _ := r.currentFault(true)
 		from := r.track(c)
-		if m.kind == "cut" || m.kind == "reset" { // the connection fails as if the target were down
+		if fault.kind == "cut" || fault.kind == "reset" { // the connection fails as if the target were down
 			_ = from.SetLinger(0)
 			r.untrack(from)
 			continue
@@ -166,8 +166,8 @@
 // deliver writes a chunk as the current fault demands. It returns false if the connection has ended.
 func (r *relay) deliver(p chunk, to *net.TCPConn, forward bool) bool {
 	for {
-		m, changed := r.currentFault(forward)
-		switch m.kind {
+		fault, changed := r.currentFault(forward)
+		switch fault.kind {
 		case "cut", "reset":
 			_ = to.SetLinger(0)
 			return false
@@ -183,7 +183,7 @@
 		case "late":
 			select { // a change of the fault releases the chunk at once
 			case <-changed:
-			case <-time.After(time.Until(p.readAt.Add(m.delay))):
+			case <-time.After(time.Until(p.readAt.Add(fault.delay))):
 			}
 		case "trickle":
 			if _, err := to.Write(p.data[:1]); err != nil {
--- a/internal/realtime/realtime.go
+++ b/internal/realtime/realtime.go
@@ -131,7 +131,7 @@
 
 // Run runs an experiment. It returns an error if the lab itself fails, for example if a process cannot be
 // started.
-func Run(ctx context.Context, x *fleetmodel.Experiment, seed uint64, o Options) (p *Result, err error) {
+func Run(ctx context.Context, x *fleetmodel.Experiment, seed uint64, o Options) (result *Result, err error) {
 	if o.MemoryMB == 0 {
 		o.MemoryMB = 192
 	}
@@ -180,29 +180,29 @@
 			return nil, err
 		}
 	}
-	p = &Result{Model: r.model, Lateness: r.lateness}
-	p.ArrivalStart = arrivalDelay
-	r.model.Begin(r, p.ArrivalStart)
-	p.Complete = r.eventLoop(ctx, p.ArrivalStart)
+	result = &Result{Model: r.model, Lateness: r.lateness}
+	result.ArrivalStart = arrivalDelay
+	r.model.Begin(r, result.ArrivalStart)
+	result.Complete = r.eventLoop(ctx, result.ArrivalStart)
 	if r.failure != nil {
 		return nil, r.failure
 	}
-	if p.Complete && !o.Endless {
+	if result.Complete && !o.Endless {
 		r.advance(r.now() + 300)
 		r.model.Checker.Finish(r.model.Now())
 		if r.fleet != nil {
-			p.Fleet = r.fleet.check()
-			p.Pauses = r.fleet.pauses
+			result.Fleet = r.fleet.check()
+			result.Pauses = r.fleet.pauses
 		}
 	}
 	for _, h := range r.dispatchers {
 		r.addRunningUsage(h)
-		p.Usage = append(p.Usage, h.usage)
+		result.Usage = append(result.Usage, h.usage)
 	}
 	if late, most := float64(r.lateness.ValueAtQuantile(99))/1000, float64(r.lateness.Max())/1000; late > o.MaxLatenessP99 || most > o.MaxLateness {
-		p.Void = fmt.Sprintf("the lab itself was late by %.1f ms at p99 (%.1f allowed), %.1f at most (%.1f)", late, o.MaxLatenessP99, most, o.MaxLateness)
+		result.Void = fmt.Sprintf("the lab itself was late by %.1f ms at p99 (%.1f allowed), %.1f at most (%.1f)", late, o.MaxLatenessP99, most, o.MaxLateness)
 	}
-	return p, nil
+	return result, nil
 }
 
 // now returns the model's time: milliseconds since the start of the run.
@@ -498,7 +498,7 @@
 }
 
 // onceReady executes a function in the event loop once a process answers that it is ready.
-func (r *run) onceReady(url string, then func()) {
+func (r *run) onceReady(url string, action func()) {
 	for startedAt := time.Now(); time.Since(startedAt) < readyTimeout && r.ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 		resp, err := r.httpClient.Get(url)
 		if err != nil {
@@ -506,7 +506,7 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
-			r.enqueue(then)
+			r.enqueue(action)
 			return
 		}
 	}
@@ -541,9 +541,9 @@
 
 // FloodConnections opens connections that never send a complete request: half of them send nothing, half send
 // the beginning of a request.
-func (r *run) FloodConnections(d int, rate, span float64) {
+func (r *run) FloodConnections(d int, rate, duration float64) {
 	h := r.dispatchers[d]
-	for k := range int(rate * span / 1000) {
+	for k := range int(rate * duration / 1000) {
 		time.AfterFunc(time.Duration(float64(k)/rate*1e9), func() {
 			c, err := net.Dial("tcp4", h.listen)
 			if err != nil {
--- a/internal/realtime/stubs.go
+++ b/internal/realtime/stubs.go
@@ -232,9 +232,9 @@
 }
 
 // HandOffEnded answers a hand-off's request.
-func (r *run) HandOffEnded(_ int, h *fleetmodel.HandOff, how fleetmodel.HandOffResult) {
+func (r *run) HandOffEnded(_ int, h *fleetmodel.HandOff, result fleetmodel.HandOffResult) {
 	select {
-	case h.Tag.(chan fleetmodel.HandOffResult) <- how:
+	case h.Tag.(chan fleetmodel.HandOffResult) <- result:
 	default: // it was answered before
 	}
 }
@@ -281,15 +281,15 @@
 }
 
 func (r *run) postCallback(url string, body []byte) bool {
-	q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(q)
-	defer fasthttp.ReleaseResponse(a)
-	q.SetRequestURI(url)
-	q.Header.SetMethod(fasthttp.MethodPost)
-	q.SetBodyRaw(body)
-	err := r.callbackClient.Do(q, a)
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.SetRequestURI(url)
+	request.Header.SetMethod(fasthttp.MethodPost)
+	request.SetBodyRaw(body)
+	err := r.callbackClient.Do(request, response)
 	r.noteDescriptorError(err)
-	return err == nil && a.StatusCode() < 300
+	return err == nil && response.StatusCode() < 300
 }
 
 var phaseNames = map[dispatch.WorkerState]string{dispatch.Up: "in_service", dispatch.Draining: "terminating", dispatch.Gone: "terminated"}
@@ -313,9 +313,9 @@
 }
 
 // serveDiscovery is the discovery agent of one dispatcher.
-func (r *run) serveDiscovery(h *dispatcher, w http.ResponseWriter, q *http.Request) {
+func (r *run) serveDiscovery(h *dispatcher, w http.ResponseWriter, request *http.Request) {
 	lines := make(chan []byte, 256)
-	after, err := strconv.ParseInt(q.FormValue("after"), 10, 64)
+	after, err := strconv.ParseInt(request.FormValue("after"), 10, 64)
 	if err != nil {
 		after = -1
 	}
@@ -336,7 +336,7 @@
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		case text, open := <-lines:
 			if !open {
@@ -345,7 +345,7 @@
 			if _, err := w.Write(append(text, '\n')); err != nil {
 				return
 			}
-			if q.FormValue("watch") == "" {
+			if request.FormValue("watch") == "" {
 				return
 			}
 		case <-keepAlive.C:
@@ -397,45 +397,45 @@
 	ctx, cancel := context.WithCancel(r.ctx)
 	h.cancelRequest[t.ID] = cancel
 	j := t.Job
-	left := t.Deadline - r.model.Now()
+	remaining := t.Deadline - r.model.Now()
 	tenant := ""
 	if j.Tenant >= 0 {
 		tenant = r.experiment.Tenants[j.Tenant].Name
 	}
 	r.goroutines.Go(func() {
 		defer cancel()
-		q, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s/%d", h.listen, r.experiment.Categories[j.Category].Name, j.Number), http.NoBody)
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s/%d", h.listen, r.experiment.Categories[j.Category].Name, j.Number), http.NoBody)
 		if err != nil {
 			panic(err) // cannot happen: the address and the names are valid
 		}
-		q.Header = http.Header{"X-Request-Id": {t.ID}, "X-Deadline": {strconv.FormatFloat(max(left, 0)/1000, 'f', 6, 64)}}
+		request.Header = http.Header{"X-Request-Id": {t.ID}, "X-Deadline": {strconv.FormatFloat(max(remaining, 0)/1000, 'f', 6, 64)}}
 		if j.Hint > 0 {
-			q.Header["X-Cost-Hint"] = []string{strconv.FormatFloat(j.Hint*1000, 'f', 3, 64)}
+			request.Header["X-Cost-Hint"] = []string{strconv.FormatFloat(j.Hint*1000, 'f', 3, 64)}
 		}
 		if tenant != "" {
-			q.Header["X-Tenant"] = []string{tenant}
+			request.Header["X-Tenant"] = []string{tenant}
 		}
 		if t.Retry {
-			q.Header["X-Retry"] = []string{"1"}
+			request.Header["X-Retry"] = []string{"1"}
 		}
-		a, err := r.httpClient.Do(q)
+		response, err := r.httpClient.Do(request)
 		var body []byte
 		if err == nil {
-			body, err = io.ReadAll(a.Body)
-			a.Body.Close()
+			body, err = io.ReadAll(response.Body)
+			response.Body.Close()
 		}
-		left := ctx.Err() != nil
+		clientLeft := ctx.Err() != nil
 		r.noteDescriptorError(err)
 		r.enqueue(func() {
 			delete(h.cancelRequest, t.ID)
 			switch {
-			case left && err != nil:
+			case clientLeft && err != nil:
 			case err != nil:
 				r.model.ConnectionBroken(t, errors.Is(err, syscall.ECONNREFUSED))
-			case a.StatusCode == http.StatusOK:
+			case response.StatusCode == http.StatusOK:
 				r.model.Answer(d, t.ID, fleetmodel.Served, string(body), 0)
-			case slices.Contains([]int{http.StatusTooManyRequests, http.StatusServiceUnavailable}, a.StatusCode):
-				retryAfter, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64) // 0 without the header
+			case slices.Contains([]int{http.StatusTooManyRequests, http.StatusServiceUnavailable}, response.StatusCode):
+				retryAfter, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0 without the header
 				r.model.Answer(d, t.ID, fleetmodel.RetryLater, "", retryAfter*1000)
 			default:
 				r.model.Answer(d, t.ID, fleetmodel.OtherStatus, "", 0)
