--- a/internal/lab/chaos.go
+++ b/internal/lab/chaos.go
@@ -1,5 +1,5 @@
 // This file contains fault-injection runs in real time: runs with random faults by seed, each checked, and
-// the reduction of a failed run to the fewest faults with which it still fails.
+// the reduction of a run with a violation to the fewest faults that still cause one.
 
 package lab
 
@@ -146,10 +146,11 @@
 	return head + ": kept"
 }
 
+// startInterval is the delay between the starts of runs in parallel.
 const startInterval = 3 * time.Second
 
 // RunChaosSeries runs consecutive seeds, some of them in parallel, and prints a line for each. A run that
-// failed, or is void without a violation, is repeated up to two times.
+// returned an error, or is void without a violation, is repeated up to two times.
 func RunChaosSeries(ctx context.Context, x *fleetmodel.Experiment, first uint64, count, parallel int, o realtime.Options, out io.Writer) (all []ChaosResult, err error) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -184,9 +185,9 @@
 	return all, err
 }
 
-// MinimizeFaults removes one fault after another as long as the run still fails without it. A run in real
-// time does not repeat exactly; once a fault is removed, the remaining ones have been part of at least two
-// failed runs.
+// MinimizeFaults removes one fault after another as long as the run still violates a rule without it. A
+// run in real time does not repeat exactly; once a fault is removed, the remaining ones have been part of at
+// least two runs with a violation.
 func MinimizeFaults(ctx context.Context, s ChaosResult, o realtime.Options, out io.Writer) ([]fleetmodel.Fault, error) {
 	experiment := *s.experiment
 	for k := len(experiment.Faults) - 1; k >= 0 && ctx.Err() == nil; k-- {
--- a/internal/realtime/fleet.go
+++ b/internal/realtime/fleet.go
@@ -47,11 +47,12 @@
 
 	mu         sync.Mutex
 	pauses     []Pause
-	settled    chan struct{} // closed when the fleet has recovered, or has failed to in time
+	settled    chan struct{} // closed when the fleet has recovered or its time for that is over
 	checker    invariants.FleetChecker
 	unanswered map[string]bool // IDs of publish requests without an answer
 }
 
+// newFleet writes the members' files, opens the relays and starts the operator.
 func (r *run) newFleet(seed uint64) error {
 	f := &fleetRun{r: r, config: r.experiment.Fleet, rng: rand.New(rand.NewPCG(seed, 0x666c)), relays: map[[2]int]*relay{}, client: fleetrpc.NewClient(fleetName, nil),
 		folderFaults: map[int]string{}, undoFault: map[*fleetmodel.Fault]func(){}, unanswered: map[string]bool{}, settled: make(chan struct{}),
@@ -204,8 +205,8 @@
 	})
 }
 
-// setDirection sets the fault of one direction between two members: the connections that the sender opens,
-// and its answers on those that the other opens.
+// setDirection sets the fault of all that one member sends to another, on the connections that either of them
+// opened.
 func (f *fleetRun) setDirection(from, to int, fault linkFault) {
 	if l := f.relays[[2]int{from, to}]; l != nil {
 		l.setFault(true, fault)
@@ -312,11 +313,11 @@
 // publishOnce sends one publish request and returns whether it was answered.
 func (f *fleetRun) publishOnce(request string, at int, fence bool) bool {
 	call := invariants.OperatorCall{Start: f.r.now(), Request: request}
-	a, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.PublishVersion, RequestID: request, RequestedBy: "lab", IssuedAt: float64(time.Now().UnixMilli()),
+	reply, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.PublishVersion, RequestID: request, RequestedBy: "lab", IssuedAt: float64(time.Now().UnixMilli()),
 		Text: []byte(`{"mark":"` + request + `"}`), Fence: fence}}, adminTimeout)
 	call.End = f.r.now()
-	call.Answered = err == nil && !a.NoLeader && a.Error == ""
-	call.Version = a.Result.Version
+	call.Answered = err == nil && !reply.NoLeader && reply.Error == ""
+	call.Version = reply.Result.Version
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.checker.Calls = append(f.checker.Calls, call)
@@ -330,22 +331,22 @@
 // status requests the fleet's status from one member.
 func (f *fleetRun) status(at int, withAudit bool) (fleetrpc.AdminReply, bool) {
 	call := invariants.OperatorCall{Start: f.r.now()}
-	a, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Audit: withAudit}, statusTimeout)
+	reply, err := f.client.Admin(f.addrs[at], fleetrpc.AdminRequest{Audit: withAudit}, statusTimeout)
 	call.End = f.r.now()
-	if err != nil || a.Status == nil {
-		return a, false
+	if err != nil || reply.Status == nil {
+		return reply, false
 	}
-	call.Answered, call.Version = true, a.Status.NewestVersion
+	call.Answered, call.Version = true, reply.Status.NewestVersion
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.checker.Calls = append(f.checker.Calls, call)
-	f.updatePauses(call, a.Status.Members)
-	if st := a.Status; st.FenceCompleteAt > 0 {
-		if _, told := f.checker.FenceCompleted[st.FencedVersion]; !told {
+	f.updatePauses(call, reply.Status.Members)
+	if st := reply.Status; st.FenceCompleteAt > 0 {
+		if _, known := f.checker.FenceCompleted[st.FencedVersion]; !known {
 			f.checker.FenceCompleted[st.FencedVersion] = call.End
 		}
 	}
-	return a, true
+	return reply, true
 }
 
 // watchStatus is an operator who requests the status repeatedly.
@@ -357,6 +358,7 @@
 	}
 }
 
+// sleep returns false if the run ends first.
 func (f *fleetRun) sleep(duration time.Duration) bool {
 	select {
 	case <-f.r.ctx.Done():
@@ -366,8 +368,8 @@
 	}
 }
 
-// awaitRecovery runs after the last fault. It repeats the publish requests without an answer and adds voters
-// that lost their folders again. All members must become current in time.
+// awaitRecovery runs after the last fault. It repeats the publish requests without an answer and re-adds
+// voters that lost their state folder. All members must become current in time.
 func (f *fleetRun) awaitRecovery() {
 	defer close(f.settled)
 	startedAt := f.r.now()
@@ -385,12 +387,12 @@
 			f.publishOnce(request, k%len(f.addrs), false)
 		}
 		for at := range f.addrs {
-			a, ok := f.status(at, false)
+			reply, ok := f.status(at, false)
 			if !ok {
 				continue
 			}
 			reason = ""
-			for _, m := range a.Status.Members {
+			for _, m := range reply.Status.Members {
 				if strings.HasPrefix(m.VoterState, "lost its folder") {
 					f.addVoter(m.Member)
 				}
@@ -398,8 +400,8 @@
 					reason += fmt.Sprintf(" %s is %s (%s)", m.Member, m.State, m.Cause)
 				}
 			}
-			if len(a.Status.Members) < len(f.addrs) {
-				reason += fmt.Sprintf(" %d of %d members", len(a.Status.Members), len(f.addrs))
+			if len(reply.Status.Members) < len(f.addrs) {
+				reason += fmt.Sprintf(" %d of %d members", len(reply.Status.Members), len(f.addrs))
 			}
 			break
 		}
@@ -412,7 +414,7 @@
 	f.checker.NotRecovered(f.r.now(), fmt.Sprintf("%.0f ms after the last fault:%s", f.r.now()-startedAt, reason))
 }
 
-// addVoter adds a voter that lost its folder again, under a new raft ID.
+// addVoter re-adds a voter that lost its state folder, under a new raft ID.
 func (f *fleetRun) addVoter(name string) {
 	// awaitRecovery repeats it if it fails
 	_, _ = f.client.Admin(f.addrs[0], fleetrpc.AdminRequest{Command: fleet.Command{Kind: fleet.AddVoter, Member: name, RequestID: "seat " + name, RequestedBy: "lab"}}, adminTimeout)
@@ -432,8 +434,8 @@
 	<-f.settled
 	time.Sleep(2 * time.Duration(f.config.HeartbeatInterval*1e6)) // the last actions arrive with the next heartbeats
 	for k := range 3 * len(f.addrs) {
-		if a, ok := f.status(k%len(f.addrs), true); ok && a.Audit != nil {
-			audit = a.Audit
+		if reply, ok := f.status(k%len(f.addrs), true); ok && reply.Audit != nil {
+			audit = reply.Audit
 			break
 		}
 	}
--- a/internal/realtime/link_relay.go
+++ b/internal/realtime/link_relay.go
@@ -29,6 +29,7 @@
 	bytesPassed int64
 }
 
+// newRelay starts a relay to a target address.
 func newRelay(target string) (*relay, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -60,6 +61,7 @@
 	}
 }
 
+// currentFault returns the fault of one direction and a channel that is closed when a fault changes.
 func (r *relay) currentFault(forward bool) (linkFault, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/realtime/stubs.go
+++ b/internal/realtime/stubs.go
@@ -51,11 +51,13 @@
 	run      *run
 }
 
+// trackedConn is a connection that a trackingListener has accepted.
 type trackedConn struct {
 	*net.TCPConn
 	endpoint *endpoint
 }
 
+// Close closes the connection and removes it from its endpoint.
 func (c *trackedConn) Close() error {
 	c.endpoint.mu.Lock()
 	delete(c.endpoint.conns, c)
@@ -63,6 +65,7 @@
 	return c.TCPConn.Close()
 }
 
+// Accept accepts a connection and adds it to the endpoint.
 func (a trackingListener) Accept() (net.Conn, error) {
 	c, err := a.Listener.Accept()
 	if err != nil {
@@ -76,6 +79,7 @@
 	return x, nil
 }
 
+// newWorker opens the addresses of a worker.
 func (r *run) newWorker(m fleetmodel.WorkerEntry) error {
 	s := &stubWorker{id: m.ID}
 	for _, h := range r.dispatchers {
@@ -90,6 +94,7 @@
 	return nil
 }
 
+// openEndpoint listens on an address and serves it.
 func (r *run) openEndpoint(d *endpoint, at string) error {
 	l, err := net.Listen("tcp4", at)
 	if err != nil {
