--- a/cmd/weldlab/commands.go
+++ b/cmd/weldlab/commands.go
@@ -92,6 +92,7 @@
 	return nil
 }
 
+// runCommand runs one experiment once.
 type runCommand struct {
 	Path    string `arg:"" name:"file" help:"The experiment."`
 	Seed    uint64 `default:"1" help:"What all is drawn from."`
@@ -141,6 +142,7 @@
 	return all
 }
 
+// compareCommand compares two policies, or two programs, with the same seeds.
 type compareCommand struct {
 	Path    string   `arg:"" name:"file" help:"The experiment."`
 	A       string   `arg:"" help:"weldmast or a baseline; with --sockets a program."`
@@ -175,6 +177,7 @@
 	return c.write(s, append(as, bs...))
 }
 
+// sweepCommand runs an experiment with each of several values of one setting.
 type sweepCommand struct {
 	File   string   `arg:"" help:"The experiment."`
 	Key    string   `arg:"" help:"The value to change, as arrivals.load."`
@@ -207,6 +210,7 @@
 	return resultError(all)
 }
 
+// tableCommand runs all policies in several experiments.
 type tableCommand struct {
 	Files    []string `arg:"" help:"The experiments."`
 	Seeds    int      `default:"10" help:"How many, the same for all."`
@@ -234,6 +238,7 @@
 	return nil
 }
 
+// theoryCommand compares the model with queueing theory.
 type theoryCommand struct {
 	Repeats int `default:"48" help:"Repetitions of each law."`
 	Jobs    int `default:"100000" help:"Jobs of each."`
@@ -250,6 +255,7 @@
 	return nil
 }
 
+// worldsCommand runs small random scenarios and checks the rules in each.
 type worldsCommand struct {
 	Count   int    `default:"1000" help:"How many."`
 	First   uint64 `default:"1" help:"Number of the first; the same number is the same world."`
@@ -272,6 +278,7 @@
 	return err
 }
 
+// reportCommand draws a report of stored results.
 type reportCommand struct {
 	Results []string `arg:"" help:"Files with lines of JSON, as --json writes them."`
 	Out     string   `short:"o" default:"report.html" help:"The page."`
--- a/cmd/weldlab/live.go
+++ b/cmd/weldlab/live.go
@@ -17,6 +17,7 @@
 	"weldmast/internal/realtime"
 )
 
+// ceilingCommand raises the rate until a dispatcher adds more latency than the bound.
 type ceilingCommand struct {
 	Path    string   `arg:"" name:"file" default:"lab/ceiling.toml" help:"The experiment; its rate is raised."`
 	From    float64  `default:"1000" help:"The first rate, work items a second."`
@@ -74,6 +75,7 @@
 //go:embed demo.toml
 var demoExperiment []byte
 
+// demoCommand shows a dispatcher among stubs live; keys inject faults.
 type demoCommand struct {
 	Fault   string `placeholder:"WHAT" help:"A trouble to begin with after five seconds: kill, vanish, site_loss, drain, slow, dispatcher_kill."`
 	Seconds int    `default:"0" help:"End by itself after so long; 0: at Ctrl-C."`
--- a/cmd/weldlab/scale.go
+++ b/cmd/weldlab/scale.go
@@ -15,6 +15,7 @@
 	"weldmast/internal/scaletest"
 )
 
+// scaleCommand runs a scale plan and prints the fits.
 type scaleCommand struct {
 	Path    string `arg:"" name:"file" help:"The plan, as lab/capacity.toml."`
 	Program string `default:"bin/weldmast" help:"The dispatcher's program."`
@@ -37,7 +38,7 @@
 		return fmt.Errorf("scale: %w", err)
 	}
 	report := func(line string) { fmt.Fprintln(s.errs, line) }
-	r, err := scale.Play(ctx, p, scale.Options{Program: c.Program, Voter: c.Voter, Self: []string{self, "hollow"}, Tell: report})
+	r, err := scaletest.Run(ctx, p, scaletest.Options{DispatcherProgram: c.Program, VoterProgram: c.Voter, StubCommand: []string{self, "hollow"}, Progress: report})
 	if err != nil {
 		return err
 	}
@@ -69,12 +70,14 @@
 	return nil
 }
 
+// hollowCommand is a stub process of a scale run. It reads its task from standard input.
 type hollowCommand struct{}
 
 func (hollowCommand) Run(ctx context.Context, s *streams) error {
 	return scaletest.RunStub(ctx, os.Stdin, s.out)
 }
 
+// capacityCommand prints the tables of a deployment size, or the slopes of scale runs.
 type capacityCommand struct {
 	Path string `arg:"" optional:"" name:"file" default:"docs/capacity/size.toml" help:"The size, what is assumed, and the slopes with their runs."`
 	JSON bool   `name:"json" help:"Print the tables as JSON."`
@@ -109,6 +112,7 @@
 	return nil
 }
 
+// readRun reads the result of a scale run.
 func readRun(path string) (*scaletest.Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -150,8 +154,8 @@
 			within++
 			verdict = "yes"
 		}
-		fmt.Fprintf(s.out, "| %s | %s | %s | %s to %s | %s | %s to %s | %s |\n", p.Name, p.Unit, scale.Number(p.A.Slope), scale.Number(p.A.Low), scale.Number(p.A.High),
-			scale.Number(p.B.Slope), scale.Number(p.B.Low), scale.Number(p.B.High), verdict)
+		fmt.Fprintf(s.out, "| %s | %s | %s | %s to %s | %s | %s to %s | %s |\n", p.Name, p.Unit, scaletest.FormatNumber(p.A.Slope), scaletest.FormatNumber(p.A.Low), scaletest.FormatNumber(p.A.High),
+			scaletest.FormatNumber(p.B.Slope), scaletest.FormatNumber(p.B.Low), scaletest.FormatNumber(p.B.High), verdict)
 	}
 	fmt.Fprintf(s.out, "\n%d slopes: %d in each other's interval, %d with intervals that overlap\n", len(all), within, overlap)
 	return nil
--- a/cmd/weldlab/storm.go
+++ b/cmd/weldlab/storm.go
@@ -13,6 +13,7 @@
 	"weldmast/internal/virtualtime"
 )
 
+// stormCommand runs an experiment with random faults, one run per seed, against real processes.
 type stormCommand struct {
 	Path    string `arg:"" name:"file" help:"The experiment, with a [storm] that says what is drawn."`
 	Seed    uint64 `default:"1" help:"The first number."`
@@ -31,7 +32,7 @@
 		return err
 	}
 	if !c.Sockets {
-		return fmt.Errorf("fleets run in real time only: use --sockets")
+		return fmt.Errorf("fault-injection runs need real processes: use --sockets")
 	}
 	o := c.options()
 	o.VoterProgram = c.Voter
@@ -87,6 +88,8 @@
 	return fmt.Sprintf("%d (ms: median %.0f, 99%% %.0f, most %.0f)", n, sorted[n/2], sorted[n*99/100], sorted[n-1])
 }
 
+// fleetTableCommand runs fleets in virtual time: a table over the number of members, or many small fleets with
+// random faults.
 type fleetTableCommand struct {
 	Members []int   `default:"10,100,300,1000" help:"How many members, a line each."`
 	Loss    float64 `default:"0.1" help:"Share of messages that are lost, one way."`
@@ -113,6 +116,7 @@
 	return nil
 }
 
+// median returns the upper median of sorted values; -1 if there are none.
 func median(sorted []float64) float64 {
 	if len(sorted) == 0 {
 		return -1
@@ -120,6 +124,7 @@
 	return sorted[len(sorted)/2]
 }
 
+// runSmallFleets runs one fleet of 7 members per seed, with random faults, and prints each violation.
 func (c *fleetTableCommand) runSmallFleets(ctx context.Context, s *streams) error {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
--- a/internal/lab/scenarios.go
+++ b/internal/lab/scenarios.go
@@ -36,13 +36,13 @@
 	oneMillis := func(values ...float64) fleetmodel.Millis { return fleetmodel.Millis(oneOf(values...)) }
 	x.Length = oneMillis(1000, 3000, 6000)
 	d := &x.Dispatchers
-	d.Count, d.PeerMessages, d.SecondCopies, d.MayCancel, d.HonorPauses = 1+sample(4), coin(), coin(), coin(), coin()
+	d.Count, d.PeerMessages, d.SecondCopies, d.MayCancel, d.HonorRetryAfter = 1+sample(4), coin(), coin(), coin(), coin()
 	d.DiscoveryOnRequest, d.MaxHandOffs, d.MaxOpen = sample(4) == 0, 1+sample(5), int(oneOf(5, 50, 20000))
 	d.RestartDelay, d.StopTimeout = oneMillis(100, 1000), oneMillis(500, 3700)
 	x.Network.CrossSite, x.Network.Jitter = oneMillis(1, 20), oneMillis(0, 0.05, 2)
 	x.Network.DiscoveryDelay, x.Network.DetectionDelay, x.Network.IdleTimeout = oneMillis(1, 100, 400), oneMillis(100, 2000), oneMillis(50, 15000)
 	x.Workers.Sites = 1 + sample(3)
-	x.Workers.WarmUp, x.Workers.OverloadWindow, x.Workers.StartShare = oneMillis(500, 3000, 10000), oneMillis(500, 2000), oneOf(0.05, 0.1, 0.5)
+	x.Workers.WarmUpTime, x.Workers.OverloadWindow, x.Workers.StartCapacity = oneMillis(500, 3000, 10000), oneMillis(500, 2000), oneOf(0.05, 0.1, 0.5)
 	x.Workers.ReportStart, x.Workers.ProgressInterval = coin(), oneMillis(0, 100, 1000)
 	x.Kinds = nil
 	for k := range 1 + sample(3) {
@@ -57,9 +57,9 @@
 	for k := range 1 + sample(3) {
 		c := fleetmodel.Category{Name: string(rune('a' + k))}
 		c.Defaults()
-		c.Repeat = []string{"rerunnable", "ticketed", "exclusive"}[sample(3)]
-		c.Group = []string{"all", "zone"}[sample(2)]
-		c.TicketWindow, c.DueTime, c.Expiry = oneMillis(0, 200, 2000), oneMillis(50, 500), oneMillis(100, 1000, 3000)
+		c.RepeatPolicy = []string{"rerunnable", "ticketed", "exclusive"}[sample(3)]
+		c.DedupScope = []string{"all", "zone"}[sample(2)]
+		c.DedupWindow, c.DueTime, c.Expiry = oneMillis(0, 200, 2000), oneMillis(50, 500), oneMillis(100, 1000, 3000)
 		c.MeanCost, c.Distribution, c.HintSigma = oneMillis(2, 20, 100), []string{"fixed", "exponential", "pareto"}[sample(3)], oneOf(0, 0.5)
 		c.NoHintShare, c.MaxCostFactor = oneOf(0, 0.2, 1), 50
 		x.Categories = append(x.Categories, c)
