--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -322,11 +322,11 @@
 		b.updateCutoff(fastShare)
 	}
 	small := it.Hint <= b.cutoff
-	lane := slices.DeleteFunc(slices.Clone(all), func(w *worker) bool { return fast[w.Kind] != small })
-	if len(lane) == 0 {
-		lane = all
+	bin := slices.DeleteFunc(slices.Clone(all), func(w *worker) bool { return fast[w.Kind] != small })
+	if len(bin) == 0 {
+		bin = all
 	}
-	return lane[b.rnd.IntN(len(lane))]
+	return bin[b.rnd.IntN(len(bin))]
 }
 
 // updateCutoff sets the hint below which the recent hints make up a share of the work.
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -41,13 +41,13 @@
 
 // Timing of the consensus group, in milliseconds, and its bounds in entries.
 const (
-	HeartbeatInterval  = 50  // of the leader
-	minElectionTimeout = 400 // without contact to a leader; the timeout is random, up to twice as long
-	storeRetryInterval = 1000
-	retainedEntries    = 1024 // entries of the history kept in memory for members that are behind
-	readInterval       = 25   // minimum time between two reads: all heartbeats that arrive in between share one
-	compactThreshold   = 512
-	compactRetained    = 128
+	raftHeartbeatInterval = 50  // of the leader
+	minElectionTimeout    = 400 // without contact to a leader; the timeout is random, up to twice as long
+	storeRetryInterval    = 1000
+	retainedEntries       = 1024 // entries of the history kept in memory for members that are behind
+	readInterval          = 25   // minimum time between two reads: all heartbeats that arrive in between share one
+	compactThreshold      = 512
+	compactRetained       = 128
 )
 
 // Errors returned to callers.
@@ -61,7 +61,7 @@
 )
 
 // InitialRaftID returns the raft ID of a voter that never lost its directory.
-func InitialRaftID(fleetName, voter string) uint64 {
+func DeriveRaftID(fleetName, voter string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(fleetName + "\x00" + voter))
 	return h.Sum64() | 1
@@ -96,7 +96,7 @@
 
 // queuedRead is a heartbeat, or another read, that waits for a quorum to confirm that this voter is the
 // leader.
-type queuedRead struct {
+type pendingRead struct {
 	heartbeat   fleet.Heartbeat
 	receivedAt  float64
 	reply       func(fleet.LeaseRenewal, error)
@@ -131,8 +131,8 @@
 	peerContact      map[uint64]float64
 	nextTick         float64
 	proposals        map[string][]proposal
-	queuedReads      []queuedRead // not part of a read yet
-	activeReads      []queuedRead // part of the read in progress
+	queuedReads      []pendingRead // not part of a read yet
+	activeReads      []pendingRead // part of the read in progress
 	readStartedAt    float64
 	readSeq          uint64
 	confirmedIndex   uint64 // the active reads complete once this index is applied; 0: not confirmed
@@ -230,7 +230,7 @@
 	}
 	switch {
 	case c.isLeader() && now >= c.nextTick:
-		c.nextTick = now + HeartbeatInterval
+		c.nextTick = now + raftHeartbeatInterval
 		c.rawNode.Tick()
 		c.reconcileVoters()
 	case !c.isLeader() && now >= c.electionDeadline:
@@ -377,12 +377,12 @@
 
 // Heartbeat handles a member's heartbeat. It calls reply once, after a quorum has confirmed that this voter
 // is the leader.
-func (c *Core) Heartbeat(now float64, hb fleet.Heartbeat, reply func(fleet.LeaseRenewal, error)) {
+func (c *Core) QueueHeartbeat(now float64, hb fleet.Heartbeat, reply func(fleet.LeaseRenewal, error)) {
 	if c.stopped || !c.isLeader() {
 		reply(fleet.LeaseRenewal{}, ErrNotLeader)
 		return
 	}
-	c.queuedReads = append(c.queuedReads, queuedRead{heartbeat: hb, receivedAt: now, reply: reply})
+	c.queuedReads = append(c.queuedReads, pendingRead{heartbeat: hb, receivedAt: now, reply: reply})
 }
 
 // ReadIndex calls onConfirmed once a quorum has confirmed that this voter is the leader, so that the read
@@ -392,7 +392,7 @@
 		onConfirmed(ErrNotLeader)
 		return
 	}
-	c.queuedReads = append(c.queuedReads, queuedRead{receivedAt: now, onConfirmed: onConfirmed})
+	c.queuedReads = append(c.queuedReads, pendingRead{receivedAt: now, onConfirmed: onConfirmed})
 }
 
 // TakeMessages returns the messages to send. A leader without contact to a quorum suppresses its leader
@@ -520,7 +520,7 @@
 	c.activeReads, c.queuedReads = nil, nil
 }
 
-func (c *Core) rejectReads(reads []queuedRead) {
+func (c *Core) rejectReads(reads []pendingRead) {
 	for _, b := range reads {
 		if b.onConfirmed != nil {
 			b.onConfirmed(ErrNotLeader)
@@ -578,8 +578,8 @@
 			b.onConfirmed(nil)
 			continue
 		}
-		r, unknown := c.leases.Heartbeat(b.receivedAt, b.heartbeat, c.state)
-		if unknown {
+		r, notAdmitted := c.leases.HandleHeartbeat(b.receivedAt, b.heartbeat, c.state)
+		if notAdmitted {
 			c.admitMember(b)
 			continue
 		}
@@ -589,7 +589,7 @@
 
 // admitMember proposes to admit a member, which it needs before it can get a lease. The member sends another
 // heartbeat.
-func (c *Core) admitMember(read queuedRead) {
+func (c *Core) admitMember(read pendingRead) {
 	cmd := fleet.Command{Kind: fleet.AdmitMember, RequestID: "admit " + read.heartbeat.RunID + " " + read.heartbeat.Address, RequestedBy: read.heartbeat.Member, Member: read.heartbeat.Member, Address: read.heartbeat.Address, IsolationPolicy: read.heartbeat.IsolationPolicy, RunID: read.heartbeat.RunID}
 	if k := len(read.heartbeat.Runs) - 1; k >= 0 {
 		cmd.IssuedAt, cmd.RunStartedAt = read.heartbeat.Runs[k].KnownUntil, read.heartbeat.Runs[k].StartedAt
@@ -599,7 +599,7 @@
 			c.proposals[cmd.RequestID] = []proposal{{cmd, func(fleet.Result, error) {}}}
 		}
 	}
-	read.reply(fleet.LeaseRenewal{NewestVersion: c.state.NewestVersion(), FencedVersion: c.state.FencedVersion(), Reason: "being admitted", RetryAfter: HeartbeatInterval}, nil)
+	read.reply(fleet.LeaseRenewal{NewestVersion: c.state.NewestVersion(), FencedVersion: c.state.FencedVersion(), Reason: "being admitted", RetryAfter: raftHeartbeatInterval}, nil)
 }
 
 // compact replaces old entries by a snapshot.
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -43,15 +43,15 @@
 	// during a burst of entries members get them in batches, half of this or more apart
 	batchInterval = 240 * time.Millisecond
 	// a burst lasts while entries are no further apart than this, and as long after
-	burstInterval  = 500 * time.Millisecond
-	maxCatchUps    = 16 // concurrent large replies
-	catchUpEntries = 64
-	maxPartBytes   = 256 << 10
-	adminTimeout   = 3 * time.Second
-	probeInterval  = 250.
-	probeTimeout   = 300 * time.Millisecond
-	maxProbes      = 8
-	forwardTimeout = 300 * time.Millisecond
+	burstInterval     = 500 * time.Millisecond
+	maxLargeReplies   = 16 // concurrent large replies
+	largeReplyEntries = 64
+	maxMessageBytes   = 256 << 10
+	adminTimeout      = 3 * time.Second
+	probeInterval     = 250.
+	probeTimeout      = 300 * time.Millisecond
+	maxProbes         = 8
+	forwardTimeout    = 300 * time.Millisecond
 )
 
 // Node runs one voter.
@@ -70,7 +70,7 @@
 	historyChanged  chan struct{}   // closed when the history changes
 	lastChanges     [2]atomic.Int64 // times of the last two changes, newest first: nanoseconds since the start
 	startedAt       time.Time
-	catchUps        int // large replies in progress
+	largeReplies    int // large replies in progress
 	nextProbe       float64
 	activeProbes    int
 	mu              sync.Mutex
@@ -86,7 +86,7 @@
 // Start opens the directory and votes as soon as it is safe.
 func Start(opts Options) (*Node, error) {
 	for k, v := range opts.Voters {
-		opts.Voters[k].RaftID = InitialRaftID(opts.Fleet, v.Name)
+		opts.Voters[k].RaftID = DeriveRaftID(opts.Fleet, v.Name)
 	}
 	n := &Node{opts: opts, tasks: make(chan func(), taskQueueSize), client: fleetrpc.NewClient(opts.Fleet, opts.AddressMap),
 		peers: map[uint64]*peer{}, historyChanged: make(chan struct{}), status: "starting", startedAt: time.Now()}
@@ -253,7 +253,7 @@
 	}
 	n.store = store
 	if n.raftID = store.RaftID(); n.raftID == 0 {
-		n.raftID = InitialRaftID(n.opts.Fleet, n.opts.Name)
+		n.raftID = DeriveRaftID(n.opts.Fleet, n.opts.Name)
 	}
 	if fresh {
 		return n.initStore()
@@ -372,7 +372,7 @@
 	}
 	err := n.store.Init(n.opts.Name, first)
 	if err == nil && knownStarts > 0 {
-		n.raftID = InitialRaftID(n.opts.Fleet, n.opts.Name+" "+n.opts.RunID)
+		n.raftID = DeriveRaftID(n.opts.Fleet, n.opts.Name+" "+n.opts.RunID)
 		err = n.store.SetRaftID(n.raftID)
 	}
 	if err == nil {
@@ -537,7 +537,7 @@
 			batch = append(batch, m)
 		}
 		size := len(batch[0].Data)
-		for more := true; more && size < maxPartBytes; {
+		for more := true; more && size < maxMessageBytes; {
 			select {
 			case m := <-p.queue:
 				batch = append(batch, m)
@@ -590,7 +590,7 @@
 // Another voter forwards it to the leader: a member cut off from the leader alone keeps its lease, which runs
 // from the member's own sending in any case.
 func (n *Node) HandleHeartbeat(ctx context.Context, hb fleet.Heartbeat, forwarded bool) fleetrpc.HeartbeatReply {
-	a := n.heartbeat(ctx, hb)
+	a := n.awaitHeartbeat(ctx, hb)
 	if a.NotLeader && a.LeaderAddress != "" && a.LeaderAddress != n.opts.Address && !forwarded {
 		if reply, err := n.client.Heartbeat(a.LeaderAddress, hb, true, forwardTimeout); err == nil && !reply.NotLeader {
 			reply.LeaderAddress = a.LeaderAddress
@@ -600,14 +600,14 @@
 	return a
 }
 
-func (n *Node) heartbeat(ctx context.Context, hb fleet.Heartbeat) (a fleetrpc.HeartbeatReply) {
+func (n *Node) awaitHeartbeat(ctx context.Context, hb fleet.Heartbeat) (a fleetrpc.HeartbeatReply) {
 	out := make(chan fleetrpc.HeartbeatReply, 1)
 	if !n.post(func() {
 		if n.core == nil {
 			out <- fleetrpc.HeartbeatReply{NotLeader: true, Error: "does not vote"}
 			return
 		}
-		n.core.Heartbeat(n.opts.Clock(), hb, func(r fleet.LeaseRenewal, err error) {
+		n.core.QueueHeartbeat(n.opts.Clock(), hb, func(r fleet.LeaseRenewal, err error) {
 			if err != nil {
 				out <- fleetrpc.HeartbeatReply{NotLeader: true, LeaderAddress: n.leaderAddr()}
 				return
@@ -696,25 +696,25 @@
 	if diverged {
 		return fleetrpc.EntriesReply{Diverged: true}
 	}
-	if len(entries) > catchUpEntries || snapshot != nil {
-		if n.catchUps >= maxCatchUps {
+	if len(entries) > largeReplyEntries || snapshot != nil {
+		if n.largeReplies >= maxLargeReplies {
 			return fleetrpc.EntriesReply{Busy: true}
 		}
-		n.catchUps++
+		n.largeReplies++
 		// about the time that writing the reply takes
-		time.AfterFunc(20*time.Millisecond, func() { n.post(func() { n.catchUps-- }) })
+		time.AfterFunc(20*time.Millisecond, func() { n.post(func() { n.largeReplies-- }) })
 	}
 	if snapshot != nil {
 		b.SnapshotSize, b.SnapshotSeq = len(snapshot), n.core.State().LastSeq()
 		if q.SnapshotSeq == b.SnapshotSeq && q.SnapshotOffset > 0 && q.SnapshotOffset < len(snapshot) {
 			b.SnapshotOffset = q.SnapshotOffset
 		}
-		b.SnapshotPart = snapshot[b.SnapshotOffset:min(b.SnapshotOffset+maxPartBytes, len(snapshot))]
+		b.SnapshotPart = snapshot[b.SnapshotOffset:min(b.SnapshotOffset+maxMessageBytes, len(snapshot))]
 		return b
 	}
 	size := 0
 	for k := range entries {
-		if size += len(entries[k].Command.Text) + 256; size > maxPartBytes && k > 0 {
+		if size += len(entries[k].Command.Text) + 256; size > maxMessageBytes && k > 0 {
 			entries = entries[:k]
 			break
 		}
--- a/internal/fleet/lease_holder.go
+++ b/internal/fleet/lease_holder.go
@@ -43,7 +43,7 @@
 	Drift          float64 `cbor:"19,keyasint"`
 	// raft ID that a voter requests after the loss of its directory
 	RequestedRaftID uint64 `cbor:"20,keyasint,omitempty"`
-	VoterState      string `cbor:"21,keyasint,omitempty"` // status of its voter, if it has one
+	VoterStatus     string `cbor:"21,keyasint,omitempty"` // status of its voter, if it has one
 }
 
 // LeaseRenewal is the leader's reply to a heartbeat.
--- a/internal/fleet/lease_manager.go
+++ b/internal/fleet/lease_manager.go
@@ -41,7 +41,7 @@
 
 // Heartbeat handles a heartbeat received at the given time. The caller has confirmed since then that this
 // voter is the leader. If notAdmitted is true, the member has to be admitted first.
-func (lm *LeaseManager) Heartbeat(receivedAt float64, hb Heartbeat, s *State) (r LeaseRenewal, notAdmitted bool) {
+func (lm *LeaseManager) HandleHeartbeat(receivedAt float64, hb Heartbeat, s *State) (r LeaseRenewal, notAdmitted bool) {
 	r = LeaseRenewal{NewestVersion: s.NewestVersion(), FencedVersion: s.FencedVersion()}
 	m, known := s.Member(hb.Member)
 	switch {
@@ -239,7 +239,7 @@
 	ProgramVersion  string          `cbor:"9,keyasint,omitempty" json:"program,omitempty"`
 	PendingRestart  string          `cbor:"10,keyasint,omitempty" json:"waits_for_a_restart,omitempty"`
 	RunID           string          `cbor:"11,keyasint,omitempty" json:"run,omitempty"`
-	VoterState      string          `cbor:"12,keyasint,omitempty" json:"voter,omitempty"`
+	VoterStatus     string          `cbor:"12,keyasint,omitempty" json:"voter,omitempty"`
 }
 
 // SilentMembers returns the members whose heartbeats are overdue, so that the leader probes them.
@@ -283,7 +283,7 @@
 	st := MemberStatus{Member: m.Name, Address: m.Address, IsolationPolicy: m.IsolationPolicy, SinceContact: -1, LeaseRemaining: -1, State: MemberUnknown}
 	p := lm.newestProcess(m.Name)
 	if p != nil {
-		st.ActiveVersion, st.ProgramVersion, st.PendingRestart, st.RunID, st.VoterState, st.SinceContact = p.heartbeat.ActiveVersion, p.heartbeat.ProgramVersion, p.heartbeat.PendingRestart, p.heartbeat.RunID, p.heartbeat.VoterState, now-p.lastContact
+		st.ActiveVersion, st.ProgramVersion, st.PendingRestart, st.RunID, st.VoterStatus, st.SinceContact = p.heartbeat.ActiveVersion, p.heartbeat.ProgramVersion, p.heartbeat.PendingRestart, p.heartbeat.RunID, p.heartbeat.VoterStatus, now-p.lastContact
 		st.LeaseRemaining = max(p.leaseExpiry-now, -1)
 	}
 	silent := p == nil || now > p.lastContact+2*lm.timing.Beat
--- a/internal/fleetagent/agent.go
+++ b/internal/fleetagent/agent.go
@@ -65,18 +65,18 @@
 	dir        *stateDir
 	wg         sync.WaitGroup
 
-	mu              sync.Mutex // guards the fields below
-	holder          *fleet.LeaseHolder
-	rng             *rand.Rand
-	leaderAddr      string // address of the last known leader
-	notifiedVersion uint64 // newest version, from the last heartbeat's reply
-	runs            []fleet.RunRecord
-	pendingRestart  string
-	followError     string // why it cannot follow the history
-	leaseRefusal    string // why the leader does not renew the lease
-	loggedRefusal   string // reason of the refused version that was logged
-	snapshotPart    []byte // received part of a snapshot
-	snapshotSeq     uint64
+	mu               sync.Mutex // guards the fields below
+	holder           *fleet.LeaseHolder
+	rng              *rand.Rand
+	leaderAddr       string // address of the last known leader
+	notifiedVersion  uint64 // newest version, from the last heartbeat's reply
+	runs             []fleet.RunRecord
+	pendingRestart   string
+	followError      string // why it cannot follow the history
+	leaseRefusal     string // why the leader does not renew the lease
+	loggedRefusal    string // reason of the refused version that was logged
+	receivedSnapshot []byte // received part of a snapshot
+	snapshotSeq      uint64
 }
 
 // Start opens the directory and begins to follow the history. It activates the newest version in the
@@ -220,7 +220,7 @@
 }
 
 // heartbeat returns the current heartbeat. The caller holds the lock.
-func (a *Agent) heartbeat(leaving bool) fleet.Heartbeat {
+func (a *Agent) newHeartbeat(leaving bool) fleet.Heartbeat {
 	s := a.holder.State()
 	b := fleet.Heartbeat{Fleet: a.opts.Fleet, Format: fleet.FormatVersion, Member: a.opts.Name, Address: a.opts.Address, RunID: a.opts.RunID, OwnsAddress: a.opts.OwnsAddress(),
 		IsolationPolicy: a.opts.IsolationPolicy, ProgramVersion: a.opts.ProgramVersion, LastSeq: s.LastSeq(), Digest: s.Digest(), ActiveVersion: a.holder.ActiveVersion(), Leaving: leaving,
@@ -231,7 +231,7 @@
 	}
 	b.Runs = append(slices.Clone(a.runs), a.guard.runRecord())
 	if a.opts.Voter != nil {
-		b.VoterState, b.RequestedRaftID = a.opts.Voter.Status()
+		b.VoterStatus, b.RequestedRaftID = a.opts.Voter.Status()
 	}
 	return b
 }
@@ -241,11 +241,11 @@
 func (a *Agent) sendHeartbeat(leaving bool) (retryAfter float64) {
 	timeout := time.Duration(2 * a.opts.Timing.Beat * 1e6)
 	a.mu.Lock()
-	hb, addrs := a.heartbeat(leaving), a.voterAddresses()
+	hb, addrs := a.newHeartbeat(leaving), a.voterAddresses()
 	// the last heartbeat failed, or this process was paused: its poll may hang
 	pollMayHang := a.leaderAddr == "" || hb.StalledFor > 0
 	if a.leaderAddr != "" {
-		addrs = append([]string{a.leaderAddr}, slices.DeleteFunc(addrs, func(reply string) bool { return reply == a.leaderAddr })...)
+		addrs = append([]string{a.leaderAddr}, slices.DeleteFunc(addrs, func(addr string) bool { return addr == a.leaderAddr })...)
 	}
 	a.mu.Unlock()
 	began := time.Now()
@@ -328,7 +328,7 @@
 func (a *Agent) fetchEntries(addr string, wait time.Duration) bool {
 	a.mu.Lock()
 	s := a.holder.State()
-	req := fleetrpc.EntriesRequest{AfterSeq: s.LastSeq(), Digest: s.Digest(), Wait: float64(wait) / 1e6, SnapshotOffset: len(a.snapshotPart), SnapshotSeq: a.snapshotSeq}
+	req := fleetrpc.EntriesRequest{AfterSeq: s.LastSeq(), Digest: s.Digest(), Wait: float64(wait) / 1e6, SnapshotOffset: len(a.receivedSnapshot), SnapshotSeq: a.snapshotSeq}
 	a.mu.Unlock()
 	reply, err := a.pollClient.Entries(addr, req, wait+pollGrace)
 	if err != nil || reply.Error != "" || reply.Busy {
@@ -352,7 +352,7 @@
 		return false
 	}
 	a.followError = ""
-	if len(reply.Entries) > 0 || reply.SnapshotSize > 0 && a.snapshotPart == nil {
+	if len(reply.Entries) > 0 || reply.SnapshotSize > 0 && a.receivedSnapshot == nil {
 		a.applyNewest()
 		a.updateGuard()
 	}
@@ -362,19 +362,19 @@
 // addSnapshotPart adds a part of a snapshot. Parts received before a connection failed are retained. The
 // caller holds the lock.
 func (a *Agent) addSnapshotPart(reply fleetrpc.EntriesReply) error {
-	if reply.SnapshotOffset == 0 || reply.SnapshotSeq != a.snapshotSeq || reply.SnapshotOffset != len(a.snapshotPart) {
+	if reply.SnapshotOffset == 0 || reply.SnapshotSeq != a.snapshotSeq || reply.SnapshotOffset != len(a.receivedSnapshot) {
 		if reply.SnapshotOffset != 0 {
-			a.snapshotPart, a.snapshotSeq = nil, 0
+			a.receivedSnapshot, a.snapshotSeq = nil, 0
 			return nil
 		}
-		a.snapshotPart = nil
+		a.receivedSnapshot = nil
 	}
-	a.snapshotPart, a.snapshotSeq = append(a.snapshotPart, reply.SnapshotPart...), reply.SnapshotSeq
-	if len(a.snapshotPart) < reply.SnapshotSize {
+	a.receivedSnapshot, a.snapshotSeq = append(a.receivedSnapshot, reply.SnapshotPart...), reply.SnapshotSeq
+	if len(a.receivedSnapshot) < reply.SnapshotSize {
 		return nil
 	}
-	text := a.snapshotPart
-	a.snapshotPart, a.snapshotSeq = nil, 0
+	text := a.receivedSnapshot
+	a.receivedSnapshot, a.snapshotSeq = nil, 0
 	s, err := fleet.Restore(text)
 	if err != nil {
 		return err
@@ -444,10 +444,10 @@
 	l := &fleetrpc.LocalStatus{Member: a.opts.Name, LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), ActiveVersion: a.holder.ActiveVersion(),
 		LeaseRemaining: max(a.holder.LeaseExpiry()-now, -1), AcceptsWork: a.guard.Allowed(), Problem: cmp.Or(a.followError, a.leaseRefusal), PendingRestart: a.pendingRestart}
 	if n, reason := a.holder.RefusedVersion(); n > 0 {
-		l.RefusedVersion = fmt.Sprintf("version %d: %s", n, reason)
+		l.Refusal = fmt.Sprintf("version %d: %s", n, reason)
 	}
 	if a.opts.Voter != nil {
-		l.VoterState, _ = a.opts.Voter.Status()
+		l.VoterStatus, _ = a.opts.Voter.Status()
 	}
 	return l
 }
--- a/internal/fleetmodel/workers.go
+++ b/internal/fleetmodel/workers.go
@@ -338,7 +338,7 @@
 			e := w.queue[0]
 			w.queue = w.queue[1:]
 			w.running = append(w.running, e)
-			m.Checker.JobStarted(m.now, e.handOff.ID, e.handOff.Number, e.handOff.request.Job.Number)
+			m.Checker.WorkItemStarted(m.now, e.handOff.ID, e.handOff.Number, e.handOff.request.Job.Number)
 			if m.Experiment.Workers.ReportStart {
 				m.sendCallback(w, e.handOff, Callback{ID: e.handOff.ID, From: w.id, State: "started"})
 			}
@@ -366,7 +366,7 @@
 	m.changeRate(w, func() { w.running = slices.Delete(w.running, k, k+1) })
 	w.finished++
 	result := e.handOff.ID + " by " + w.id
-	m.Checker.JobFinished(e.handOff.ID, result)
+	m.Checker.ResultReady(e.handOff.ID, result)
 	m.sendCallback(w, e.handOff, Callback{ID: e.handOff.ID, From: w.id, State: "done", Result: result})
 	m.startQueued(w)
 }
--- a/internal/fleetrpc/rpc.go
+++ b/internal/fleetrpc/rpc.go
@@ -33,7 +33,7 @@
 const (
 	maxBodyBytes   = 4 << 20
 	maxHeaderBytes = 4 << 10
-	readTimeout    = 10 * time.Second // of a whole message, and until the next one
+	ioTimeout      = 10 * time.Second // of a whole message, and until the next one
 	MaxPollWait    = 10 * time.Second // of a long poll
 	dialTimeout    = time.Second
 	// reserved for a member; a voter takes half of the limit, as each member holds two connections
@@ -155,8 +155,8 @@
 	ActiveVersion  uint64  `cbor:"5,keyasint" json:"in_force"`
 	LeaseRemaining float64 `cbor:"6,keyasint" json:"lease_ms"`
 	AcceptsWork    bool    `cbor:"7,keyasint" json:"takes_work"`
-	RefusedVersion string  `cbor:"8,keyasint" json:"refuses,omitempty"`
-	VoterState     string  `cbor:"9,keyasint" json:"voter,omitempty"`
+	Refusal        string  `cbor:"8,keyasint" json:"refuses,omitempty"`
+	VoterStatus    string  `cbor:"9,keyasint" json:"voter,omitempty"`
 	Problem        string  `cbor:"10,keyasint" json:"fault,omitempty"`
 	PendingRestart string  `cbor:"11,keyasint" json:"waits_for_a_restart,omitempty"`
 }
@@ -201,8 +201,8 @@
 func Serve(l net.Listener, name string, maxConcurrent int, voter VoterService, member MemberService) *Server {
 	s := &Server{header: Header{name, fleet.FormatVersion}, voter: voter, member: member, listener: l}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.server = &fasthttp.Server{Handler: s.handle, Concurrency: maxConcurrent, ReadTimeout: readTimeout, WriteTimeout: readTimeout,
-		IdleTimeout: 3 * readTimeout, ReadBufferSize: maxHeaderBytes, MaxRequestBodySize: maxBodyBytes, NoDefaultServerHeader: true, SecureErrorLogMessage: true, Logger: silentLogger{}}
+	s.server = &fasthttp.Server{Handler: s.handle, Concurrency: maxConcurrent, ReadTimeout: ioTimeout, WriteTimeout: ioTimeout,
+		IdleTimeout: 3 * ioTimeout, ReadBufferSize: maxHeaderBytes, MaxRequestBodySize: maxBodyBytes, NoDefaultServerHeader: true, SecureErrorLogMessage: true, Logger: silentLogger{}}
 	s.wg.Go(func() { _ = s.server.Serve(l) }) // returns when the listener is closed
 	return s
 }
@@ -319,7 +319,7 @@
 	c := &Client{header: Header{name, fleet.FormatVersion}, addressMap: addressMap, conns: map[*trackedConn]bool{}}
 	c.http = &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
 		RetryIfErr:      func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-		MaxConnsPerHost: 64, MaxResponseBodySize: maxBodyBytes, MaxIdleConnDuration: readTimeout, StreamResponseBody: false,
+		MaxConnsPerHost: 64, MaxResponseBodySize: maxBodyBytes, MaxIdleConnDuration: ioTimeout, StreamResponseBody: false,
 		Dial: func(addr string) (net.Conn, error) { return c.dial(addr, dialTimeout) }}
 	return c
 }
--- a/internal/program/fleet_commands.go
+++ b/internal/program/fleet_commands.go
@@ -220,7 +220,7 @@
 	if a.Status == nil {
 		fmt.Fprintln(&b, "no leader can be reached; this is what the member itself knows")
 		if l := a.Local; l != nil {
-			fmt.Fprintf(&b, "%s: version %d in force, %d is the newest it knows; lease %s; takes work: %v; voter: %s\n", l.Member, l.ActiveVersion, l.NewestVersion, formatInterval(l.LeaseRemaining), l.AcceptsWork, cmp.Or(l.VoterState, "none"))
+			fmt.Fprintf(&b, "%s: version %d in force, %d is the newest it knows; lease %s; takes work: %v; voter: %s\n", l.Member, l.ActiveVersion, l.NewestVersion, formatInterval(l.LeaseRemaining), l.AcceptsWork, cmp.Or(l.VoterStatus, "none"))
 		}
 		if err := x.print(out, a.Local, b.String()); err != nil {
 			return err
@@ -243,7 +243,7 @@
 	}
 	for _, m := range st.Members {
 		fmt.Fprintf(&b, "%-12s %-10s version %-4d lease %-8s last contact %-16s %s\n", m.Member, m.State, m.ActiveVersion, formatInterval(m.LeaseRemaining), formatAgo(m.SinceContact), m.Cause)
-		for _, more := range []string{withPrefix("waits for a restart: ", m.PendingRestart), withPrefix("voter: ", m.VoterState)} {
+		for _, more := range []string{withPrefix("waits for a restart: ", m.PendingRestart), withPrefix("voter: ", m.VoterStatus)} {
 			if more != "" {
 				fmt.Fprintf(&b, "%-12s %s\n", "", more)
 			}
--- a/internal/realtime/fleet.go
+++ b/internal/realtime/fleet.go
@@ -393,7 +393,7 @@
 			}
 			reason = ""
 			for _, m := range reply.Status.Members {
-				if strings.HasPrefix(m.VoterState, "lost its folder") {
+				if strings.HasPrefix(m.VoterStatus, "lost its folder") {
 					f.addVoter(m.Member)
 				}
 				if m.State != fleet.MemberCurrent {
--- a/internal/virtualtime/fleet.go
+++ b/internal/virtualtime/fleet.go
@@ -141,7 +141,7 @@
 	var voters []fleet.Voter
 	for k := range scenario.Voters {
 		name := fmt.Sprintf("m%04d", k)
-		voters = append(voters, fleet.Voter{Name: name, Address: name, RaftID: consensus.InitialRaftID("lab", name)})
+		voters = append(voters, fleet.Voter{Name: name, Address: name, RaftID: consensus.DeriveRaftID("lab", name)})
 		s.voterIndex[voters[k].RaftID] = k
 	}
 	for range scenario.Voters {
@@ -198,7 +198,7 @@
 }
 
 func (s *fleetSim) startVoter(k int) {
-	c, err := consensus.NewCore(s.timing, consensus.InitialRaftID("lab", fmt.Sprintf("m%04d", k)), s.stores[k].persisted, s.stores[k], s.rnd.Uint64(), s.now)
+	c, err := consensus.NewCore(s.timing, consensus.DeriveRaftID("lab", fmt.Sprintf("m%04d", k)), s.stores[k].persisted, s.stores[k], s.rnd.Uint64(), s.now)
 	if err != nil {
 		s.violated("voter %d: %v", k, err)
 		return
@@ -291,7 +291,7 @@
 				return
 			}
 			s.countAtLeader(v)
-			c.Heartbeat(s.now, heartbeat, func(renewal fleet.LeaseRenewal, err error) {
+			c.QueueHeartbeat(s.now, heartbeat, func(renewal fleet.LeaseRenewal, err error) {
 				s.countAtLeader(v)
 				if err != nil { // the error names the leader
 					leader := s.leaderOf(v)
