--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,8 +1,8 @@
 // Package baseline has simple dispatch policies behind the interface of the dispatcher's own decider, to
 // compare the decider with them: uniform random, round robin, least outstanding, power of two choices, size
 // interval task assignment with two bins and known speeds, and an omniscient policy that sees the true state.
-// They keep the rules by the simplest means. They serve comparison only and must never be built into the
-// program.
+// They obey the rules of package invariants by the simplest means. They serve comparison only and must never
+// be built into the program.
 package baseline
 
 import (
@@ -55,7 +55,7 @@
 		items: map[uint64]*item{}, workersByID: map[string]*worker{}}
 }
 
-// Baseline tracks what each policy needs and keeps the rules.
+// Baseline tracks what each policy needs, and obeys the rules of package invariants.
 type Baseline struct {
 	settings    dispatch.Settings
 	choose      policy
@@ -222,7 +222,8 @@
 }
 
 // candidates returns the workers to choose among: those that are up, not avoided and warm. If none is warm,
-// it returns cold ones without a hand-off, and of these only such as are sure to stay within their budget.
+// it returns cold workers that have no outstanding hand-off and are past a quarter of their warm-up time, by
+// when one work item should fit into their cold budget.
 func (b *Baseline) candidates(it *item) []*worker {
 	var warm, cold []*worker
 	for _, w := range b.workers {
@@ -288,9 +289,9 @@
 	return x
 }
 
-// sita splits the kinds, ordered by speed, into two lanes whose capacities are as equal as possible. It sends
-// work with a hint up to the cutoff to the fast lane and picks uniformly within a lane. The cutoff gives each
-// lane its share of the work.
+// sita splits the kinds, ordered by speed, into two bins whose capacities are as equal as possible. It sends
+// work with a hint up to the cutoff to the fast bin and picks uniformly within a bin. The cutoff gives each
+// bin its share of the work.
 func sita(b *Baseline, it *item, all []*worker) *worker {
 	capacities := make([]float64, len(b.shared.Speeds)) // by kind
 	total := 0.
@@ -315,7 +316,7 @@
 			}
 		}
 	}
-	if fastShare == 0 { // only one kind: no lanes
+	if fastShare == 0 { // only one kind: no bins
 		return all[b.rnd.IntN(len(all))]
 	}
 	if b.hintCount%256 == 1 || b.cutoff == 0 {
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -23,12 +23,14 @@
 	"weldmast/internal/fleet"
 )
 
-// Store persists a voter's raft state. Save returns once everything would survive a crash, or changes
-// nothing.
+// Store persists a voter's raft state.
+//
+// Save returns nil once everything would survive a crash. On an error it has saved nothing, and the core
+// repeats the same call.
 type Store interface {
 	Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error
-	// Compact replaces the entries that the snapshot covers by the snapshot. Entries from the index on may be
-	// retained.
+	// Compact replaces the entries that the snapshot covers by the snapshot. Of these, it may keep those from
+	// the index `from` on. It must keep all later entries.
 	Compact(snapshot *pb.Snapshot, from uint64) error
 }
 
@@ -41,7 +43,7 @@
 
 // Timing of the consensus group, in milliseconds, and its bounds in entries.
 const (
-	raftHeartbeatInterval = 50  // of the leader
+	raftHeartbeatInterval = 50  // of the raft leader, to the other voters
 	minElectionTimeout    = 400 // without contact to a leader; the timeout is random, up to twice as long
 	storeRetryInterval    = 1000
 	retainedEntries       = 1024 // entries of the history kept in memory for members that are behind
@@ -54,13 +56,15 @@
 var (
 	// ErrNotLeader means that another voter has to be asked.
 	ErrNotLeader = errors.New("this voter does not lead")
-	// ErrOutcomeUnknown means that the command may have been applied. Repeating the same request tells.
+	// ErrOutcomeUnknown means that the command may have been applied. Repeating the same request shows
+	// whether it was.
 	ErrOutcomeUnknown = errors.New("it is not known whether it was taken: ask again with the same request")
 	// ErrVoterFailed means that the store failed, or that raft panicked and the voter stopped.
 	ErrVoterFailed = errors.New("this voter has stopped voting")
 )
 
-// InitialRaftID returns the raft ID of a voter that never lost its directory.
+// DeriveRaftID derives a raft ID from a voter's name. A voter that lost its directory derives its new raft ID
+// from its name and run ID.
 func DeriveRaftID(fleetName, voter string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(fleetName + "\x00" + voter))
@@ -94,7 +98,7 @@
 	fromLeader bool // only a leader sends it
 }
 
-// queuedRead is a heartbeat, or another read, that waits for a quorum to confirm that this voter is the
+// pendingRead is a heartbeat, or another read, that waits for a quorum to confirm that this voter is the
 // leader.
 type pendingRead struct {
 	heartbeat   fleet.Heartbeat
@@ -127,21 +131,22 @@
 	leader           uint64
 	electionDeadline float64 // the voter campaigns then, unless a leader contacts it
 	leaderContact    float64 // time of the leader's last message
-	quorumContact    float64 // as a leader: when a quorum last answered
-	peerContact      map[uint64]float64
-	nextTick         float64
-	proposals        map[string][]proposal
-	queuedReads      []pendingRead // not part of a read yet
-	activeReads      []pendingRead // part of the read in progress
-	readStartedAt    float64
-	readSeq          uint64
-	confirmedIndex   uint64 // the active reads complete once this index is applied; 0: not confirmed
-	unsavedReady     *raft.Ready
-	storeRetryAt     float64
-	fault            error // why the voter cannot vote at the moment
-	stopped          bool  // permanently
-	outbox           []Message
-	historyChanged   bool // set until HistoryChanged is called
+	// last time when TakeMessages found that this voter was not the leader, or was in contact with a quorum
+	quorumContact  float64
+	peerContact    map[uint64]float64
+	nextTick       float64
+	proposals      map[string][]proposal
+	queuedReads    []pendingRead // not part of a read yet
+	activeReads    []pendingRead // part of the read in progress
+	readStartedAt  float64
+	readSeq        uint64
+	confirmedIndex uint64 // the active reads complete once this index is applied; 0: not confirmed
+	unsavedReady   *raft.Ready
+	storeRetryAt   float64
+	fault          error // why the voter cannot vote at the moment
+	stopped        bool  // permanently
+	outbox         []Message
+	historyChanged bool // set until HistoryChanged is called
 }
 
 // raftLogger discards raft's log lines. Fatal ones panic, and the core turns the panic into a fault.
@@ -162,7 +167,9 @@
 func (raftLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
 func (raftLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
-// NewCore returns a voter that continues from what its store persisted.
+// NewCore returns a voter that continues from what its store persisted. If the store fails or raft panics, it
+// returns both the core and the error. Tick then repeats a failed save; after a panic the core stays stopped.
+// With other errors the core is nil.
 func NewCore(timing fleet.Timing, id uint64, persisted PersistedState, store Store, seed uint64, now float64) (c *Core, err error) {
 	c = &Core{timing: timing, id: id, storage: raft.NewMemoryStorage(), store: store, rng: rand.New(rand.NewPCG(seed, id)),
 		peerContact: map[uint64]float64{}, proposals: map[string][]proposal{}, leaderContact: now - 10*minElectionTimeout}
@@ -281,8 +288,8 @@
 }
 
 // startRead has a quorum confirm that this voter is the leader, for all reads queued so far. Each such read
-// costs one message to each voter and one back. With one read for each heartbeat, the load on the leader grew
-// with the members.
+// costs one message to each voter and one back. One read for each heartbeat would make the leader's load grow
+// with the number of members.
 func (c *Core) startRead(now float64) {
 	if !c.isLeader() || len(c.queuedReads) == 0 || len(c.activeReads) > 0 || c.unsavedReady != nil || now < c.readStartedAt+readInterval {
 		return
@@ -339,7 +346,7 @@
 	return 2*count > len(c.confState.GetVoters())
 }
 
-// ReportSnapshot reports whether a message with a snapshot was delivered.
+// ReportSnapshot tells raft whether a message with a snapshot was delivered.
 func (c *Core) ReportSnapshot(now float64, to uint64, ok bool) {
 	defer c.recoverPanic(nil)
 	if c.stopped || c.unsavedReady != nil {
@@ -375,8 +382,8 @@
 	c.processReady(now)
 }
 
-// Heartbeat handles a member's heartbeat. It calls reply once, after a quorum has confirmed that this voter
-// is the leader.
+// QueueHeartbeat queues a member's heartbeat. It calls reply once: after a quorum has confirmed that this
+// voter is the leader, or with ErrNotLeader.
 func (c *Core) QueueHeartbeat(now float64, hb fleet.Heartbeat, reply func(fleet.LeaseRenewal, error)) {
 	if c.stopped || !c.isLeader() {
 		reply(fleet.LeaseRenewal{}, ErrNotLeader)
@@ -407,8 +414,9 @@
 		c.quorumContact = now
 		return out
 	}
-	// Suppressed and sent in turn: the others get time to elect another leader, and if only this voter has
-	// the longest log and nobody else can lead, it goes on.
+	// Leader messages are suppressed and sent in turn. Suppression gives the others time to elect another
+	// leader. If only this voter has the longest log, so that nobody else can be elected, it goes on as the
+	// leader.
 	if math.Mod(now-c.quorumContact, 5*minElectionTimeout) < 3*minElectionTimeout {
 		out = slices.DeleteFunc(out, func(m Message) bool { return m.fromLeader })
 	}
@@ -421,8 +429,8 @@
 	return changed
 }
 
-// processReady handles raft's ready states. One that cannot be saved is retained, and nothing else continues
-// until it is saved.
+// processReady handles raft's ready states. If one cannot be saved, it is retained, and nothing else
+// continues until it is saved.
 func (c *Core) processReady(now float64) {
 	for c.unsavedReady != nil || c.rawNode.HasReady() {
 		if c.unsavedReady == nil {
@@ -490,7 +498,8 @@
 	}
 }
 
-// updateRole records which voter leads.
+// updateRole records which voter leads. A new leader gets a lease manager. A voter that is no longer the
+// leader drops its lease manager and fails all pending calls.
 func (c *Core) updateRole(now float64, s *raft.SoftState) {
 	c.leader = s.Lead
 	leads := s.RaftState == raft.StateLeader
@@ -610,7 +619,7 @@
 	}
 	from := c.appliedIndex - compactRetained
 	if err := c.store.Compact(snap, from); err != nil {
-		return // retried with the next entry
+		return // tried again at the next Ready, as snapshotIndex is unchanged
 	}
 	c.snapshotIndex = c.appliedIndex
 	if err := c.storage.Compact(from); err != nil && !errors.Is(err, raft.ErrCompacted) {
--- a/internal/consensus/disk_store.go
+++ b/internal/consensus/disk_store.go
@@ -24,20 +24,21 @@
 // Record types, the first byte of a record.
 const (
 	recBegin     = 'b' // the records up to recEnd are a complete state and replace all earlier ones
-	recVoter     = 'w'
-	recStarts    = 's'
-	recRaftID    = 't'
-	recHardState = 'h'
+	recVoter     = 'w' // name of this voter
+	recStarts    = 's' // number of its starts
+	recRaftID    = 't' // its raft ID; 0: the initial one
+	recHardState = 'h' // raft's term, vote and commit index
 	recSnapshot  = 'n' // number of the part, count of parts, a part
 	recEntry     = 'e' // overrides the entries from its index on
 	recPeer      = 'o' // number of starts, run ID and name of another voter
-	recEnd       = 'f'
+	recEnd       = 'f' // ends a complete state
 	recSeal      = 'z' // the group before it was written completely
 )
 
 // Limits of the directory. Each compaction writes the complete state anew, and at most compactThreshold
-// entries of a version's text each come between two compactions. Both together stay below the capacity of the
-// segments, so that the oldest segment is dropped only after that.
+// entries, each with the text of a version, come between two compactions. A complete state and the records up
+// to the next compaction fit into maxSegments segments. So the log drops a segment only after a newer
+// complete state was written.
 const (
 	segmentBytes      = 1 << 20
 	maxSegments       = 96
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -29,7 +29,7 @@
 	RunID      string
 	Seed       uint64
 	Clock      func() float64 // milliseconds; continues through a suspension and is never set
-	UnixTime   func() float64 // the same as Unix time
+	UnixTime   func() float64 // the time of Clock as Unix time
 }
 
 // Limits and timeouts of a voter.
@@ -40,13 +40,14 @@
 	snapshotTimeout = 5 * time.Second
 	helloTimeout    = 500 * time.Millisecond
 	helloFullWait   = 2 * time.Second // for replies of all other voters; after that a majority is enough
-	// during a burst of entries members get them in batches, half of this or more apart
+	// During a burst of entries a member waits a random time, between half of this and this, before its
+	// reply.
 	batchInterval = 240 * time.Millisecond
-	// a burst lasts while entries are no further apart than this, and as long after
+	// Entries that follow each other within this time form a burst, which ends this long after the last one.
 	burstInterval     = 500 * time.Millisecond
-	maxLargeReplies   = 16 // concurrent large replies
-	largeReplyEntries = 64
-	maxMessageBytes   = 256 << 10
+	maxLargeReplies   = 16        // concurrent large replies
+	largeReplyEntries = 64        // a reply is large with more entries than this, or with a snapshot
+	maxMessageBytes   = 256 << 10 // of a batch of raft messages, a reply with entries, or a part of a snapshot
 	adminTimeout      = 3 * time.Second
 	probeInterval     = 250.
 	probeTimeout      = 300 * time.Millisecond
@@ -83,7 +84,9 @@
 	queue chan Message
 }
 
-// Start opens the directory and votes as soon as it is safe.
+// Start starts a voter and returns at once; the error is always nil. The voter opens its directory in the
+// background and votes as soon as it is safe. Status shows failures. Start sets the raft IDs in opts.Voters,
+// which the caller shares.
 func Start(opts Options) (*Node, error) {
 	for k, v := range opts.Voters {
 		opts.Voters[k].RaftID = DeriveRaftID(opts.Fleet, v.Name)
@@ -135,7 +138,7 @@
 func (n *Node) run() {
 	persisted, ok := n.openStore()
 	if !ok {
-		for { // replies that this node does not vote
+		for { // the tasks reply that this node does not vote
 			select {
 			case <-n.ctx.Done():
 				return
@@ -346,9 +349,9 @@
 	return true
 }
 
-// initStore initializes an empty directory. Only if every other voter replies that it knows no start of this
-// one, the voter uses its initial raft ID. Otherwise the directory was lost with its votes, and the voter
-// requests a new raft ID.
+// initStore initializes an empty directory. The voter uses its initial raft ID only if every other voter
+// replies that it has never seen this voter start. Otherwise the directory was lost with its votes, and the
+// voter requests a new raft ID.
 func (n *Node) initStore() (PersistedState, bool) {
 	unanswered := map[string]fleet.Voter{}
 	for _, v := range n.otherVoters() {
@@ -392,8 +395,8 @@
 	return first, n.registerStart(1)
 }
 
-// registerStart reports this start to the other voters. If one of them knows as many starts, the directory is
-// outdated: it lacks votes or entries that this voter has acknowledged.
+// registerStart reports this start to the other voters. If one of them already knows this many starts or
+// more, the directory is outdated: it lacks votes or entries that this voter has acknowledged.
 func (n *Node) registerStart(starts uint64) bool {
 	unanswered := map[string]fleet.Voter{}
 	for _, v := range n.otherVoters() {
@@ -586,9 +589,10 @@
 	return ""
 }
 
-// HandleHeartbeat answers a member's heartbeat after a quorum has confirmed that this voter is the leader.
-// Another voter forwards it to the leader: a member cut off from the leader alone keeps its lease, which runs
-// from the member's own sending in any case.
+// HandleHeartbeat answers a member's heartbeat after a quorum has confirmed that this voter is the leader. If
+// this voter is not the leader, it forwards the heartbeat to the leader, so that a member that reaches only
+// another voter keeps its lease. The lease runs from the time when the member sent the heartbeat, in either
+// case.
 func (n *Node) HandleHeartbeat(ctx context.Context, hb fleet.Heartbeat, forwarded bool) fleetrpc.HeartbeatReply {
 	a := n.awaitHeartbeat(ctx, hb)
 	if a.NotLeader && a.LeaderAddress != "" && a.LeaderAddress != n.opts.Address && !forwarded {
@@ -633,9 +637,9 @@
 	return before > 0 && last-before < burstInterval && time.Since(n.startedAt)-last < burstInterval
 }
 
-// awaitBatch waits during a burst of entries, so that one reply carries several. It guards against a fleet's
-// start: with one call of every member for each admission, the calls grew with the square of the members and
-// overloaded the voters.
+// awaitBatch waits during a burst of entries, so that one reply carries several. It prevents an overload of
+// the voters at a fleet's start: otherwise each admission would cause a new call by every member, and the
+// number of calls would grow with the square of the number of members.
 func (n *Node) awaitBatch(ctx context.Context) {
 	if !n.inBurst() {
 		return
@@ -689,8 +693,8 @@
 	}
 }
 
-// entriesReply returns the reply to one call. The number of concurrent large replies is limited, so that a
-// fleet that returns does not overload the voters.
+// entriesReply returns the reply to one call. The number of concurrent large replies is limited, so that many
+// members that reconnect at once do not overload the voters.
 func (n *Node) entriesReply(q fleetrpc.EntriesRequest) (b fleetrpc.EntriesReply) {
 	entries, snapshot, diverged := n.core.EntriesAfter(q.AfterSeq, q.Digest)
 	if diverged {
--- a/internal/fleet/actions.go
+++ b/internal/fleet/actions.go
@@ -4,8 +4,7 @@
 
 import "slices"
 
-// Action is a kind of dispatcher action. The program sends no probes of its own, so there is no action for
-// them.
+// Action is a kind of dispatcher action. Health checks of workers are not listed, as dispatchers send none.
 type Action int
 
 // Kinds of actions.
--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -32,7 +32,8 @@
 	Evidence Evidence       `cbor:"4,keyasint" json:"evidence"`
 }
 
-// ReportGap is an interval of a member that no report covers.
+// ReportGap is an interval of a member that no report covers. AfterRunID is the last run before the gap;
+// empty: the gap precedes all known runs.
 type ReportGap struct {
 	Member     string   `cbor:"1,keyasint" json:"member"`
 	AfterRunID string   `cbor:"2,keyasint" json:"after_run"`
@@ -64,8 +65,9 @@
 	Members       []MemberStatus `cbor:"6,keyasint" json:"standing"`
 }
 
-// Audit reports which member acted on which version: on the given version, or for 0 on all versions published
-// since the given Unix time.
+// Audit reports which member acted on which version: on the given version, or for 0 on all retained versions.
+// If since, a Unix time in milliseconds, is above 0, it omits versions published before, also the given one.
+// Version 0 is included only if version and since are both 0.
 func (lm *LeaseManager) Audit(now, unixNow float64, s *State, version uint64, since float64) Audit {
 	a := Audit{LastSeq: s.LastSeq(), Digest: s.Digest().String(), NewestVersion: s.NewestVersion(), Members: lm.MemberStatuses(now, s)}
 	versions := append([]Version{{}}, s.Versions()...)
--- a/internal/fleet/lease_holder.go
+++ b/internal/fleet/lease_holder.go
@@ -1,3 +1,6 @@
+// A process that has just started may have missed a fence. Before it acts without a lease, it waits for
+// the leader's first reply, but at most one lease duration, so that an isolated member works again after
+// a restart.
 // This file implements a member's side of the leases: which version it activates, and until when it may act.
 // The clock must continue through a suspension and must never be set.
 
@@ -43,20 +46,22 @@
 	Drift          float64 `cbor:"19,keyasint"`
 	// raft ID that a voter requests after the loss of its directory
 	RequestedRaftID uint64 `cbor:"20,keyasint,omitempty"`
-	VoterStatus     string `cbor:"21,keyasint,omitempty"` // status of its voter, if it has one
+	VoterStatus     string `cbor:"21,keyasint,omitempty"` // status text of its voter, if it has one
 }
 
-// LeaseRenewal is the leader's reply to a heartbeat.
+// LeaseRenewal is the leader's reply to a heartbeat. It also tells why a lease is not renewed.
 type LeaseRenewal struct {
 	Granted       float64 `cbor:"1,keyasint"` // lease duration from the sending of the heartbeat; 0: not renewed
 	Reason        string  `cbor:"2,keyasint,omitempty"`
 	NewestVersion uint64  `cbor:"3,keyasint"`
-	FencedVersion uint64  `cbor:"4,keyasint"` // oldest version that may be active under a lease
+	// newest version with a fence: a member whose active version is older gets no lease
+	FencedVersion uint64  `cbor:"4,keyasint"`
 	Excluded      bool    `cbor:"5,keyasint,omitempty"`
 	RetryAfter    float64 `cbor:"6,keyasint,omitempty"` // send the next heartbeat after this time
 }
 
-// LeaseHolder is the state of one member. It must not be used from several goroutines at once.
+// LeaseHolder tracks the lease and the versions of one member. It must not be used from several goroutines at
+// once.
 type LeaseHolder struct {
 	timing          Timing
 	isolationPolicy IsolationPolicy
@@ -74,13 +79,13 @@
 	refusalReason   string
 }
 
-// NewLeaseHolder returns the state of a member whose process has just started, with the history from its
+// NewLeaseHolder returns the lease holder of a member whose process has just started, with the state from its
 // directory.
 func NewLeaseHolder(timing Timing, name, programVersion string, policy IsolationPolicy, state *State, now float64) *LeaseHolder {
 	return &LeaseHolder{timing: timing, isolationPolicy: policy, name: name, programVersion: programVersion, state: state, startedAt: now, leaseExpiry: math.Inf(-1)}
 }
 
-// State returns the history as far as this member knows it.
+// State returns the state as far as this member knows it.
 func (h *LeaseHolder) State() *State { return h.state }
 
 // ActiveVersion returns the number of the active version.
@@ -108,7 +113,8 @@
 	return nil
 }
 
-// ReplaceState replaces the history by a complete one, unless its own is longer.
+// ReplaceState replaces the state by a later one from a snapshot. It fails with ErrMissingEntries if s is
+// older, and with ErrDiverged if s is of another fleet.
 func (h *LeaseHolder) ReplaceState(s *State) error {
 	if s.Fleet() != h.state.Fleet() {
 		return fmt.Errorf("%w: of the fleet %q, this is %q", ErrDiverged, s.Fleet(), h.state.Fleet())
@@ -175,9 +181,9 @@
 	}
 }
 
-// AcceptUntil returns the time until which the member may take and hand off new work: not at all if it has
-// passed, infinite if nothing known ends it. The caller must call it again after each change and each
-// heartbeat.
+// AcceptUntil returns the time until which the member may take and hand off new work. A time in the past
+// means that it may not now; +Inf means that no known event ends the permission. The caller must call it
+// again after each change and each heartbeat.
 func (h *LeaseHolder) AcceptUntil(now float64) float64 {
 	member, known := h.state.Member(h.name)
 	switch {
--- a/internal/fleet/lease_manager.go
+++ b/internal/fleet/lease_manager.go
@@ -39,8 +39,10 @@
 
 const maxProcesses = 4 // retained processes of one member
 
-// Heartbeat handles a heartbeat received at the given time. The caller has confirmed since then that this
-// voter is the leader. If notAdmitted is true, the member has to be admitted first.
+// HandleHeartbeat handles a heartbeat received at the given time. The caller has confirmed since then that
+// this voter is the leader. If notAdmitted is true, the process has to be admitted (AdmitMember) first: the
+// member is unknown, or the process is new to this leader and its run, address or isolation policy is not the
+// recorded one.
 func (lm *LeaseManager) HandleHeartbeat(receivedAt float64, hb Heartbeat, s *State) (r LeaseRenewal, notAdmitted bool) {
 	r = LeaseRenewal{NewestVersion: s.NewestVersion(), FencedVersion: s.FencedVersion()}
 	m, known := s.Member(hb.Member)
@@ -218,11 +220,11 @@
 const (
 	MemberCurrent MemberState = "current"
 	MemberBehind  MemberState = "behind" // notified of the newest version less than two heartbeats ago
-	// notified longer ago, or silent with a lease; MemberStatus.Cause says why
+	// notified longer ago, refusing a version, or silent with an unexpired lease; MemberStatus.Cause says why
 	MemberStraggler MemberState = "straggler"
-	MemberExcluded  MemberState = "shut out"
-	MemberGone      MemberState = "gone" // silent, its lease expired
-	MemberUnknown   MemberState = "unknown"
+	MemberExcluded  MemberState = "shut out" // by an operator, or behind a fence with its lease expired
+	MemberGone      MemberState = "gone"     // silent and its lease expired, or it was removed or its process ended
+	MemberUnknown   MemberState = "unknown"  // no heartbeat since the leader's election
 )
 
 // MemberStatus is a member's status as the leader sees it.
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -1,11 +1,17 @@
-// Package fleet implements the replicated history of a fleet's processes, the audit of which member acted on
-// which version, and the leases that update or exclude members that are behind. It is deterministic: it does
-// no I/O, takes the time as a parameter and uses no randomness. It must never decide where work goes, nor
-// read a clock itself.
+// Package fleet implements the replicated state of a fleet, the audit of which member acted on which version,
+// and the leases that make members activate a fenced version or stop. It is deterministic: it does no I/O,
+// takes the time as a parameter and uses no randomness. It must never decide where work goes, nor read a
+// clock itself.
+//
+// Terms: A member is a named dispatcher of the fleet; a run is one process of it. A voter is a member's part
+// in the consensus group; one voter leads. A version is a numbered configuration text. A lease is the
+// leader's permission for a member to act, for a limited time. A fence is a property of a version: members
+// whose active version is older get no lease. The fence is complete once no member acts under an older
+// version any more.
 //
 // This file implements the history: its entries, the state that results from them, and the digest that proves
-// that two processes have the same history. Times are in milliseconds. Times of entries are Unix times, for
-// display only.
+// that two processes have the same history. An entry is an applied command. Times are in milliseconds. Times
+// of entries are Unix times, for display only.
 package fleet
 
 import (
@@ -44,12 +50,14 @@
 
 // Kinds of commands.
 const (
-	AdmitMember    CommandKind = iota + 1 // admits a member, or admits it again
-	RemoveMember                          // removes a member: nothing waits for it any more
-	PublishVersion                        // publishes a version
-	ExcludeMember                         // forbids a member new work until it is admitted again
-	AddVoter                              // adds a voter, or replaces the one of the same name
-	RemoveVoter                           // removes a voter
+	// with a RunID: admits a starting process of a member; without one: an operator's command, which also
+	// lifts exclusion and removal
+	AdmitMember    CommandKind = iota + 1
+	RemoveMember               // fences no longer wait for the member, and it gets no lease
+	PublishVersion             // publishes a version
+	ExcludeMember              // the member may take no new work until an operator admits it again
+	AddVoter                   // adds a voter, or replaces the one of the same name
+	RemoveVoter                // removes a voter
 )
 
 // String returns the name of the kind, as operators see it.
@@ -60,10 +68,11 @@
 	return [...]string{"admitted", "removed", "published", "shut out", "seated", "unseated"}[k-1]
 }
 
-// IsolationPolicy is what a member does whose lease has expired and that knows of no newer version.
+// IsolationPolicy says whether a member may act without a lease while its active version is not older than
+// the newest fenced version that it knows. Behind a fence it needs a lease in any case.
 type IsolationPolicy string
 
-// Isolation policies.
+// Isolation policies: to act without a lease, or to stop when the lease expires.
 const (
 	ServeWhenIsolated IsolationPolicy = "serve"
 	StopWhenIsolated  IsolationPolicy = "stop"
@@ -82,7 +91,7 @@
 	Text            []byte          `cbor:"8,keyasint,omitempty"` // of the published version
 	// oldest program version that supports the published version
 	MinProgram string `cbor:"9,keyasint,omitempty"`
-	Fence      bool   `cbor:"10,keyasint,omitempty"`
+	Fence      bool   `cbor:"10,keyasint,omitempty"` // members whose active version is older get no lease
 	// if not 0, refused unless the newest version is this number minus 1
 	ExpectedNewestPlus1 uint64  `cbor:"11,keyasint,omitempty"`
 	RaftID              uint64  `cbor:"12,keyasint,omitempty"` // of the added voter
@@ -102,10 +111,10 @@
 type Version struct {
 	Number      uint64  `cbor:"1,keyasint"`
 	EntrySeq    uint64  `cbor:"2,keyasint"`
-	TextDigest  Digest  `cbor:"3,keyasint"` // of Text
+	TextDigest  Digest  `cbor:"3,keyasint"` // digest of Text
 	Text        []byte  `cbor:"4,keyasint,omitempty"`
 	MinProgram  string  `cbor:"5,keyasint,omitempty"`
-	Fence       bool    `cbor:"6,keyasint,omitempty"`
+	Fence       bool    `cbor:"6,keyasint,omitempty"` // members whose active version is older get no lease
 	PublishedBy string  `cbor:"7,keyasint,omitempty"`
 	PublishedAt float64 `cbor:"8,keyasint"`
 }
@@ -148,7 +157,7 @@
 	Version   uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// stateData is the state that results from the entries.
+// stateData is the encoded part of a State.
 type stateData struct {
 	Fleet         string             `cbor:"1,keyasint"`
 	LastSeq       uint64             `cbor:"2,keyasint"`
@@ -169,7 +178,8 @@
 
 // Errors of this package.
 var (
-	// ErrMissingEntries means that entries before the given one have not been applied.
+	// ErrMissingEntries means that entries before the given one have not been applied, or that a received
+	// snapshot is older than the own state.
 	ErrMissingEntries = errors.New("entries are missing")
 	// ErrDiverged means that two histories differ.
 	ErrDiverged = errors.New("another history")
--- a/internal/fleetagent/agent.go
+++ b/internal/fleetagent/agent.go
@@ -75,7 +75,7 @@
 	followError      string // why it cannot follow the history
 	leaseRefusal     string // why the leader does not renew the lease
 	loggedRefusal    string // reason of the refused version that was logged
-	receivedSnapshot []byte // received part of a snapshot
+	receivedSnapshot []byte // parts of a snapshot received so far
 	snapshotSeq      uint64
 }
 
@@ -219,7 +219,7 @@
 	}
 }
 
-// heartbeat returns the current heartbeat. The caller holds the lock.
+// newHeartbeat returns the current heartbeat. The caller holds the lock.
 func (a *Agent) newHeartbeat(leaving bool) fleet.Heartbeat {
 	s := a.holder.State()
 	b := fleet.Heartbeat{Fleet: a.opts.Fleet, Format: fleet.FormatVersion, Member: a.opts.Name, Address: a.opts.Address, RunID: a.opts.RunID, OwnsAddress: a.opts.OwnsAddress(),
@@ -242,7 +242,7 @@
 	timeout := time.Duration(2 * a.opts.Timing.Beat * 1e6)
 	a.mu.Lock()
 	hb, addrs := a.newHeartbeat(leaving), a.voterAddresses()
-	// the last heartbeat failed, or this process was paused: its poll may hang
+	// The last heartbeat failed, or this process was paused: its poll may hang.
 	pollMayHang := a.leaderAddr == "" || hb.StalledFor > 0
 	if a.leaderAddr != "" {
 		addrs = append([]string{a.leaderAddr}, slices.DeleteFunc(addrs, func(addr string) bool { return addr == a.leaderAddr })...)
@@ -280,8 +280,9 @@
 		} else {
 			a.setLeaseRefusal("")
 		}
-		// Fetch entries known since an earlier heartbeat, or after a failure: the poll in progress may hang
-		// on a broken link. Otherwise the poll is about to return the batch that the voter collects.
+		// Normally the long poll in progress brings new entries, in the batch that the voter collects. Fetch
+		// them here only if the poll did not bring a version announced by an earlier heartbeat's reply, or if
+		// the poll may hang on a broken link.
 		if behind && !leaving {
 			a.fetchEntries(addr, 0)
 		}
--- a/internal/fleetagent/lease_guard.go
+++ b/internal/fleetagent/lease_guard.go
@@ -1,4 +1,5 @@
-// This file implements the lease guard, which blocks work without a lease, and the record of actions. The
+// This file implements the lease guard, which says whether this process may take and hand off work (see
+// fleet.LeaseHolder.AcceptUntil), and the record of actions. The guard is open while the process may. The
 // event loop calls both at each action; they must never make it wait.
 
 package fleetagent
@@ -36,7 +37,7 @@
 // UnixTime returns Now as Unix time, based on the system clock at the process's start. For display only.
 func (c Clock) UnixTime() float64 { return c.unix + bootTime() }
 
-// LeaseGuard is asked before each hand-off and records each action.
+// LeaseGuard reports before each hand-off whether it is allowed, and records each action.
 type LeaseGuard struct {
 	clock      Clock
 	openUntil  atomic.Uint64 // bits of the float64 time until which it is open
@@ -62,7 +63,7 @@
 	return math.IsInf(until, 1) || !math.IsInf(until, -1) && g.clock.Now() < until
 }
 
-// VersionInForce records that a version is active from now on.
+// VersionInForce records that a version is active from now on. internal/node calls it through an interface.
 func (g *LeaseGuard) VersionInForce(version uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fleetagent/state_dir.go
+++ b/internal/fleetagent/state_dir.go
@@ -1,5 +1,5 @@
-// This file implements a member's directory: the last known history and the record of actions. Each file is
-// complete or absent; a corrupt file counts as absent. It must never keep the member from its work: write
+// This file implements a member's directory: the last known state of the fleet and the run records. Each file
+// is complete or absent; a corrupt file counts as absent. It must never keep the member from its work: write
 // errors are logged.
 
 package fleetagent
@@ -68,7 +68,8 @@
 	return s, runs
 }
 
-// write saves both if this process holds the lock: a predecessor process of this member may still hold it.
+// write saves the state and the runs if this process holds the lock: a predecessor process of this member may
+// still hold it.
 func (d *stateDir) write(s *fleet.State, runs []fleet.RunRecord) {
 	if d.path == "" {
 		return
@@ -91,7 +92,7 @@
 	d.logError(err)
 }
 
-// logError logs an error once, and logs when it is over.
+// logError logs an error when it first occurs or changes, and an empty one when it no longer occurs.
 func (d *stateDir) logError(err error) {
 	text := ""
 	if err != nil {
--- a/internal/fleetrpc/rpc.go
+++ b/internal/fleetrpc/rpc.go
@@ -33,10 +33,14 @@
 const (
 	maxBodyBytes   = 4 << 20
 	maxHeaderBytes = 4 << 10
-	ioTimeout      = 10 * time.Second // of a whole message, and until the next one
-	MaxPollWait    = 10 * time.Second // of a long poll
-	dialTimeout    = time.Second
-	// reserved for a member; a voter takes half of the limit, as each member holds two connections
+	// of reading or writing a message, and until a client closes an idle connection; the server waits 3 times
+	// as long for the next message
+	ioTimeout   = 10 * time.Second
+	MaxPollWait = 10 * time.Second // of a long poll
+	dialTimeout = time.Second
+	// ReservedDescriptors is the number of file descriptors that the fleet may use in a process without a
+	// voter. A process with a voter reserves half of its socket limit, if that is more, because each member
+	// holds two connections to a voter.
 	ReservedDescriptors = 64
 )
 
@@ -172,7 +176,7 @@
 	// HandleAdmin answers if this voter is the leader, and otherwise returns NoLeader.
 	HandleAdmin(context.Context, AdminRequest) AdminReply
 	// Status returns a short status text, and the raft ID that the voter requests after the loss of its
-	// directory.
+	// directory, 0 for none.
 	Status() (string, uint64)
 	Close()
 }
@@ -416,8 +420,8 @@
 	return call[AdminReply](c, addr, pathAdmin, timeout, req)
 }
 
-// Probe connects to a silent member. The error tells whether it cannot be reached, or accepts the connection
-// without an answer.
+// Probe connects to a silent member. Connects reports whether the connection was established. The error is
+// nil if the member answered.
 func (c *Client) Probe(addr string, timeout time.Duration) (connects bool, err error) {
 	conn, err := c.dial(addr, timeout)
 	if err != nil {
--- a/internal/invariants/fleet_checker.go
+++ b/internal/invariants/fleet_checker.go
@@ -1,5 +1,6 @@
 // This file checks a fleet from outside, by three sources: the release that workers saw on each hand-off, the
-// answers that operators got from the fleet, and the fleet's final audit.
+// answers that operators got from the fleet, and the fleet's final audit. A release is the text by which a
+// hand-off names the version that it was sent under.
 
 package invariants
 
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -1,7 +1,8 @@
-// Package invariants checks that dispatchers keep four rules and give exactly one answer to each request. It
-// judges by what crossed the wire: what clients, workers and discovery observed and sent. It must never ask a
-// dispatcher what it believes it did, and must never decide anything for a dispatcher. Times are milliseconds
-// on one clock and must not decrease from call to call.
+// Package invariants checks four rules of dispatchers (DispatcherRules) and four of a fleet (FleetRules).
+// Checker judges by what crossed the wire: what clients, workers and discovery observed and sent.
+// FleetChecker compares the fleet's audit with it. The package must never ask a dispatcher what it believes
+// it did, and must never decide anything for a dispatcher. Times are milliseconds on one clock and must not
+// decrease from call to call.
 package invariants
 
 import (
@@ -19,8 +20,8 @@
 	MaxHandOffs  int     // per work item
 	AnswerSlack  float64 // allowed after the client's deadline
 	DrainGrace   float64 // from the notice of a drain to the last hand-off
-	// dispatchers may still send to a worker that is listed as gone, or missing from the list, if it did not
-	// drain
+	// the setting safety.only_draining_binds: dispatchers may still send to a worker that is listed as gone,
+	// or missing from the list, if it did not drain
 	OnlyDrainingBinds bool
 	StartCapacity     float64 // share of its capacity when a worker starts
 	WarmUpTime        float64 // a worker has its full capacity after this time
@@ -45,8 +46,9 @@
 const overshootFactor = 1.2
 
 // maxColdWork returns how much work all dispatchers together may send to a cold worker in a window with the
-// given budget. If the budget is N work items of mean cost, 2*sqrt(N) + 2 further ones are attributed to
-// chance, as operators do, but never more than a fifth of the budget. A single work item is always allowed.
+// given budget. If the budget is N work items of mean cost, 2*sqrt(N) + 2 further ones (two standard
+// deviations of a random count, and 2) are attributed to chance, but never more than a fifth of the budget,
+// or of the largest work item if that costs more.
 func (c *Config) maxColdWork(budget, largest float64) float64 {
 	items := budget / c.MeanCost
 	return min(max(budget, largest)*overshootFactor, (items+2*math.Sqrt(items)+2)*c.MeanCost)
@@ -262,7 +264,7 @@
 		c.report(at, NoItemLost, id, it.dispatcher, "", "served with what no worker made for it")
 	}
 	if category := c.config.Categories[it.category]; mayRetry && category.RepeatPolicy != dispatch.Rerunnable &&
-		// here the ticket also covers a retry
+		// with DedupAll every worker knows the ticket, so a client's retry is harmless
 		!(category.RepeatPolicy == dispatch.Ticketed && category.DedupScope == dispatch.DedupAll) {
 		for _, h := range it.handOffs {
 			if !h.notRun {
@@ -381,7 +383,7 @@
 // HandOffCancelled records that the dispatcher closed the hand-off's connection or sent a DELETE.
 func (c *Checker) HandOffCancelled(at float64, id string, n int) { c.HandOffEnded(at, id, n) }
 
-// JobStarted records that a worker runs the work item, which may have its effect from now on.
+// WorkItemStarted records that a worker runs the work item, which may have its effect from now on.
 func (c *Checker) WorkItemStarted(at float64, id string, n, job int) {
 	it, h := c.items[id], c.findHandOff(id, n)
 	if it == nil || h == nil {
@@ -398,7 +400,7 @@
 	}
 }
 
-// JobFinished records that a worker has a result for the work item.
+// ResultReady records that a worker has a result for the work item.
 func (c *Checker) ResultReady(id, result string) { c.results[id] = append(c.results[id], result) }
 
 // Finish ends the check: a work item that still has no answer is lost.
