--- a/internal/fleet/drift_test.go
+++ b/internal/fleet/drift_test.go
@@ -33,10 +33,10 @@
 			holder.VersionApplied(v.Number)
 			last := 0.
 			for sent := 3000.; sent <= 6000; sent += f.Beat {
-				r, unknown := leases.HandleHeartbeat(sent+c.late, Heartbeat{Fleet: "f", Format: FormatVersion, Member: "m", Address: "a", RunID: "r", OwnsAddress: true, IsolationPolicy: StopWhenIsolated, LastSeq: s.LastSeq(), ActiveVersion: 1,
+				r, notAdmitted := leases.HandleHeartbeat(sent+c.late, Heartbeat{Fleet: "f", Format: FormatVersion, Member: "m", Address: "a", RunID: "r", OwnsAddress: true, IsolationPolicy: StopWhenIsolated, LastSeq: s.LastSeq(), ActiveVersion: 1,
 					Lease: f.Lease, Drift: f.Drift}, s)
-				if unknown || r.Granted == 0 {
-					t.Fatalf("no lease granted: %+v, not admitted %v", r, unknown)
+				if notAdmitted || r.Granted == 0 {
+					t.Fatalf("no lease granted: %+v, not admitted %v", r, notAdmitted)
 				}
 				holder.HandleRenewal(clock(sent), r)
 				last = sent + c.late
