--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -22,8 +22,8 @@
 	workerSmoothing     = 0.25 // Smoothing factor of a worker's speed relative to its kind, for each answer.
 	queueSmoothing      = 0.2  // Smoothing factor of a kind's queue wait, for each start.
 	queueHalfLife       = 2000 // The estimated queue wait halves in this time without a start, in ms.
-	leakStep            = 0.02 // Increase of the leak for each refusal by a slow worker.
-	leakHalfLife        = 5000 // The leak halves in this time, in ms.
+	spillStep           = 0.02 // Increase of the leak for each refusal by a slow worker.
+	spillHalfLife       = 5000 // The leak halves in this time, in ms.
 	minReliableAnswers  = 8    // A kind's speed is relied on after this many answers.
 	suspicionPeriod     = 1e4  // A suspected worker is drawn last for this time, in ms.
 	failureSmoothing    = 0.05 // Smoothing factor of the failure rates, for each answer.
@@ -35,7 +35,7 @@
 	// Share of the work assumed to fail anywhere that is retried all the same, to test that assumption.
 	retryAnywayShare  = 1. / 8
 	goneAfterFailures = 3      // An unlisted worker counts as gone after this many failures in a row.
-	minUnlistedWeight = 1. / 8 // Lower bound of an unlisted worker's weight in the draw.
+	minUnlistedFactor = 1. / 8 // Lower bound of an unlisted worker's weight in the draw.
 	// Ejection time after a first failure, in ms; it doubles with each further failure in a row.
 	firstEjection = 500
 
@@ -62,8 +62,8 @@
 		d.sweep()
 		d.renewSubscription()
 		// Without messages from peers their load is unknown: workers would look free that are not.
-		if d.peerView = informed; d.params.dispatchers > 1 && now-d.lastPeerMessage > peerTimeout {
-			d.peerView = blind
+		if d.peerView = known; d.params.dispatchers > 1 && now-d.lastPeerMessage > peerTimeout {
+			d.peerView = unknown
 		}
 	}
 	if now >= d.resetAt {
@@ -176,8 +176,8 @@
 	if listType != ListRestored && d.askedAt >= 0 {
 		d.subscribed, d.askedAt, d.meanAskWait = true, d.now, d.params.firstAskWait
 	}
-	fleetChanged := listType != ListChanges
-	if fleetChanged {
+	workersChanged := listType != ListChanges
+	if workersChanged {
 		for _, w := range d.workers {
 			d.unlist(w)
 		}
@@ -187,7 +187,7 @@
 		if e.State == Gone {
 			if w != nil {
 				d.unlist(w)
-				fleetChanged = true
+				workersChanged = true
 			}
 			continue
 		}
@@ -205,10 +205,10 @@
 			w.listedLoad = k.maxWeight/e.Weight - 1
 		}
 		w.Weight = e.Weight // A change of weight alone does not count as a change of the fleet.
-		fleetChanged = fleetChanged || w.Entry != e || w.unlisted
+		workersChanged = workersChanged || w.Entry != e || w.unlisted
 		w.Entry, w.unlisted = e, false
 	}
-	if d.recheckPending = true; fleetChanged {
+	if d.recheckPending = true; workersChanged {
 		d.resetAt = d.now
 		d.updateSharing()
 	}
@@ -223,7 +223,7 @@
 	case !d.params.onlyDrainingBinds || w.State != Up:
 		w.State = Gone
 	case !w.unlisted:
-		w.unlisted, w.unlistedWeight, w.failures = true, 1, min(w.failures, 1)
+		w.unlisted, w.unlistedFactor, w.failures = true, 1, min(w.failures, 1)
 	}
 }
 
@@ -314,7 +314,7 @@
 	}
 	w, k, gap := h.worker, &d.kinds[h.worker.Kind], d.now-h.sentAt
 	if d.recordStartGap(w, gap); gap > d.startAllowance(w) {
-		w.fullUntil, w.queueDrainedAt = d.now+min(gap, d.avgRun(w)), d.now+gap
+		w.fullUntil, w.queueEmptyAt = d.now+min(gap, d.avgRun(w)), d.now+gap
 	}
 	d.learnConcurrency(k, h, gap <= d.startAllowance(w))
 	k.queueWait, k.queueWaitAt = d.expectedQueue(k)+(max(0, gap-d.startAllowance(w))-d.expectedQueue(k))*queueSmoothing, d.now
@@ -374,7 +374,7 @@
 	switch a.Outcome {
 	case Finished:
 		d.recordFailure(it, w, 0)
-		w.failures, w.workFailures, w.lostAnswers, w.ejectedUntil, w.fullUntil, w.unlistedWeight = 0, 0, 0, 0, 0, min(1, 2*w.unlistedWeight)
+		w.failures, w.workFailures, w.lostAnswers, w.ejectedUntil, w.fullUntil, w.unlistedFactor = 0, 0, 0, 0, 0, min(1, 2*w.unlistedFactor)
 		d.lostAnswerRate *= 1 - failureSmoothing
 		runTime := a.Elapsed
 		if h.startedAt >= 0 {
@@ -410,7 +410,7 @@
 	case Full:
 		d.eject(w)       // The worker was expected to have room: unknown load fills it, or it refuses everything.
 		if k.lane == 1 { // Slow workers refuse work: let some large work into the fast lane.
-			d.leak, d.leakAt = min(1, d.currentLeak()+leakStep), d.now
+			d.spill, d.spillAt = min(1, d.spillNow()+spillStep), d.now
 		}
 	case Failed:
 		d.recordFailure(it, w, 1)
@@ -534,7 +534,7 @@
 		slack := it.dueAt - h.sentAt - d.expectedTime(it, h.worker)
 		overdue = d.params.secondCopies && len(it.handOffs)+d.peerView < d.params.maxHandOffs && waited > max(d.startAllowance(h.worker), slack/5)
 		ahead := h.load
-		if d.peerView == blind { // Peers may have sent as much again.
+		if d.peerView == unknown { // Peers may have sent as much again.
 			ahead += d.kinds[h.worker.Kind].slots()
 		}
 		lost = waited > max(d.startAllowance(h.worker), 2*float64(ahead)*d.avgRun(h.worker))
@@ -666,7 +666,7 @@
 func (d *Dispatcher) expectedTime(it *item, w *worker) float64 {
 	k, warmth := &d.kinds[w.Kind], d.warmFraction(w)
 	return it.Hint*math.Exp(k.logSlow+max(d.workerLogSlow(w), math.Log(warmth)))/warmth + k.fetchTime +
-		max(0, w.queueDrainedAt-d.now, (w.listedLoad-1)*d.avgRun(w), 2*d.expectedQueue(k))
+		max(0, w.queueEmptyAt-d.now, (w.listedLoad-1)*d.avgRun(w), 2*d.expectedQueue(k))
 }
 
 // placePending hands off the pending items, highest priority first, and gives up those that can no longer end
@@ -712,16 +712,16 @@
 // once. Suspected workers come last. It reports whether it handed the item off.
 func (d *Dispatcher) placeItem(it *item) bool {
 	lane := 0
-	if it.Hint >= d.cutoff && d.random() >= d.currentLeak() {
+	if it.Hint >= d.cutoff && d.random() >= d.spillNow() {
 		lane = 1
 	}
 	for k := range 4 {
-		if d.minCredit = creditSure - credit(k/2); k%2 > 0 && !d.anySuspected {
+		if d.minReadiness = readinessSure - readiness(k/2); k%2 > 0 && !d.anySuspected {
 			continue
 		}
 		for _, l := range [2]int{lane, 1 - lane} {
 			for _, ownZone := range [2]bool{true, false} {
-				if ownZone && (!d.params.preferOwnZone || it.keyHash != 0 || d.peerView == blind) {
+				if ownZone && (!d.params.preferOwnZone || it.keyHash != 0 || d.peerView == unknown) {
 					continue
 				}
 				if w := d.drawWorker(it, l, ownZone, k%2 > 0); w != nil {
@@ -797,31 +797,31 @@
 // times the number of workers that it represents.
 func (d *Dispatcher) drawWeight(w *worker) float64 {
 	if w.unlisted {
-		return w.unlistedWeight * d.kinds[w.Kind].workerCapacity * w.standsFor
+		return w.unlistedFactor * d.kinds[w.Kind].workerCapacity * w.standsFor
 	}
 	return d.kinds[w.Kind].workerCapacity * w.standsFor
 }
 
 // creditOf says how sure a further item is to start at once at a worker. A worker earns credit by starting
 // and answering its work. It has none while a hand-off has not started, and after an ejection or a stall.
-func (d *Dispatcher) creditOf(w *worker) credit {
+func (d *Dispatcher) readinessOf(w *worker) readiness {
 	k := &d.kinds[w.Kind]
 	trial := w.failures > 0 // One item at a time.
 	if w.State != Up || w.waiting > 0 || trial && w.running > 0 || d.now < w.fullUntil || d.ejected(w) {
-		return creditNone
+		return readinessNone
 	}
 	switch n, r := d.knownLoad(w), &k.limit[d.peerView]; {
 	case n <= r.sure:
-		return creditSure
+		return readinessSure
 	case n <= r.likely || n == r.likely+1 && d.now >= r.nextProbeAt:
-		return creditLikely
+		return readinessLikely
 	}
-	return creditNone
+	return readinessNone
 }
 
 // mayDraw reports whether the draw may choose this worker for this item.
 func (d *Dispatcher) mayDraw(it *item, w *worker) bool {
-	if d.creditOf(w) < d.minCredit || it.cat.Kind >= 0 && it.cat.Kind != w.Kind {
+	if d.readinessOf(w) < d.minReadiness || it.cat.Kind >= 0 && it.cat.Kind != w.Kind {
 		return false
 	}
 	if n := len(it.handOffs); n > 0 && it.handOffs[n-1].worker == w { // The previous hand-off failed or waited there.
@@ -895,7 +895,7 @@
 		return false
 	}
 	w.recentCost.add(d.now, d.params.overloadWindow, max(it.Hint, d.meanHint))
-	w.lastHandOff, w.unlistedWeight = d.now, max(w.unlistedWeight/2, minUnlistedWeight)
+	w.lastHandOff, w.unlistedFactor = d.now, max(w.unlistedFactor/2, minUnlistedFactor)
 	h := handoff{worker: w, sentAt: d.now, lastNoticeAt: d.now, startedAt: -1, load: d.knownLoad(w) + 1, peerView: d.peerView}
 	if h.setCounter(&w.waiting); !d.params.startNotices {
 		h.startedAt = d.now
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -228,11 +228,11 @@
 	for id := uint64(21); id <= 24; id++ {
 		tr.arrive(id, 0, 400)
 		tr.at(tr.now+1, func(*Dispatcher) { tr.end(id, 0, Full) })
-		tr.note("leak %.3f", tr.d.currentLeak())
+		tr.note("leak %.3f", tr.d.spillNow())
 		tr.at(tr.now+600, func(d *Dispatcher) { d.HandOffProgressed(id, 1, true, 0); tr.end(id, 1, Finished) })
 	}
 	tr.at(tr.now+10000, func(*Dispatcher) {})
-	tr.note("leak %.3f", tr.d.currentLeak())
+	tr.note("leak %.3f", tr.d.spillNow())
 	tr.checkGolden("lanes")
 }
 
@@ -350,9 +350,9 @@
 	tr.at(2300, func(*Dispatcher) { notify(1, "f1", 0); notify(1, "f1", 0) })
 	tr.arrive(3, 0, 400)
 	tr.at(2900, func(*Dispatcher) {})
-	tr.note("siblings unseen: %v", tr.d.peerView == blind)
+	tr.note("siblings unseen: %v", tr.d.peerView == unknown)
 	tr.at(6000, func(*Dispatcher) {})
-	tr.note("siblings unseen: %v, as none was heard for three seconds", tr.d.peerView == blind)
+	tr.note("siblings unseen: %v, as none was heard for three seconds", tr.d.peerView == unknown)
 	tr.checkGolden("siblings")
 }
 
@@ -623,7 +623,7 @@
 	for id := uint64(1); id <= 5; id++ {
 		tr.arrive(id, 0, 400)
 		tr.at(tr.now+1, func(d *Dispatcher) { d.HandOffProgressed(id, 0, true, 0) })
-		r := tr.d.kinds[0].limit[blind]
+		r := tr.d.kinds[0].limit[unknown]
 		tr.note("sure beyond the first: %d, likely: %d", r.sure, r.likely)
 		if id == 2 {
 			tr.comment("both have one; siblings are unseen, so a second is not sure to start, but nothing else has room")
--- a/internal/dispatch/learned.go
+++ b/internal/dispatch/learned.go
@@ -115,7 +115,7 @@
 // Learned returns what this dispatcher has learned, with its own hand-offs as leases until they should have
 // ended.
 func (d *Dispatcher) Learned() Learned {
-	l := Learned{Sample: slices.Clone(d.recentHints), Sampled: d.hintsTotal, Most: slices.Clone(d.maxTimeLeft), Leak: d.leak, LeakAt: d.leakAt,
+	l := Learned{Sample: slices.Clone(d.recentHints), Sampled: d.hintsTotal, Most: slices.Clone(d.maxTimeLeft), Leak: d.spill, LeakAt: d.spillAt,
 		Heard: finite(d.lastPeerMessage), Tellings: d.noticesLeft, Keys: slices.Clone(d.recentKeys), Keyed: d.keysTotal, Silent: d.lostAnswerRate, Hinted: d.anyHint,
 		Heards: d.noticesReceived.export(), Tolds: d.noticesSent.export()}
 	for k := range d.arrivals {
@@ -147,7 +147,7 @@
 		if w.State == Gone {
 			continue
 		}
-		lw := LearnedWorker{Entry: w.Entry, MinGap: finite(w.minStartGap), Drained: w.queueDrainedAt, Full: w.fullUntil, Slow: w.logSlow,
+		lw := LearnedWorker{Entry: w.Entry, MinGap: finite(w.minStartGap), Drained: w.queueEmptyAt, Full: w.fullUntil, Slow: w.logSlow,
 			SlowAt: w.logSlowAt, Fails: w.failures, OutTill: w.ejectedUntil, SuspectTill: w.suspectedUntil, Sent: w.recentCost.export(),
 			Last: finite(w.lastHandOff), Out: leases[w]}
 		for _, t := range w.peerLeases {
@@ -161,7 +161,7 @@
 // Recall imports what the previous process had learned. What it had learned of a worker applies only if the
 // worker is listed here with the same start time: a restarted worker counts as a new one. Recall must be
 // called before the first work item arrives.
-func (d *Dispatcher) Recall(l Learned) {
+func (d *Dispatcher) ImportLearned(l Learned) {
 	d.recentHints, d.hintsTotal = append(d.recentHints[:0], l.Sample[:min(len(l.Sample), sampleSize)]...), l.Sampled
 	if len(d.recentHints) == 0 {
 		d.hintsTotal = 0
@@ -175,7 +175,7 @@
 		d.costs[k] = categoryCost{c.Answers, c.Log, c.Mean, c.At}
 	}
 	copy(d.maxTimeLeft, l.Most)
-	d.leak, d.leakAt, d.noticesLeft = l.Leak, l.LeakAt, l.Tellings
+	d.spill, d.spillAt, d.noticesLeft = l.Leak, l.LeakAt, l.Tellings
 	if l.Heard > 0 {
 		d.lastPeerMessage = max(d.lastPeerMessage, l.Heard)
 	}
@@ -206,7 +206,7 @@
 		if lw.Last > 0 {
 			w.lastHandOff = lw.Last
 		}
-		w.queueDrainedAt, w.fullUntil, w.logSlow, w.logSlowAt, w.failures = lw.Drained, lw.Full, lw.Slow, lw.SlowAt, lw.Fails
+		w.queueEmptyAt, w.fullUntil, w.logSlow, w.logSlowAt, w.failures = lw.Drained, lw.Full, lw.Slow, lw.SlowAt, lw.Fails
 		w.ejectedUntil, w.suspectedUntil = lw.OutTill, lw.SuspectTill
 		w.recentCost.restore(lw.Sent)
 		w.peerLeases = nil
--- a/internal/dispatch/learned_test.go
+++ b/internal/dispatch/learned_test.go
@@ -21,10 +21,10 @@
 	if err := json.Unmarshal(text, &l); err != nil {
 		t.Fatal(err)
 	}
-	tr.d.Succeed()
+	tr.d.MarkReplaced()
 	next := newTrace(t, s)
 	next.at(tr.now, func(d *Dispatcher) { d.Listed(ListComplete, list) })
-	next.at(tr.now+1, func(d *Dispatcher) { d.Recall(l) })
+	next.at(tr.now+1, func(d *Dispatcher) { d.ImportLearned(l) })
 	return next
 }
 
@@ -132,7 +132,7 @@
 				}
 			}
 			next := newTrace(t, s)
-			next.at(1, func(d *Dispatcher) { d.Recall(l) })
+			next.at(1, func(d *Dispatcher) { d.ImportLearned(l) })
 			if got := next.d.kinds[0].slots(); got != want {
 				t.Errorf("%d slots, imported with %d entries: %d slots, want %d", slots, places, got, want)
 			}
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -233,7 +233,7 @@
 			tr.d.lostAnswerRate = c.silent
 			for end := tr.now + 2600; tr.now < end; {
 				tr.at(tr.now+100, func(*Dispatcher) {})
-				_, now := tr.d.Pool()
+				_, now := tr.d.WorkerCounts()
 				avoided = max(avoided, now)
 			}
 		}
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -10,12 +10,12 @@
 )
 
 // credit says how sure a further work item is to start at once at a worker.
-type credit int
+type readiness int
 
 const (
-	creditNone credit = iota
-	creditLikely
-	creditSure
+	readinessNone readiness = iota
+	readinessLikely
+	readinessSure
 )
 
 // pool holds workers that are drawn from together: all candidates, or where there are many, those of one kind
@@ -28,7 +28,7 @@
 	start    int // Index of the first one.
 	stride   int
 	// Examined workers that have credit, by credit; a pool of any kind lists them all under creditSure.
-	ready [creditSure + 1][]*worker
+	ready [readinessSure + 1][]*worker
 }
 
 // rebuildPools divides the candidates into pools.
@@ -56,7 +56,7 @@
 
 // beginScan starts a round's examination of the workers. It reports whether any worker may have credit.
 func (d *Dispatcher) beginScan() bool {
-	d.anySuspected, d.minCredit = false, creditLikely
+	d.anySuspected, d.minReadiness = false, readinessLikely
 	for k := range d.pools {
 		p := &d.pools[k]
 		p.examined, p.start, p.stride = 0, 0, 1
@@ -70,7 +70,7 @@
 		for p.examined < len(p.workers) {
 			d.examineNext(p)
 		}
-		return len(p.ready[creditSure]) > 0
+		return len(p.ready[readinessSure]) > 0
 	}
 	return len(d.pools) > 0
 }
@@ -97,12 +97,12 @@
 	w := p.workers[(p.start+p.examined*p.stride)%len(p.workers)]
 	p.examined++
 	d.anySuspected = d.anySuspected || d.suspected(w)
-	c := d.creditOf(w)
-	if c == creditNone {
+	c := d.readinessOf(w)
+	if c == readinessNone {
 		return
 	}
 	if p.kind < 0 {
-		c = creditSure
+		c = readinessSure
 	}
 	p.ready[c] = append(p.ready[c], w)
 }
@@ -126,13 +126,13 @@
 	for k := range d.pools {
 		p := &d.pools[k]
 		if p.kind < 0 {
-			d.collect(p.ready[creditSure], len(p.ready[creditSure]), fits)
+			d.collect(p.ready[readinessSure], len(p.ready[readinessSure]), fits)
 			continue
 		}
 		if d.kinds[p.kind].lane != lane || ownZone && !p.ownZone || it.cat.Kind >= 0 && it.cat.Kind != p.kind {
 			continue
 		}
-		first, taken, ready := len(d.eligible), 0, &p.ready[d.minCredit]
+		first, taken, ready := len(d.eligible), 0, &p.ready[d.minReadiness]
 		for len(d.eligible)-first < scanLimit && (taken < len(*ready) || p.examined < len(p.workers)) {
 			if taken == len(*ready) {
 				d.examineNext(p)
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -38,8 +38,8 @@
 		d.meanHint, d.cutoff = 20, 20
 		for k := range d.kinds {
 			d.kinds[k].lane, d.kinds[k].workerCapacity = k%2, 1+float64(k)
-			d.kinds[k].limit[informed].likely, d.kinds[k].limit[informed].sure = 2, 1
-			d.kinds[k].limit[informed].nextProbeAt = math.Inf(1)
+			d.kinds[k].limit[known].likely, d.kinds[k].limit[known].sure = 2, 1
+			d.kinds[k].limit[known].nextProbeAt = math.Inf(1)
 		}
 		// In most cases all workers are busy; in a quarter they have credit but are too slow. The exceptions
 		// vary.
@@ -69,7 +69,7 @@
 			cat := *it.cat
 			cat.Kind, it.cat = r.IntN(3), &cat
 		}
-		d.minCredit = creditLikely
+		d.minReadiness = readinessLikely
 		var eligible []*worker
 		for _, w := range d.candidates {
 			if d.mayDraw(it, w) {
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -113,8 +113,8 @@
 
 // Whether the load that peers put on workers is known from their notices.
 const (
-	informed = iota
-	blind
+	known = iota
+	unknown
 )
 
 // MaxConcurrency is the largest number of work items at once on one worker that can be learned.
@@ -132,7 +132,7 @@
 }
 
 // slots is the estimated number of work items that a worker of the kind runs at once.
-func (k *kind) slots() int { return max(1+k.limit[informed].likely, 1+k.limit[blind].likely, k.free) }
+func (k *kind) slots() int { return max(1+k.limit[known].likely, 1+k.limit[unknown].likely, k.free) }
 
 // categoryCost holds what was learned of a category's cost where no work has hints.
 type categoryCost struct {
@@ -154,7 +154,7 @@
 	waiting        int // Own hand-offs not known to have started.
 	running        int
 	minStartGap    float64 // Least time from a hand-off to its start notice.
-	queueDrainedAt float64 // By then the queue last met there has drained.
+	queueEmptyAt   float64 // By then the queue last met there has drained.
 	fullUntil      float64 // Assumed to be full until then.
 	logSlow        float64 // Logarithm of its slowness relative to its kind, as of logSlowAt.
 	logSlowAt      float64
@@ -162,7 +162,7 @@
 	workFailures   int // Work that failed there, in a row.
 	ejectedUntil   float64
 	unlisted       bool       // The list omits it or calls it gone, which does not bind.
-	unlistedWeight float64    // Factor of its weight in the draw while it is unlisted, at most 1.
+	unlistedFactor float64    // Factor of its weight in the draw while it is unlisted, at most 1.
 	suspectedUntil float64    // Drawn last until then.
 	recentCost     slidingSum // Cost sent to it in the last overload window.
 	lastHandOff    float64    // Time of the last hand-off.
@@ -265,8 +265,8 @@
 	medianHint      float64
 	meanHint        float64
 	resetAt         float64 // Time of the next recomputation of the cutoff.
-	leak            float64 // Probability that large work goes to the fast lane, as of leakAt.
-	leakAt          float64
+	spill           float64 // Probability that large work goes to the fast lane, as of leakAt.
+	spillAt         float64
 	nextSweepAt     float64
 	sweepInterval   float64
 	subscribed      bool    // The last call to discovery succeeded.
@@ -285,8 +285,8 @@
 	candidatesByTag map[uint16][]*worker
 	recheckPending  bool // Pending work may find room that it did not find before.
 	newArrivals     bool
-	minCredit       credit // creditLikely once no worker has sure credit.
-	anySuspected    bool   // Some worker is suspected.
+	minReadiness    readiness // creditLikely once no worker has sure credit.
+	anySuspected    bool      // Some worker is suspected.
 	// Least time to a start notice from each zone; the first is for workers of unknown zone.
 	minStartGapByZone []float64
 	failureRate       float64 // Share of first hand-offs answered as failed, smoothed.
@@ -308,7 +308,7 @@
 		resetAt: -1, sharers: params.groups, rngState: s.Seed | 1, kinds: make([]kind, s.Kinds+1),
 		maxTimeLeft: make([]float64, len(s.Categories)), costs: make([]categoryCost, len(s.Categories)),
 		workersByKey: map[uint64]*keyWorkers{}, arrivals: make([]slidingSum, len(s.Tenants)), sweepInterval: max(s.RoundInterval, s.AnswerSlack/2, 1), nextSweepAt: -1,
-		askedAt: -1, lastPeerMessage: math.Inf(-1), minCredit: creditSure}
+		askedAt: -1, lastPeerMessage: math.Inf(-1), minReadiness: readinessSure}
 	d.rebuildPools()
 	for range 8 {
 		d.random()
@@ -325,7 +325,7 @@
 
 // GiveUp gives the final answer to a work item without outstanding hand-offs: the process may not hand off
 // any more.
-func (d *Dispatcher) GiveUp(wi uint64) {
+func (d *Dispatcher) GiveUpQueued(wi uint64) {
 	if it := d.items[wi]; it != nil && it.outstanding == 0 {
 		d.giveUp(it)
 	}
@@ -333,7 +333,7 @@
 
 // End has all open work answered within the given time, after which the process ends. Work that cannot end by
 // then is given up at once.
-func (d *Dispatcher) End(within float64) {
+func (d *Dispatcher) AnswerAllWithin(within float64) {
 	for _, it := range d.open {
 		it.expiry = min(it.expiry, d.now+within)
 		it.dueAt, it.examined = min(it.dueAt, it.expiry), false
@@ -365,7 +365,7 @@
 
 // Pool returns how many workers are listed, and how many of those that are up this dispatcher avoids at
 // present.
-func (d *Dispatcher) Pool() (listed, avoided int) {
+func (d *Dispatcher) WorkerCounts() (listed, avoided int) {
 	for _, w := range d.workers {
 		if w.State != Gone && !w.unlisted {
 			listed++
@@ -379,10 +379,10 @@
 
 // Succeed records that another process, which has been given the result of Learned, takes this one's place.
 // From then on only that process sends to cold workers.
-func (d *Dispatcher) Succeed() { d.replaced = true }
+func (d *Dispatcher) MarkReplaced() { d.replaced = true }
 
 // currentLeak is the probability that large work goes to the fast lane at present.
-func (d *Dispatcher) currentLeak() float64 { return d.leak * math.Exp2((d.leakAt-d.now)/leakHalfLife) }
+func (d *Dispatcher) spillNow() float64 { return d.spill * math.Exp2((d.spillAt-d.now)/spillHalfLife) }
 
 // workerLogSlow is the logarithm of the worker's slowness relative to its kind, decayed until now.
 func (d *Dispatcher) workerLogSlow(w *worker) float64 {
--- a/internal/dispatch/worker_list_test.go
+++ b/internal/dispatch/worker_list_test.go
@@ -42,7 +42,7 @@
 		runOne(id, Finished)
 	}
 	f1 := workerOrStub(tr.d, "f1")
-	tr.note("weight of f1 %.3f, listed workers %v", tr.d.drawWeight(f1)/tr.d.kinds[0].workerCapacity, firstOf(tr.d.Pool()))
+	tr.note("weight of f1 %.3f, listed workers %v", tr.d.drawWeight(f1)/tr.d.kinds[0].workerCapacity, firstOf(tr.d.WorkerCounts()))
 	tr.comment("f1 is gone indeed: three that cannot connect, then nothing more")
 	tr.at(tr.now+5, func(d *Dispatcher) { d.Listed(ListChanges, []Entry{{Worker: "f2", State: Draining}}) })
 	for id := uint64(30); id < 40; id++ {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -95,7 +95,7 @@
 	// Drain makes clients go to other dispatchers: each connection is closed after its next deferral. If
 	// another process takes over from this one, Drain sends it the takeover state, and each connection is
 	// closed after its next answer. It may call the function that returns the state before it returns.
-	Drain(state func() TakeoverState) (succeeded bool)
+	Drain(state func() TakeoverState) (hasSuccessor bool)
 	// ForwardCallback asks the other processes of this dispatcher about a callback. Its Respond is called
 	// once.
 	ForwardCallback(c Callback)
@@ -277,8 +277,8 @@
 // takeoverDecider is a Decider that can pass its state on to a successor.
 type takeoverDecider interface {
 	Learned() dispatch.Learned
-	Recall(dispatch.Learned)
-	Succeed()
+	ImportLearned(dispatch.Learned)
+	MarkReplaced()
 	Adopt(dispatch.WorkItem, []dispatch.Taken)
 }
 
@@ -919,7 +919,7 @@
 	slices.Sort(state.Used)
 	if d, ok := n.decider.(takeoverDecider); ok {
 		state.Learned = d.Learned()
-		d.Succeed()
+		d.MarkReplaced()
 	}
 	for _, w := range state.Learned.Workers {
 		state.Members = append(state.Members, Member{w.Entry, n.addrs[w.Worker]})
--- a/internal/node/rounds.go
+++ b/internal/node/rounds.go
@@ -33,9 +33,9 @@
 func (n *Node) round() {
 	n.lastRound, n.timerFired = n.now, false
 	n.decider.Round(n.now, n, n)
-	if d, ok := n.decider.(interface{ Pool() (listed, avoided int) }); ok && n.metrics != nil && n.now >= n.nextPoolMetrics {
+	if d, ok := n.decider.(interface{ WorkerCounts() (listed, avoided int) }); ok && n.metrics != nil && n.now >= n.nextPoolMetrics {
 		n.nextPoolMetrics = n.now + poolMetricsInterval
-		n.metrics.SetPool(d.Pool())
+		n.metrics.SetPool(d.WorkerCounts())
 	}
 }
 
@@ -50,12 +50,12 @@
 		case clientLeft:
 			d.ClientLeft(uint64(v))
 		case giveUpItem:
-			if to, ok := d.(interface{ GiveUp(uint64) }); ok {
-				to.GiveUp(uint64(v))
+			if to, ok := d.(interface{ GiveUpQueued(uint64) }); ok {
+				to.GiveUpQueued(uint64(v))
 			}
 		case answerDeadline:
-			if to, ok := d.(interface{ End(within float64) }); ok {
-				to.End(max(float64(v)-n.now, 0))
+			if to, ok := d.(interface{ AnswerAllWithin(within float64) }); ok {
+				to.AnswerAllWithin(max(float64(v)-n.now, 0))
 			}
 		case dispatch.HandOffResult:
 			d.HandOffEnded(v)
@@ -75,7 +75,7 @@
 			}
 		case dispatch.Learned:
 			if to, ok := d.(takeoverDecider); ok {
-				to.Recall(v)
+				to.ImportLearned(v)
 			}
 		case listUpdate:
 			entries := make([]dispatch.Entry, len(v.members))
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -127,7 +127,7 @@
 		if options.InheritedSockets, err = exchange.Find(); err != nil {
 			return err
 		}
-		options.Exchange, options.OnShare = exchange, func(half bool) { setMemoryLimit(c.MemoryMB, half) }
+		options.Exchange, options.OnHalfLimits = exchange, func(half bool) { setMemoryLimit(c.MemoryMB, half) }
 	}
 	nodeOptions := node.Options{Settings: c.Settings, MaxOpen: c.Links.MaxOpen, Discovery: c.Discovery.String(), CachedList: c.workers, Metrics: options.Metrics,
 		Mark: c.Mark}
--- a/internal/transport/takeover.go
+++ b/internal/transport/takeover.go
@@ -157,8 +157,8 @@
 	t.halved = half
 	t.applyLimits()
 	t.limitMu.Unlock()
-	if t.options.OnShare != nil {
-		t.options.OnShare(half)
+	if t.options.OnHalfLimits != nil {
+		t.options.OnHalfLimits(half)
 	}
 }
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -43,7 +43,7 @@
 	Exchange         *takeover.Exchange
 	InheritedSockets []*os.File // sockets of the predecessor, served once it has handed over
 	// OnShare is called with true if the process must keep to half of its limits, with false if it may use all.
-	OnShare func(half bool)
+	OnHalfLimits func(half bool)
 	// SystemSocketLimit returns what MaxSockets would be under the system's current limit; nil: MaxSockets is fixed.
 	SystemSocketLimit func() int
 }
@@ -148,7 +148,7 @@
 
 // Drain closes each connection after its next deferral. If there is a successor, it hands over to it, and
 // closes each connection after its next answer.
-func (t *Transport) Drain(state func() node.TakeoverState) (succeeded bool) {
+func (t *Transport) Drain(state func() node.TakeoverState) (hasSuccessor bool) {
 	t.clients.closeAfterDeferral.Store(true)
 	if t.options.Exchange != nil && t.options.Exchange.HandOver(func() []byte { return encodeTakeoverState(state()) }) {
 		t.clients.closeAfterAnswer.Store(true)
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -161,7 +161,7 @@
 	}
 	// The worker is alive. One that died closes all its connections, however long they were idle.
 	if closedAfter < w.maxIdle {
-		w.learn(closedAfter / 4) // it was closed some time before that was noticed
+		w.limitIdleTime(closedAfter / 4) // it was closed some time before that was noticed
 	}
 	return &workerConn{Conn: conn, addr: addr, in: bufio.NewReader(conn)}, nil
 }
@@ -169,7 +169,7 @@
 // learn records how long a connection may be idle at most. This guards against workers, or network paths to
 // them, that close idle connections long before the configured time: a request written to such a connection
 // ends as a reset and may count as run.
-func (w *workerPool) learn(limit time.Duration) {
+func (w *workerPool) limitIdleTime(limit time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if was := w.usableIdle(); limit < was {
@@ -404,7 +404,7 @@
 	}
 	a.w.discard(c)
 	if err != nil && !cancelled && c.idleTime > 0 {
-		a.w.learn(c.idleTime / 2)
+		a.w.limitIdleTime(c.idleTime / 2)
 	}
 }
 
