--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -22,8 +22,8 @@
 	workerSmoothing     = 0.25 // Smoothing factor of a worker's speed relative to its kind, for each answer.
 	queueSmoothing      = 0.2  // Smoothing factor of a kind's queue wait, for each start.
 	queueHalfLife       = 2000 // The estimated queue wait halves in this time without a start, in ms.
-	spillStep           = 0.02 // Increase of the leak for each refusal by a slow worker.
-	spillHalfLife       = 5000 // The leak halves in this time, in ms.
+	spillStep           = 0.02 // Increase of the spill for each refusal by a slow worker.
+	spillHalfLife       = 5000 // The spill halves in this time, in ms.
 	minReliableAnswers  = 8    // A kind's speed is relied on after this many answers.
 	suspicionPeriod     = 1e4  // A suspected worker is drawn last for this time, in ms.
 	failureSmoothing    = 0.05 // Smoothing factor of the failure rates, for each answer.
@@ -35,14 +35,16 @@
 	// Share of the work assumed to fail anywhere that is retried all the same, to test that assumption.
 	retryAnywayShare  = 1. / 8
 	goneAfterFailures = 3      // An unlisted worker counts as gone after this many failures in a row.
-	minUnlistedFactor = 1. / 8 // Lower bound of an unlisted worker's weight in the draw.
+	minUnlistedFactor = 1. / 8 // Lower bound of the factor applied to an unlisted worker's weight in the draw.
 	// Ejection time after a first failure, in ms; it doubles with each further failure in a row.
 	firstEjection = 500
 
-	maxSharers    = 32 // Upper bound of the dispatchers that share a worker.
-	maxWarmers    = 8  // Sharers that may send to a worker while it is cold; at least this many share each worker.
+	maxSharers = 32 // Upper bound of the dispatchers that share a worker.
+	// At most this many sharers may warm a worker; if there are as many dispatchers, at least this many share
+	// it.
+	maxWarmers    = 8
 	wantedWorkers = 10 // Number of workers that a dispatcher wants to draw from.
-	// Preferred workers of a key, as a multiple of the workers that the key's share of all work fills.
+	// A key's work is drawn among this multiple of the workers that its share of all work would occupy.
 	keySpareFactor = 1.5
 	peerTimeout    = 3000  // The peers' load is unknown when no peer message was received for this time, in ms.
 	tenantWindow   = 5000  // Window over which a tenant's arrivals are counted, in ms.
@@ -193,8 +195,8 @@
 		}
 		if w == nil {
 			w = d.addWorker(e.Worker)
-			// A new process of the worker: what was learned of the previous one does not apply.
 		} else if e.Since != w.Since {
+			// A new process of the worker: what was learned of the previous one does not apply.
 			w.failures, w.ejectedUntil, w.suspectedUntil, w.logSlow, w.fullUntil, w.peerLeases = 0, 0, 0, 0, 0, nil
 		}
 		if e.Kind < 0 || e.Kind >= len(d.kinds) {
@@ -204,7 +206,7 @@
 			k.maxWeight = max(k.maxWeight, e.Weight)
 			w.listedLoad = k.maxWeight/e.Weight - 1
 		}
-		w.Weight = e.Weight // A change of weight alone does not count as a change of the fleet.
+		w.Weight = e.Weight // A change of weight alone does not count as a change of the workers.
 		workersChanged = workersChanged || w.Entry != e || w.unlisted
 		w.Entry, w.unlisted = e, false
 	}
@@ -307,8 +309,8 @@
 		return
 	}
 	h.startedAt, d.recheckPending = d.now, true
-	// The start notice was lost or is delayed. Otherwise the gap to it is the only direct measure of the
-	// worker's queue.
+	// A progress notice came first: the start notice was lost or is delayed, so this gap says nothing about
+	// the worker's queue. The gap to a start notice is the only direct measure of it.
 	if !start {
 		return
 	}
@@ -397,8 +399,8 @@
 			}
 			runTime = max(runTime-k.fetchTime, runTime/2)
 		}
-		// A logarithm, so that work far costlier than its hint changes the speed by little.
-		// As if the worker were warm.
+		// Smoothing the logarithm lets work far costlier than its hint change the speed by little. The
+		// running time is scaled by warmFraction to what a warm worker would take.
 		logSlow := math.Log(max(runTime, d.params.twoRounds/4) * d.warmFraction(w) / it.Hint)
 		if k.answers++; !k.speedKnown {
 			k.logSlow, k.speedKnown = logSlow, true
@@ -421,9 +423,9 @@
 }
 
 // attributeFailure decides whether the worker or the work is at fault. The worker is, if so many failures in
-// a row are improbable at the fleet's failure rate. The work is, if it failed at another worker too, or if
-// most work that fails once fails again. This guards against sending work that no worker can do to one worker
-// after another.
+// a row are improbable at the failure rate of all workers. The work is, if it failed at another worker too,
+// or if most work that fails once fails again. This guards against sending work that no worker can do to one
+// worker after another.
 func (d *Dispatcher) attributeFailure(it *item, w *worker) {
 	if it.failedOn != nil && it.failedOn != w {
 		it.failsAnywhere = true
@@ -529,8 +531,9 @@
 		lost = d.now-h.lastNoticeAt > d.params.stallTimeout
 		d.copyOverdue(it, h)
 	default:
-		// Not where a cancelled hand-off may stay queued at the worker. Where the peers' load is unknown,
-		// other workers may only look free: the last hand-off is not spent on such a move.
+		// Without second copies a hand-off is not moved, as it may stay queued at the worker after it is
+		// cancelled. Where the peers' load is unknown, other workers may only look free: the last hand-off is
+		// not spent on such a move.
 		slack := it.dueAt - h.sentAt - d.expectedTime(it, h.worker)
 		overdue = d.params.secondCopies && len(it.handOffs)+d.peerView < d.params.maxHandOffs && waited > max(d.startAllowance(h.worker), slack/5)
 		ahead := h.load
@@ -570,9 +573,9 @@
 	}
 }
 
-// markSilent stops counting a hand-off as load that no longer reports. That is the worker's failure, unless
-// the work started and so many silent hand-offs in a row are probable from lost answers alone. With key
-// affinity it always is, as work that fetches reports no progress either.
+// markSilent stops counting a hand-off that no longer reports as load, and blames the worker, unless the work
+// started and so many silent hand-offs in a row are probable from lost answers alone. With key affinity the
+// worker is always blamed, as work that fetches reports no progress either.
 func (d *Dispatcher) markSilent(h *handoff) {
 	if h.counter == nil {
 		return
@@ -706,10 +709,10 @@
 	return least
 }
 
-// placeItem hands the item off in its bin's lane, or in the other lane when no worker of its own has credit.
-// Workers of the own zone come first if crossing zones has a price, the peers' load is known and the item has
-// no key. Only when no worker has sure credit does one get an item that is likely, but not sure, to start at
-// once. Suspected workers come last. It reports whether it handed the item off.
+// placeItem hands the item off in its bin's lane, or in the other lane when no worker of its own is ready
+// enough. Workers of the own zone come first if crossing zones has a price, the peers' load is known and the
+// item has no key. Only when no worker is sure to start the item at once does it go to one that is likely to.
+// Suspected workers come last. It reports whether it handed the item off.
 func (d *Dispatcher) placeItem(it *item) bool {
 	lane := 0
 	if it.Hint >= d.cutoff && d.random() >= d.spillNow() {
@@ -763,9 +766,10 @@
 }
 
 // preferredWorkers returns the workers that a key's work goes to: the first of each lane by rendezvous
-// hashing, the same at all dispatchers. Work is drawn among the first that are eligible, as many as the key's
-// share of all work fills, out of twice as many. Otherwise it waits: a fetch slows down all other work, and
-// sending the key's work anywhere under load would prolong the load by further fetches.
+// hashing, the same at all dispatchers. The key's share of all work, times keySpareFactor, needs n workers of
+// a lane. The list holds the first 2n; work is drawn among the first n of them that are eligible. If none is,
+// the work waits: a fetch slows down all other work, and sending the key's work anywhere under load would
+// prolong the load by further fetches.
 func (d *Dispatcher) preferredWorkers(key uint64) *keyWorkers {
 	if h := d.workersByKey[key]; h != nil {
 		return h
@@ -784,7 +788,7 @@
 		}
 	}
 	for lane, ordered := range order {
-		// Minus one standard deviation, which may be chance.
+		// One standard deviation is subtracted, as that much may be chance.
 		share := (keyCount - math.Sqrt(keyCount)) / float64(len(d.recentKeys))
 		h.drawLimit[lane] = max(1, int(math.Round(keySpareFactor*share*float64(len(ordered)))))
 		h.workers = append(h.workers, nearest(ordered, 2*h.drawLimit[lane])...)
@@ -802,8 +806,9 @@
 	return d.kinds[w.Kind].workerCapacity * w.standsFor
 }
 
-// creditOf says how sure a further item is to start at once at a worker. A worker earns credit by starting
-// and answering its work. It has none while a hand-off has not started, and after an ejection or a stall.
+// readinessOf says how sure a further item is to start at once at a worker. A worker becomes ready by
+// starting and answering its work. It is not ready while a hand-off has not started, and after an ejection or
+// a stall.
 func (d *Dispatcher) readinessOf(w *worker) readiness {
 	k := &d.kinds[w.Kind]
 	trial := w.failures > 0 // One item at a time.
@@ -842,8 +847,8 @@
 		it.mayBeAt(w) || !d.mayRepeat(it, w) {
 		return false
 	}
-	// A cold worker gets work from its warmers only, at each from one process only, within that dispatcher's
-	// part of the budget.
+	// Only a cold worker's warmers may send to it, each within its part of the worker's overload budget. Of a
+	// dispatcher that is being replaced, only the new process may.
 	return d.warmFraction(w) == 1 || !d.replaced && w.sharerRank < maxWarmers && d.withinColdBudget(w, max(it.Hint, d.meanHint))
 }
 
--- a/internal/dispatch/interface.go
+++ b/internal/dispatch/interface.go
@@ -12,7 +12,7 @@
 	Zone          int     // The zone of this dispatcher.
 	PreferOwnZone bool    // Handing off to another zone has a price.
 	KeyAffinity   bool    // Fetching the data that a work item's key refers to has a price.
-	// A listed weight is size / (1 + work items per core), so it falls with the worker's load.
+	// Listed weights follow the load: weight = nominal capacity / (1 + work items per core).
 	LiveWeights         bool
 	Kinds               int // Number of known kinds of worker.
 	Categories          []Category
@@ -31,10 +31,12 @@
 	DiscoveryAskWithin  float64 // Discovery must be asked again within this time.
 	DrainGrace          float64 // After this time nothing may be sent to a worker told to drain; 0: unspecified.
 	OnlyDrainingBinds   bool    // Only a draining entry binds; a worker listed as gone, or omitted, may still be used.
-	StartCapacity       float64 // Least share of its capacity with which a worker starts.
-	WarmUpTime          float64 // A worker is warm after this time at the latest.
-	OverloadMultiple    float64 // A cold worker fails beyond this multiple of its capacity in an OverloadWindow.
-	OverloadWindow      float64
+	// Least share of its capacity that a worker has at its start. It is cold from then (Entry.Since) until it
+	// has its full capacity, and warm afterwards.
+	StartCapacity    float64
+	WarmUpTime       float64 // A worker is warm at the latest this long after its start.
+	OverloadMultiple float64 // A cold worker fails beyond this multiple of its capacity in an OverloadWindow.
+	OverloadWindow   float64
 }
 
 // RepeatPolicy says whether a category's work item may be sent again once it may have run.
@@ -129,7 +131,8 @@
 // WorkerState is a worker's state according to discovery.
 type WorkerState int
 
-// The states. Gone also stands for workers that a complete list omits.
+// The states. Gone also stands for workers that a complete list omits. Where OnlyDrainingBinds is set, an
+// omitted worker that was Up stays Up.
 const (
 	Up WorkerState = iota
 	Draining
@@ -193,7 +196,7 @@
 
 // Executor carries out decisions at once, in the order in which they are written.
 type Executor interface {
-	// HandOff sends the work item to the worker. A timeout of 0 lasts until the client gives up.
+	// HandOff sends the work item to the worker. A timeout of 0 stands for the client's deadline.
 	HandOff(wi uint64, worker string, timeout float64)
 	// Cancel cancels a hand-off.
 	Cancel(wi uint64, ho int)
@@ -203,7 +206,8 @@
 	WriteOff(wi uint64)
 	// SetTimer requests a round after the delay.
 	SetTimer(handle uint64, delay float64)
-	// WatchDiscovery subscribes to discovery's listings, or ends the subscription.
+	// WatchDiscovery asks discovery for listings; false asks it to stop. The Dispatcher only passes true, and
+	// the Node ignores false.
 	WatchDiscovery(on bool)
 	// SendToPeer sends a message to the peer at the given position, or to all peers for -1.
 	SendToPeer(to int, data []byte)
--- a/internal/dispatch/learned.go
+++ b/internal/dispatch/learned.go
@@ -1,5 +1,5 @@
 // This file exports what a dispatcher has learned as plain values, for the process that takes its place, and
-// imports it there. It must not make decisions, and what it imports must apply only to workers that are
+// imports it there. It must not make decisions, and imported data must be applied only to workers that are
 // listed.
 
 package dispatch
@@ -18,18 +18,18 @@
 	Most     []float64 // Longest TimeLeft seen of each category.
 	Kinds    []LearnedKind
 	Workers  []LearnedWorker // Listed workers, without those that are gone.
-	Leak     float64         // Probability that large work goes to the fast lane, as of LeakAt.
+	Leak     float64         // Probability that large work goes to the fast lane (spill), as of LeakAt.
 	LeakAt   float64
-	Heard    float64       // Time of the last peer message; 0: none.
-	Tellings int           // Messages that may still be sent to peers.
+	Heard    float64       // Time of the last peer message (lastPeerMessage); 0: none.
+	Tellings int           // Messages that may still be sent to peers (noticesLeft).
 	Keys     []uint64      // Hashes of the last work items' keys.
 	Keyed    int           // Number of keys so far.
-	Silent   float64       // Share of started work whose answer never came, smoothed.
+	Silent   float64       // Share of started work whose answer never came, smoothed (lostAnswerRate).
 	Hinted   bool          // Some work item had a hint.
 	Costs    []LearnedCost // Of each category, where no work has hints.
 	Arrivals []Ring        // Work items of each tenant.
-	Heards   Ring          // Notices received from peers.
-	Tolds    Ring          // Notices sent to peers.
+	Heards   Ring          // Notices received from peers (noticesReceived).
+	Tolds    Ring          // Notices sent to peers (noticesSent).
 }
 
 // Ring is a sum over a sliding window, as its buckets.
@@ -74,7 +74,7 @@
 type LearnedWorker struct {
 	Entry
 	MinGap      float64 // Least time from a hand-off to its start notice; 0: none known.
-	Drained     float64 // By then the queue last met there has drained.
+	Drained     float64 // Time at which the queue seen by the last late start is assumed empty.
 	Full        float64 // Assumed to be full until then.
 	Slow        float64 // Logarithm of its slowness relative to its kind, as of SlowAt.
 	SlowAt      float64
@@ -158,9 +158,9 @@
 	return l
 }
 
-// Recall imports what the previous process had learned. What it had learned of a worker applies only if the
-// worker is listed here with the same start time: a restarted worker counts as a new one. Recall must be
-// called before the first work item arrives.
+// ImportLearned imports what the previous process had learned. What it had learned of a worker applies only
+// if the worker is listed here with the same start time: a restarted worker counts as a new one.
+// ImportLearned must be called before the first work item arrives.
 func (d *Dispatcher) ImportLearned(l Learned) {
 	d.recentHints, d.hintsTotal = append(d.recentHints[:0], l.Sample[:min(len(l.Sample), sampleSize)]...), l.Sampled
 	if len(d.recentHints) == 0 {
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// credit says how sure a further work item is to start at once at a worker.
+// readiness says how sure a further work item is to start at once at a worker.
 type readiness int
 
 const (
@@ -27,7 +27,8 @@
 	examined int // Number of workers that this round has examined.
 	start    int // Index of the first one.
 	stride   int
-	// Examined workers that have credit, by credit; a pool of any kind lists them all under creditSure.
+	// Examined workers that may get work, by readiness. The single pool of all candidates lists them all
+	// under readinessSure, as mayDraw checks each worker's readiness anyway.
 	ready [readinessSure + 1][]*worker
 }
 
@@ -54,7 +55,7 @@
 	}
 }
 
-// beginScan starts a round's examination of the workers. It reports whether any worker may have credit.
+// beginScan starts a round's examination of the workers. It reports whether any worker may be ready for work.
 func (d *Dispatcher) beginScan() bool {
 	d.anySuspected, d.minReadiness = false, readinessLikely
 	for k := range d.pools {
@@ -75,8 +76,8 @@
 	return len(d.pools) > 0
 }
 
-// randomStride returns a random stride that visits all n positions. Neighbours in the list are often
-// neighbours in the building, so a draw should not take them together.
+// randomStride returns a random stride that visits all n positions. Workers listed next to each other often
+// share a rack or a building, and so their faults, so a draw should not take them together.
 func (d *Dispatcher) randomStride(n int) int {
 	for {
 		if stride := 1 + int(d.random()*float64(n)); gcd(stride, n) == 1 {
@@ -92,7 +93,8 @@
 	return a
 }
 
-// examineNext examines the next worker of the pool and adds it to the ready ones if it has credit.
+// examineNext examines the next worker of the pool and adds it to the ready ones, unless its readiness is
+// none.
 func (d *Dispatcher) examineNext(p *pool) {
 	w := p.workers[(p.start+p.examined*p.stride)%len(p.workers)]
 	p.examined++
@@ -120,8 +122,8 @@
 }
 
 // collectFromPools adds to the draw workers that fit from each pool of the lane, up to scanLimit from each;
-// each of them represents its part of the workers that were not examined. When likely credit is wanted, an
-// earlier pass has found no worker with sure credit.
+// each of them represents its part of the workers that were not examined. When minReadiness is
+// readinessLikely, an earlier pass has found no worker with readinessSure.
 func (d *Dispatcher) collectFromPools(it *item, lane int, ownZone bool, fits func(*worker) bool) {
 	for k := range d.pools {
 		p := &d.pools[k]
@@ -168,8 +170,8 @@
 	return first
 }
 
-// someCandidates returns candidates to examine where examining all is not worth the cost: as many as one draw
-// examines.
+// someCandidates returns all candidates or, if there are more than scanLimit, that many adjacent ones from a
+// random position.
 func (d *Dispatcher) someCandidates() []*worker {
 	if len(d.candidates) <= scanLimit {
 		return d.candidates
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -20,7 +20,7 @@
 	excessCredit       float64
 	dispatchers        int
 	position           int // This dispatcher's position among them.
-	groups             int // Groups of dispatchers; one of each group may share a worker.
+	groups             int // Number of groups of dispatchers; of each group, one dispatcher may share a given worker.
 	zone               int
 	preferOwnZone      bool
 	keyAffinity        bool
@@ -99,7 +99,7 @@
 	logSlow        float64 // Logarithm of running time over hint, smoothed.
 	speedKnown     bool
 	answers        int                 // Answers that its speed was learned from.
-	limit          [2]concurrencyLimit // Learned with the peers' load known (informed), and unknown (blind).
+	limit          [2]concurrencyLimit // Learned with the peers' load known, and unknown.
 	queueWait      float64             // Smoothed wait before the start, as of queueWaitAt.
 	queueWaitAt    float64
 	lane           int     // 0: small work; 1: large work.
@@ -111,7 +111,8 @@
 	capacity       float64 // Capacity of all its workers as of the last recomputation.
 }
 
-// Whether the load that peers put on workers is known from their notices.
+// Values of peerView: whether the load that peers put on workers is known from their notices. The value is
+// also used as a factor, 0 or 1.
 const (
 	known = iota
 	unknown
@@ -154,7 +155,7 @@
 	waiting        int // Own hand-offs not known to have started.
 	running        int
 	minStartGap    float64 // Least time from a hand-off to its start notice.
-	queueEmptyAt   float64 // By then the queue last met there has drained.
+	queueEmptyAt   float64 // Time at which the queue seen by the last late start is assumed empty.
 	fullUntil      float64 // Assumed to be full until then.
 	logSlow        float64 // Logarithm of its slowness relative to its kind, as of logSlowAt.
 	logSlowAt      float64
@@ -162,7 +163,7 @@
 	workFailures   int // Work that failed there, in a row.
 	ejectedUntil   float64
 	unlisted       bool       // The list omits it or calls it gone, which does not bind.
-	unlistedFactor float64    // Factor of its weight in the draw while it is unlisted, at most 1.
+	unlistedFactor float64    // Factor applied to its weight in the draw while it is unlisted, at most 1.
 	suspectedUntil float64    // Drawn last until then.
 	recentCost     slidingSum // Cost sent to it in the last overload window.
 	lastHandOff    float64    // Time of the last hand-off.
@@ -259,13 +260,13 @@
 	anyHint         bool           // Some work item had a hint.
 	keysTotal       int            // Number of keys so far.
 	hintsTotal      int            // Number of hints so far.
-	peerView        int            // Whether the peers' load is known: informed or blind.
+	peerView        int            // Whether the peers' load is known or unknown.
 	sortedHints     []float64
 	cutoff          float64 // Work with a hint of at least this goes to the slow lane.
 	medianHint      float64
 	meanHint        float64
 	resetAt         float64 // Time of the next recomputation of the cutoff.
-	spill           float64 // Probability that large work goes to the fast lane, as of leakAt.
+	spill           float64 // Probability that large work goes to the fast lane, as of spillAt.
 	spillAt         float64
 	nextSweepAt     float64
 	sweepInterval   float64
@@ -285,7 +286,7 @@
 	candidatesByTag map[uint16][]*worker
 	recheckPending  bool // Pending work may find room that it did not find before.
 	newArrivals     bool
-	minReadiness    readiness // creditLikely once no worker has sure credit.
+	minReadiness    readiness // Least readiness that a worker must have in the current pass of the draw.
 	anySuspected    bool      // Some worker is suspected.
 	// Least time to a start notice from each zone; the first is for workers of unknown zone.
 	minStartGapByZone []float64
@@ -323,16 +324,16 @@
 	d.rebuildPools()
 }
 
-// GiveUp gives the final answer to a work item without outstanding hand-offs: the process may not hand off
-// any more.
+// GiveUpQueued gives the final answer to a work item without outstanding hand-offs: the process may not hand
+// off any more.
 func (d *Dispatcher) GiveUpQueued(wi uint64) {
 	if it := d.items[wi]; it != nil && it.outstanding == 0 {
 		d.giveUp(it)
 	}
 }
 
-// End has all open work answered within the given time, after which the process ends. Work that cannot end by
-// then is given up at once.
+// AnswerAllWithin has all open work answered within the given time, after which the process ends. Work that
+// cannot end by then is given up at once.
 func (d *Dispatcher) AnswerAllWithin(within float64) {
 	for _, it := range d.open {
 		it.expiry = min(it.expiry, d.now+within)
@@ -363,8 +364,8 @@
 	}
 }
 
-// Pool returns how many workers are listed, and how many of those that are up this dispatcher avoids at
-// present.
+// WorkerCounts returns how many workers are listed, and how many of those that are up this dispatcher avoids
+// at present.
 func (d *Dispatcher) WorkerCounts() (listed, avoided int) {
 	for _, w := range d.workers {
 		if w.State != Gone && !w.unlisted {
@@ -377,11 +378,11 @@
 	return listed, avoided
 }
 
-// Succeed records that another process, which has been given the result of Learned, takes this one's place.
-// From then on only that process sends to cold workers.
+// MarkReplaced records that another process, which has been given the result of Learned, takes this one's
+// place. From then on only that process sends to cold workers.
 func (d *Dispatcher) MarkReplaced() { d.replaced = true }
 
-// currentLeak is the probability that large work goes to the fast lane at present.
+// spillNow is the probability that large work goes to the fast lane at present.
 func (d *Dispatcher) spillNow() float64 { return d.spill * math.Exp2((d.spillAt-d.now)/spillHalfLife) }
 
 // workerLogSlow is the logarithm of the worker's slowness relative to its kind, decayed until now.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -3,7 +3,7 @@
 // as a small typed value, and only the event loop changes state. It requests reads and writes from a
 // Transport. It must never block on a socket or a queue, parse or format a message, or decide where a work
 // item goes: that is the job of the Dispatcher, which is called at most once per round interval
-// (Settings.Grain).
+// (Settings.RoundInterval).
 package node
 
 import (
@@ -41,8 +41,9 @@
 	cachedListDelay = 500 // the cached list of workers is used if discovery has not answered for this long
 	minAcceptTime   = 500 // after a stop, new work is accepted for at least this long: clients may not know of the stop
 
-	// The supervisor kills the process maxDrainTime + killGrace after a stop. If the longest expiry is shorter than
-	// maxDrainTime, it counts in its place. All requests are answered answerMargin before the kill.
+	// The supervisor kills the process killGrace after the end of the drain time, which begins with a stop
+	// and is the smaller of maxDrainTime and the longest expiry. All requests are answered answerMargin
+	// before the kill.
 	maxDrainTime = 3000
 	killGrace    = 700
 	answerMargin = 200
@@ -66,7 +67,7 @@
 	// call that fell silent has used up half of the time by then.
 	pollRetryMean  = 1000
 	pollInterval   = 3500
-	askWithinShare = 0.35 // both are at most this fraction of the setting AskWithin
+	askWithinShare = 0.35 // both are at most this fraction of the setting DiscoveryAskWithin
 
 	maxWatches = 3    // watches that may wait for discovery at once
 	queueSize  = 4096 // events that wait for the event loop
@@ -94,10 +95,11 @@
 	SendToPeer(to int, data []byte)
 	// Drain makes clients go to other dispatchers: each connection is closed after its next deferral. If
 	// another process takes over from this one, Drain sends it the takeover state, and each connection is
-	// closed after its next answer. It may call the function that returns the state before it returns.
+	// closed after its next answer. It may call the function that returns the state before it returns. It
+	// reports whether another process takes over.
 	Drain(state func() TakeoverState) (hasSuccessor bool)
-	// ForwardCallback asks the other processes of this dispatcher about a callback. Its Respond is called
-	// once.
+	// ForwardCallback asks the other processes of this dispatcher whether they know the work item of a
+	// callback, and to apply it. c.Respond must not be nil; it is called once, with the result.
 	ForwardCallback(c Callback)
 	// CloseIdle closes the connections that wait for a request.
 	CloseIdle()
@@ -291,8 +293,8 @@
 	Running
 	Done
 	Failed
-	Returned
-	Lost
+	Returned // the worker refused the work for lack of room
+	Lost     // the worker lost the work, which may have run
 )
 
 // Member is a worker as discovery lists it, with its address.
@@ -363,7 +365,7 @@
 	clock             func() float64
 	log               *slog.Logger
 	now               float64
-	lastRound         float64 // its time
+	lastRound         float64 // time of the last round
 	timerFired        bool    // a timer of the Dispatcher has expired since the last round
 	inbox             []any
 	items             map[uint64]*workItem
@@ -377,10 +379,10 @@
 	lastWI            uint64
 	timers            timerQueue
 	rngState          uint64
-	newestWatch       int     // its number
+	newestWatch       int     // number of the newest watch
 	openWatches       []int   // oldest first; once one has answered, only that one
 	watchAnswered     bool    // the open watch has answered
-	pollPending       bool    // the Dispatcher requested a poll that has no answer yet
+	pollPending       bool    // discovery only answers requests, and the newest poll has no answer yet
 	nextWatchAt       float64 // time of the next watch; infinite: none is planned
 	discoveryAddr     string
 	metrics           *metrics.Metrics
@@ -409,7 +411,7 @@
 type Options struct {
 	Settings  dispatch.Settings
 	MaxOpen   int    // limit on clients that wait at once
-	Discovery string // its address
+	Discovery string // address of discovery
 	// CachedList is the last known list of workers, perhaps outdated. Its revision is not sent to discovery,
 	// which may have been at another address then and may count revisions differently.
 	CachedList DiscoveryUpdate
@@ -421,7 +423,8 @@
 	Mark    string
 	// Guard is asked before each hand-off; nil: the process belongs to no fleet.
 	Guard LeaseGuard
-	// Decider makes the decisions; nil: a dispatch.Dispatcher. Others serve to measure it.
+	// Decider makes the decisions; nil: a dispatch.Dispatcher. Tests and benchmarks pass other deciders to
+	// compare with it.
 	Decider dispatch.Decider
 }
 
@@ -494,7 +497,7 @@
 	close(n.stopped)
 }
 
-// handleQueued handles the given events and all queued ones before it decides anything, also when a timer
+// handleQueued handles the given events and all queued ones before it decides anything, even when a timer
 // fires. After the process was suspended, both are present at once, and the node must not act on work that
 // has ended meanwhile.
 func (n *Node) handleQueued(values ...any) {
@@ -846,9 +849,9 @@
 			n.handOffEnded(it, ho, dispatch.Finished, c.Result)
 			return true
 		case earlierEnded:
-			// It is unknown which hand-off the callback concerns. If it were applied to the newer one, work
-			// that runs could count as never run and run twice. It is ignored; the Dispatcher's timeouts or
-			// the expiry end the newer one.
+			// It is unknown which hand-off the callback concerns. If it were applied to the newer hand-off,
+			// work that runs could count as never run and run twice. The callback is ignored; the
+			// Dispatcher's timeouts or the expiry end the newer hand-off.
 			n.log.Warn("callback", "callback", "ambiguous", "id", c.ID, "from", c.From)
 			return true
 		default:
@@ -1015,7 +1018,7 @@
 	n.transport.Watch(n.newestWatch, n.discoveryAddr, n.revision)
 }
 
-// capByAskWithin limits an interval between polls to a fraction of the setting AskWithin.
+// capByAskWithin limits an interval between polls to a fraction of the setting DiscoveryAskWithin.
 func (n *Node) capByAskWithin(interval float64) float64 {
 	if n.settings.DiscoveryAskWithin > 0 {
 		interval = min(interval, askWithinShare*n.settings.DiscoveryAskWithin)
@@ -1023,7 +1026,7 @@
 	return interval
 }
 
-// closeWatches closes all watches but one.
+// closeWatches closes all watches except the given one, or all of them if except is 0.
 func (n *Node) closeWatches(except int) {
 	for _, k := range n.openWatches {
 		if k != except {
--- a/internal/node/rounds.go
+++ b/internal/node/rounds.go
@@ -1,5 +1,6 @@
-// This file connects the node to the Dispatcher: it is the Inbox that a round delivers and the Writer that
-// carries out its decisions. It must never change events, nor make a decision itself.
+// This file connects the node to the Dispatcher: the Node is the Inbox whose events a round delivers, and the
+// Executor that carries out the round's decisions. This file must never change events, nor make a decision
+// itself.
 
 package node
 
@@ -8,7 +9,8 @@
 	"weldmast/internal/fleet"
 )
 
-// Events that wait for the next round, besides *workItem (an arrival), dispatch.Answer and PeerMessage.
+// Events that wait for the next round, besides *workItem (an arrival), dispatch.HandOffResult,
+// dispatch.Learned and PeerMessage.
 type (
 	clientLeft     uint64
 	giveUpItem     uint64
@@ -89,8 +91,9 @@
 	n.inbox = n.inbox[:0]
 }
 
-// HandOff sends the work item to the worker, within the client's deadline and the limit of hand-offs;
-// otherwise the hand-off ends as moot.
+// HandOff sends the work item to the worker, within the client's deadline and the limit of hand-offs. Where
+// these or the lease guard forbid it, the hand-off ends at once as NotSent; where the worker's address is
+// unknown, as ConnectFailed.
 func (n *Node) HandOff(wi uint64, worker string, timeout float64) {
 	it := n.items[wi]
 	if it == nil { // answered, and all its hand-offs have ended
@@ -140,16 +143,16 @@
 	}
 }
 
-// Timer schedules a round; the handle is not used.
+// SetTimer schedules a round; the handle is not used.
 func (n *Node) SetTimer(_ uint64, delay float64) { n.schedule(n.now+delay, 0, 0) }
 
-// Watch polls discovery for changes, where discovery only answers requests. Each poll gets one answer: while
-// that is pending, another poll would only delay it.
+// WatchDiscovery polls discovery for changes, where discovery only answers requests. It does nothing if on is
+// false. Each poll gets one answer: while that is pending, another poll would only delay it.
 func (n *Node) WatchDiscovery(on bool) {
 	if on && !n.pollPending {
 		n.openWatch()
 	}
 }
 
-// Tell sends a message to peers.
+// SendToPeer sends a message to one peer, or to all peers if to is -1.
 func (n *Node) SendToPeer(to int, data []byte) { n.transport.SendToPeer(to, data) }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,8 +15,8 @@
 	"weldmast/internal/dispatch"
 )
 
-// Values holds settings by path. A plain list has several values; a list of objects has a count and paths
-// with positions.
+// Values holds settings by path. A list of plain values stands under one path, as several values. A list of
+// objects has a count and a position in each path, for example categories.count=2 and categories.0.name=a.
 type Values map[string][]string
 
 // ParseFlat reads key=value pairs as the simulator sends them.
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -205,7 +205,7 @@
 var callbackStates = map[string]node.CallbackState{"started": node.Started, "running": node.Running,
 	"done": node.Done, "failed": node.Failed, "returned": node.Returned, "lost": node.Lost}
 
-// callback answers 200 once the node has the callback, also if nobody waits for it any more: otherwise the
+// callback answers 200 once the node has the callback, even if nobody waits for it any more: otherwise the
 // worker would only repeat it.
 func (c *clientServer) callback(ctx *fasthttp.RequestCtx) {
 	var in struct {
--- a/internal/transport/connections.go
+++ b/internal/transport/connections.go
@@ -173,14 +173,14 @@
 // evictOne closes one connection, in this order:
 //
 //   - the one that has gone longest without ever carrying work or a callback: silent, idle after a request for
-//     /ready, or with an incomplete request, whose silence counts for a quarter;
+//     /ready, or with an incomplete request, whose time since the last read counts only a quarter;
 //   - the longest idle;
-//   - the one whose request has been arriving for longest, also a first request that still makes progress.
+//   - the one whose request has been arriving for longest, including a first request that still makes progress.
 //
 // Connections whose request is being served stay; the node accepts no more of them than half of all
 // descriptors. A usual client sends its request at once and so is young in the first group. The newcomer that
-// needs the place is skipped: where all others have carried work it would be the first to go, and no callback
-// would get in.
+// needs the place is never chosen: if all other connections have carried work, it would be evicted first, and
+// no callback would get in.
 func (c *clientServer) evictOne(newcomer *clientConn) bool {
 	var victim *clientConn
 	var lowest evictionPriority
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -31,7 +31,8 @@
 	discoveryAnswerTimeout = 3 * time.Second
 	// Where discovery only answers requests, calls wait in turn; a call that was given up still takes its turn.
 	discoveryQueueTimeout = 15 * time.Second
-	// Time without a line, also an empty one (the keep-alive). A change must be known within 6 s.
+	// A watch has fallen silent after this time without any line; an empty line (keep-alive) counts as one. A
+	// change must be known within 6 s.
 	discoverySilenceTimeout = 3 * time.Second
 	maxListSize             = 8 << 20
 	listPath                = "/v1/endpoints"
--- a/internal/transport/takeover.go
+++ b/internal/transport/takeover.go
@@ -115,7 +115,7 @@
 	return u, nil
 }
 
-// Sockets returns the sockets that are passed to a successor.
+// ListeningSockets returns the sockets that are passed to a successor.
 func (t *Transport) ListeningSockets() []syscall.Conn {
 	all := []syscall.Conn{t.clients.listener}
 	if t.peers.conn != nil {
@@ -145,13 +145,13 @@
 	}
 }
 
-// GiveIdle gives away connections that wait for a request.
+// TransferIdle gives away connections that wait for a request.
 func (t *Transport) TransferIdle(give func(syscall.Conn) bool) { t.clients.giveAwayIdle(give) }
 
-// Adopt serves a connection that the other process gave away.
+// AdoptConn serves a connection that the other process gave away.
 func (t *Transport) AdoptConn(c net.Conn) { go t.clients.adoptConn(c) }
 
-// Share keeps this process to half of its limits while another process uses the other half.
+// SetHalfLimits keeps this process to half of its limits while another process uses the other half.
 func (t *Transport) SetHalfLimits(half bool) {
 	t.limitMu.Lock()
 	t.halved = half
@@ -176,7 +176,7 @@
 	t.node.Enqueue(node.ClientLimit{Max: maxClients - max(maxClients/6, minCallbackConns)})
 }
 
-// Succeeded tells the node that a successor is ready.
+// SuccessorConnected tells the node that a successor is ready.
 func (t *Transport) SuccessorConnected() { t.node.Enqueue(node.SuccessorReady{}) }
 
 const recheckDelay = 100 * time.Millisecond // a job that is being handed over has arrived by then
@@ -189,8 +189,8 @@
 	Spilt      bool   // those exceeded maxPipelined
 }
 
-// handOver passes a job to the successor. If that fails, its client is answered as for a job that may have
-// run.
+// handOver passes a job to the successor. It returns false if that failed: the caller then answers the client
+// as for a job that may have run.
 func (t *Transport) handOver(conn *clientConn, j *node.Job, m *message) bool {
 	text, err := json.Marshal(transferredJob{*j, m.head, m.body, conn.pipelined, conn.pipelineOverflow})
 	if err == nil {
@@ -289,7 +289,7 @@
 	})
 }
 
-// Callback handles a callback for a work item that another process does not know.
+// ForwardedCallback handles a callback for a work item that another process does not know.
 func (t *Transport) ForwardedCallback(text []byte, fromSuccessor bool, answer func(takeover.CallbackResult)) {
 	var forwarded forwardedCallback
 	if json.Unmarshal(text, &forwarded) != nil {
@@ -320,7 +320,7 @@
 	return text
 }
 
-// Inherit passes the predecessor's state to the node.
+// ImportState passes the predecessor's state to the node.
 func (t *Transport) ImportState(text []byte) error {
 	var k node.TakeoverState
 	if err := json.Unmarshal(text, &k); err != nil {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -42,7 +42,8 @@
 	// shared.
 	Exchange         *takeover.Exchange
 	InheritedSockets []*os.File // sockets of the predecessor, served once it has handed over
-	// OnShare is called with true if the process must keep to half of its limits, with false if it may use all.
+	// OnHalfLimits is called with true if the process must keep to half of its limits, with false if it may
+	// use all.
 	OnHalfLimits func(half bool)
 	// SystemSocketLimit returns what MaxSockets would be under the system's current limit; nil: MaxSockets is fixed.
 	SystemSocketLimit func() int
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -166,9 +166,9 @@
 	return &workerConn{Conn: conn, addr: addr, in: bufio.NewReader(conn)}, nil
 }
 
-// learn records how long a connection may be idle at most. This guards against workers, or network paths to
-// them, that close idle connections long before the configured time: a request written to such a connection
-// ends as a reset and may count as run.
+// limitIdleTime records how long a connection may be idle at most. This guards against workers, or network
+// paths to them, that close idle connections long before the configured time: a request written to such a
+// connection ends as a reset and may count as run.
 func (w *workerPool) limitIdleTime(limit time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -354,8 +354,8 @@
 		a.finish(dispatch.ConnectFailed, errNotAllowed)
 		return
 	}
-	// The same for the client: it may have disconnected, or have its answer, while the connection was being
-	// opened, and the cancellation may be on its way, or not allowed.
+	// The client may have disconnected, or got its answer, while the connection was being opened. The
+	// cancellation that follows may not have arrived yet, or cancelling may be forbidden.
 	m := a.req.Message.(*message)
 	if !m.clientWaits() {
 		logDisconnected(a.req.ID, "unsent")
