--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -62,7 +62,7 @@
 		d.nextSweepAt, d.recheckPending = now+d.sweepInterval, true
 		out.SetTimer(0, d.sweepInterval)
 		d.sweep()
-		d.renewSubscription()
+		d.renewRequest()
 		// Without messages from peers their load is unknown: workers would look free that are not.
 		if d.peerView = known; d.params.dispatchers > 1 && now-d.lastPeerMessage > peerTimeout {
 			d.peerView = unknown
@@ -155,13 +155,13 @@
 // renewSubscription keeps the subscription to discovery alive. It calls again when a call failed, after a
 // random wait whose mean doubles, and when discovery has sent nothing for long. The random wait guards
 // against dispatchers whose simultaneous calls keep discovery from answering any of them.
-func (d *Dispatcher) renewSubscription() {
-	wait := d.askWait
-	if d.subscribed {
-		wait = d.params.silentAskWait
+func (d *Dispatcher) renewRequest() {
+	wait := d.requestWait
+	if d.requestAnswered {
+		wait = d.params.silentRequestWait
 	}
-	if d.params.discoveryOnRequest && (d.askedAt < 0 || d.now-d.askedAt >= wait) {
-		d.askedAt, d.askWait = d.now, d.params.maxAskWait // The answer may take long.
+	if d.params.discoveryOnRequest && (d.requestedAt < 0 || d.now-d.requestedAt >= wait) {
+		d.requestedAt, d.requestWait = d.now, d.params.maxRequestWait // The answer may take long.
 		d.out.WatchDiscovery(true)
 	}
 }
@@ -170,13 +170,13 @@
 // other type replace them.
 func (d *Dispatcher) Listed(listType ListType, entries []Entry) {
 	if listType == ListUnavailable { // The retry guards against sending to workers whose drain was not reported.
-		d.subscribed, d.askedAt = false, d.now
-		d.askWait = min(d.meanAskWait, d.params.maxAskWait) * (0.5 + d.random())
-		d.meanAskWait = 2 * min(d.meanAskWait, d.params.maxAskWait)
+		d.requestAnswered, d.requestedAt = false, d.now
+		d.requestWait = min(d.meanRequestWait, d.params.maxRequestWait) * (0.5 + d.random())
+		d.meanRequestWait = 2 * min(d.meanRequestWait, d.params.maxRequestWait)
 		return
 	}
-	if listType != ListRestored && d.askedAt >= 0 {
-		d.subscribed, d.askedAt, d.meanAskWait = true, d.now, d.params.firstAskWait
+	if listType != ListRestored && d.requestedAt >= 0 {
+		d.requestAnswered, d.requestedAt, d.meanRequestWait = true, d.now, d.params.firstRequestWait
 	}
 	workersChanged := listType != ListChanges
 	if workersChanged {
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	sampleSize   = 512 // Number of recent hints kept for the cutoff, and of recent keys.
-	stalledAfter = 2.5 // A hand-off has stalled after this many progress intervals without a notice.
-	firstAskWait = 0.4 // Mean wait after a failed call to discovery, as a share of DiscoveryAskWithin.
+	sampleSize       = 512 // Number of recent hints kept for the cutoff, and of recent keys.
+	stalledAfter     = 2.5 // A hand-off has stalled after this many progress intervals without a notice.
+	firstRequestWait = 0.4 // Mean wait after a failed call to discovery, as a share of DiscoveryAskWithin.
 	// Wait after which a subscription without messages is renewed, as a multiple of DiscoveryAskWithin.
-	silentAskWait = 3.
+	silentRequestWait = 3.
 )
 
 // parameters holds the values that decisions use, derived from Settings.
@@ -35,9 +35,9 @@
 	maxRetryAfter      float64 // 0: clients are given no advice.
 	twoRounds          float64
 	stallTimeout       float64 // A hand-off has stalled after this time without progress.
-	firstAskWait       float64 // Mean wait after the first failed call to discovery.
-	maxAskWait         float64 // Upper bound of the mean wait after repeated failures.
-	silentAskWait      float64 // A subscription without messages is renewed after this time.
+	firstRequestWait   float64 // Mean wait after the first failed call to discovery.
+	maxRequestWait     float64 // Upper bound of the mean wait after repeated failures.
+	silentRequestWait  float64 // A subscription without messages is renewed after this time.
 	startCapacity      float64
 	warmUpRate         float64 // Least share of its capacity that a cold worker gains in a millisecond.
 	warmUpTime         float64
@@ -53,7 +53,7 @@
 		position: min(max(s.Position, 0), dispatchers-1), zone: s.Zone,
 		preferOwnZone: s.PreferOwnZone, keyAffinity: s.KeyAffinity, liveWeights: s.LiveWeights, startNotices: s.StartNotices, discoveryOnRequest: s.DiscoveryOnRequest, onlyDrainingBinds: s.OnlyDrainingBinds, mayNotifyPeers: s.MayNotifyPeers,
 		mayCancel: s.MayCancel, secondCopies: s.SecondCopies, maxHandOffs: s.MaxHandOffs, twoRounds: 2 * s.RoundInterval,
-		stallTimeout: stalledAfter * s.ProgressInterval, firstAskWait: firstAskWait * s.DiscoveryAskWithin, maxAskWait: s.DiscoveryAskWithin, silentAskWait: silentAskWait * s.DiscoveryAskWithin,
+		stallTimeout: stalledAfter * s.ProgressInterval, firstRequestWait: firstRequestWait * s.DiscoveryAskWithin, maxRequestWait: s.DiscoveryAskWithin, silentRequestWait: silentRequestWait * s.DiscoveryAskWithin,
 		startCapacity: s.StartCapacity, warmUpRate: (1 - s.StartCapacity) / max(s.WarmUpTime, 1), warmUpTime: s.WarmUpTime, overloadWindow: max(s.OverloadWindow, 1),
 		overloadShare: s.OverloadMultiple / float64(min(groups, maxWarmers))}
 	if s.MayAdviseRetryAfter {
@@ -270,10 +270,10 @@
 	spillAt         float64
 	nextSweepAt     float64
 	sweepInterval   float64
-	subscribed      bool    // The last call to discovery succeeded.
-	askedAt         float64 // Time of the last call to discovery; below 0: none.
-	meanAskWait     float64 // Mean wait after the next failed call.
-	askWait         float64 // Random wait after the last failed call.
+	requestAnswered bool    // The last call to discovery succeeded.
+	requestedAt     float64 // Time of the last call to discovery; below 0: none.
+	meanRequestWait float64 // Mean wait after the next failed call.
+	requestWait     float64 // Random wait after the last failed call.
 	lastPeerMessage float64 // Time of the last message from any peer.
 	msgBuf          []byte
 	noticesLeft     int          // Messages that may still be sent to peers.
@@ -305,11 +305,11 @@
 // New returns a dispatcher that has learned nothing yet.
 func New(s Settings) *Dispatcher {
 	params := derive(s)
-	d := &Dispatcher{params: params, meanAskWait: params.firstAskWait, byID: map[string]*worker{}, items: map[uint64]*item{},
+	d := &Dispatcher{params: params, meanRequestWait: params.firstRequestWait, byID: map[string]*worker{}, items: map[uint64]*item{},
 		resetAt: -1, sharers: params.groups, rngState: s.Seed | 1, kinds: make([]kind, s.Kinds+1),
 		maxTimeLeft: make([]float64, len(s.Categories)), costs: make([]categoryCost, len(s.Categories)),
 		workersByKey: map[uint64]*keyWorkers{}, arrivals: make([]slidingSum, len(s.Tenants)), sweepInterval: max(s.RoundInterval, s.AnswerSlack/2, 1), nextSweepAt: -1,
-		askedAt: -1, lastPeerMessage: math.Inf(-1), minReadiness: readinessSure}
+		requestedAt: -1, lastPeerMessage: math.Inf(-1), minReadiness: readinessSure}
 	d.rebuildPools()
 	for range 8 {
 		d.random()
