--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -152,9 +152,9 @@
 	h.setCounter(nil)
 }
 
-// renewSubscription keeps the subscription to discovery alive. It calls again when a call failed, after a
-// random wait whose mean doubles, and when discovery has sent nothing for long. The random wait guards
-// against dispatchers whose simultaneous calls keep discovery from answering any of them.
+// renewRequest keeps a request to discovery open. It makes a new one when a request failed, after a random
+// wait whose mean doubles, and when discovery has sent nothing for long. The random wait guards against
+// dispatchers whose simultaneous requests keep discovery from answering any of them.
 func (d *Dispatcher) renewRequest() {
 	wait := d.requestWait
 	if d.requestAnswered {
--- a/internal/dispatch/interface.go
+++ b/internal/dispatch/interface.go
@@ -28,7 +28,7 @@
 	MaxRetryAfter       float64 // Longest time that a deferral may advise.
 	MaxHandOffs         int     // For each work item.
 	AnswerSlack         float64 // An answer may come this long after the client's deadline.
-	DiscoveryAskWithin  float64 // Discovery must be asked again within this time.
+	DiscoveryAskWithin  float64 // Discovery must be sent another request within this time.
 	DrainGrace          float64 // After this time nothing may be sent to a worker told to drain; 0: unspecified.
 	OnlyDrainingBinds   bool    // Only a draining entry binds; a worker listed as gone, or omitted, may still be used.
 	// Least share of its capacity that a worker has at its start. It is cold from then (Entry.Since) until it
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -77,7 +77,7 @@
 }
 
 // randomStride returns a random stride that visits all n positions. Workers listed next to each other often
-// share a rack or a building, and so their faults, so a draw should not take them together.
+// stand close together, for example in one rack, so a draw should not take them together.
 func (d *Dispatcher) randomStride(n int) int {
 	for {
 		if stride := 1 + int(d.random()*float64(n)); gcd(stride, n) == 1 {
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -8,8 +8,8 @@
 const (
 	sampleSize       = 512 // Number of recent hints kept for the cutoff, and of recent keys.
 	stalledAfter     = 2.5 // A hand-off has stalled after this many progress intervals without a notice.
-	firstRequestWait = 0.4 // Mean wait after a failed call to discovery, as a share of DiscoveryAskWithin.
-	// Wait after which a subscription without messages is renewed, as a multiple of DiscoveryAskWithin.
+	firstRequestWait = 0.4 // Mean wait after a failed request to discovery, as a share of DiscoveryAskWithin.
+	// Wait without a listing after which the request is renewed, as a multiple of DiscoveryAskWithin.
 	silentRequestWait = 3.
 )
 
@@ -35,9 +35,9 @@
 	maxRetryAfter      float64 // 0: clients are given no advice.
 	twoRounds          float64
 	stallTimeout       float64 // A hand-off has stalled after this time without progress.
-	firstRequestWait   float64 // Mean wait after the first failed call to discovery.
+	firstRequestWait   float64 // Mean wait after the first failed request to discovery.
 	maxRequestWait     float64 // Upper bound of the mean wait after repeated failures.
-	silentRequestWait  float64 // A subscription without messages is renewed after this time.
+	silentRequestWait  float64 // The request is renewed after this time without a listing.
 	startCapacity      float64
 	warmUpRate         float64 // Least share of its capacity that a cold worker gains in a millisecond.
 	warmUpTime         float64
@@ -270,10 +270,10 @@
 	spillAt         float64
 	nextSweepAt     float64
 	sweepInterval   float64
-	requestAnswered bool    // The last call to discovery succeeded.
-	requestedAt     float64 // Time of the last call to discovery; below 0: none.
-	meanRequestWait float64 // Mean wait after the next failed call.
-	requestWait     float64 // Random wait after the last failed call.
+	requestAnswered bool    // The last request to discovery was answered.
+	requestedAt     float64 // Time of the last request to discovery, or of its last result; below 0: none.
+	meanRequestWait float64 // Mean wait after the next failed request.
+	requestWait     float64 // Wait before the next request while the last one is not answered; random after a failure.
 	lastPeerMessage float64 // Time of the last message from any peer.
 	msgBuf          []byte
 	noticesLeft     int          // Messages that may still be sent to peers.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -48,14 +48,14 @@
 	killGrace    = 700
 	answerMargin = 200
 
-	handOverRetry       = 50   // interval between attempts to hand over the remaining jobs
+	handOverRetry       = 50   // interval between attempts to hand over the remaining work items
 	overloadRetryAfter  = 1000 // Retry-After for a client that is turned away at the limit of open work items
 	guardInterval       = 10   // interval at which the lease guard is checked while there is work
 	poolMetricsInterval = 100  // the metrics about workers are at most this old, plus one round
 
-	// Mean delay before a watch is opened in place of one that ended. The delay is random, so that dispatchers do not
-	// all ask at once. It is at most a quarter of the time within which a drain must be obeyed (DrainGrace): discovery
-	// may announce a drain meanwhile.
+	// Mean delay before a watch is opened in place of one that ended. The delay is random, so that
+	// dispatchers do not all open one at once. It is at most a quarter of the time within which a drain must
+	// be obeyed (DrainGrace): discovery may announce a drain meanwhile.
 	watchRetryMean    = 333
 	drainGraceDivisor = 4
 
@@ -63,8 +63,8 @@
 	// known within 6 s even if, after a watch fell silent, two more in a row stay silent.
 	watchInterval = 1000
 
-	// The same two times where discovery only answers requests. Calls may queue there, so the next one is made later. A
-	// call that fell silent has used up half of the time by then.
+	// The same two times for a poll, which is a watch where discovery only answers requests. Polls may queue
+	// there, so the next one is made later. A poll that fell silent has used up half of the time by then.
 	pollRetryMean  = 1000
 	pollInterval   = 3500
 	askWithinShare = 0.35 // both are at most this fraction of the setting DiscoveryAskWithin
@@ -391,14 +391,15 @@
 	discoveryAnswered bool    // discovery has sent an update, not only the cache
 	startedAt         float64
 	drainStart        float64
-	acceptUntil       float64    // after a stop, no new work is accepted from this time on
-	answerBy          float64    // all accepted work is answered by this time
-	handOverAt        float64    // jobs that still run are handed over from this time on; infinite: there is no successor
-	refusing          bool       // no new work is accepted
-	guard             LeaseGuard // nil: this process belongs to no fleet
-	configVersion     uint64     // version in the fleet's history that is in force
-	mark              string
-	pendingVersions   []pendingVersion // versions in force that are not confirmed yet
+	acceptUntil       float64 // after a stop, no new work is accepted from this time on
+	answerBy          float64 // all accepted work is answered by this time
+	// work items that are still open are handed over from this time on; infinite: there is no successor
+	handOverAt      float64
+	refusing        bool       // no new work is accepted
+	guard           LeaseGuard // nil: this process belongs to no fleet
+	configVersion   uint64     // version in the fleet's history that is in force
+	mark            string
+	pendingVersions []pendingVersion // versions in force that are not confirmed yet
 }
 
 // pendingVersion holds the hand-offs that began before a version was in force and that are not yet written.
@@ -997,8 +998,8 @@
 }
 
 // openWatch opens a watch in place of one that has answered, or in addition to those that have not answered
-// yet. A change at discovery must be known some seconds later, whatever became of the calls. This guards
-// against a call that hangs, or a watch that is silent from its start, while a new one would be answered.
+// yet. A change at discovery must be known some seconds later, whatever became of the earlier watches. This
+// guards against a watch that hangs, or is silent from its start, while a new one would be answered.
 func (n *Node) openWatch() {
 	switch {
 	case n.watchAnswered:
@@ -1048,7 +1049,7 @@
 	switch {
 	case n.settings.DiscoveryOnRequest && n.watchAnswered:
 		delay = n.capByAskWithin(pollRetryMean)
-	case n.settings.DiscoveryOnRequest: // a failed call: if many calls fail, retries must not follow each other at once
+	case n.settings.DiscoveryOnRequest: // a failed poll: if many polls fail, retries must not follow each other at once
 		delay = n.capByAskWithin(pollInterval)
 	case n.settings.DrainGrace > 0:
 		delay = min(delay, n.settings.DrainGrace/drainGraceDivisor)
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -296,7 +296,7 @@
 	c.countResult(client.Category, r.Result)
 }
 
-// countResult counts the outcome of a job in the metrics.
+// countResult counts the result of a work item in the metrics.
 func (c *clientServer) countResult(category int, r node.Result) {
 	switch r {
 	case node.Served:
@@ -305,7 +305,7 @@
 		c.metrics.JobAnswered(category, metrics.Shed)
 	case node.WrittenOff, node.TimedOut, node.HandedOver: // a failed hand-over
 		c.metrics.JobAnswered(category, metrics.Error)
-	case node.DuplicateID, node.ClientGone: // not a job of its own; no client to answer
+	case node.DuplicateID, node.ClientGone: // not a work item of its own; no client to answer
 		c.metrics.ClientLeft()
 	}
 }
--- a/internal/transport/takeover.go
+++ b/internal/transport/takeover.go
@@ -172,7 +172,7 @@
 	maxClients := int(max(min(clientShare*budget, clientShareOfRest*(budget-reservedSockets)), minClientConns))
 	t.clients.maxConns.Store(int64(maxClients))
 	t.workers.setLimit(int(max(min(workerShare*budget, (1-clientShareOfRest)*(budget-reservedSockets)), minWorkerConns)))
-	// Waiting clients must leave descriptors for the callbacks that end their jobs.
+	// Waiting clients must leave descriptors for the callbacks that end their work items.
 	t.node.Enqueue(node.ClientLimit{Max: maxClients - max(maxClients/6, minCallbackConns)})
 }
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -72,8 +72,8 @@
 	// Three files, two listeners, the poller's descriptors, calls to discovery, a connection that is being refused.
 	reservedSockets   = 16
 	clientShareOfRest = 0.65 // share of what is left after reservedSockets, at most
-	// Minimum where the limit is very low: for clients a job, its worker's callback and one new connection;
-	// for workers a hand-off and a cancellation.
+	// Minimum where the limit is very low: for clients a work item, its worker's callback and one new
+	// connection; for workers a hand-off and a cancellation.
 	minClientConns = 4
 	minWorkerConns = 2
 	// Minimum of the clients' share that is reserved for callbacks; a sixth of the share if that is more.
--- a/internal/transport/workers.go
+++ b/internal/transport/workers.go
@@ -457,9 +457,9 @@
 	}
 }
 
-// sendDelete makes the worker drop the job. The hand-off counts as cancelled once the DELETE is written, or
-// cannot be written. Where second copies are forbidden, it counts once the DELETE is answered: otherwise the
-// next hand-off could overtake it.
+// sendDelete makes the worker drop the work item. The hand-off counts as cancelled once the DELETE is
+// written, or cannot be written. Where second copies are forbidden, it counts once the DELETE is answered:
+// otherwise the next hand-off could overtake it.
 func (a *attempt) sendDelete() {
 	queue := func() { a.w.node.Enqueue(node.HandOffEnded{WI: a.req.WI, HO: a.req.HO, Outcome: dispatch.Cancelled}) }
 	conn, err := a.w.acquire(context.Background(), a.req.Addr)
