--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -41,7 +41,7 @@
 			d.kinds[k].limit[known].likely, d.kinds[k].limit[known].sure = 2, 1
 			d.kinds[k].limit[known].nextProbeAt = math.Inf(1)
 		}
-		// In most cases all workers are busy; in a quarter they have credit but are too slow. The exceptions
+		// In most cases all workers are busy; in a quarter they are ready but too slow. The exceptions
 		// vary.
 		for _, w := range d.candidates {
 			if w.waiting = 1; seed%4 == 0 {
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestLargePoolExaminesFewWorkers: while most workers have credit a round examines as many as it needs,
+// TestLargePoolExaminesFewWorkers: while most workers are ready a round examines as many as it needs,
 // however many there are. The items of a batch that arrives at once go to different workers.
 func TestLargePoolExaminesFewWorkers(t *testing.T) {
 	maxExamined := func(n int) (most int) {
