--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -22,9 +22,9 @@
 	// MaxDescriptors is how many file descriptors the server may use, to be reserved out of the process's
 	// limit: the listener, the open connections, and as many closed connections whose handlers have yet to
 	// end.
-	MaxDescriptors = 1 + 2*maxCalls
-	maxCalls       = 8
-	callTimeout    = 2 * time.Second // for reading the whole request, and again for writing the answer
+	MaxDescriptors = 1 + 2*maxConns
+	maxConns       = 8
+	requestTimeout = 2 * time.Second // for reading the whole request, and again for writing the answer
 	maxHeader      = 4 << 10
 )
 
@@ -41,11 +41,11 @@
 	listener net.Listener
 	server   *fasthttp.Server
 	mu       sync.Mutex
-	open     []*callConn // in the order in which they were accepted
+	open     []*requestConn // in the order in which they were accepted
 }
 
 // callConn is the connection of one request.
-type callConn struct {
+type requestConn struct {
 	net.Conn
 	server *Server
 }
@@ -57,8 +57,8 @@
 		return nil, err
 	}
 	s := &Server{options: o, listener: l}
-	s.server = &fasthttp.Server{Handler: s.handle, DisableKeepalive: true, Concurrency: 2 * maxCalls,
-		ReadTimeout: callTimeout, WriteTimeout: callTimeout, ReadBufferSize: maxHeader, MaxRequestBodySize: maxHeader,
+	s.server = &fasthttp.Server{Handler: s.handle, DisableKeepalive: true, Concurrency: 2 * maxConns,
+		ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, ReadBufferSize: maxHeader, MaxRequestBodySize: maxHeader,
 		NoDefaultServerHeader: true, SecureErrorLogMessage: true, Logger: discardLogger{},
 		ErrorHandler: writeError}
 	slog.Info("operators", "listen", l.Addr())
@@ -71,7 +71,7 @@
 func writeError(ctx *fasthttp.RequestCtx, err error) {
 	status := transport.ErrorStatus(err)
 	if status == fasthttp.StatusRequestHeaderFieldsTooLarge {
-		ctx.Conn().SetReadDeadline(time.Now().Add(callTimeout / 20))
+		ctx.Conn().SetReadDeadline(time.Now().Add(requestTimeout / 20))
 		io.CopyN(io.Discard, ctx.Conn(), 16*maxHeader)
 	}
 	ctx.Error("no call\n", status)
@@ -90,25 +90,25 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &callConn{conn, s}
+	c := &requestConn{conn, s}
 	s.mu.Lock()
 	s.open = append(s.open, c)
-	var oldest *callConn
-	if len(s.open) > maxCalls {
+	var oldest *requestConn
+	if len(s.open) > maxConns {
 		oldest = s.open[0]
 	}
 	s.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
 	}
-	for s.server.GetOpenConnectionsCount() >= 2*maxCalls { // the handlers of closed connections have yet to end
+	for s.server.GetOpenConnectionsCount() >= 2*maxConns { // the handlers of closed connections have yet to end
 		time.Sleep(time.Millisecond)
 	}
 	return c, nil
 }
 
 // Close closes the connection.
-func (c *callConn) Close() error {
+func (c *requestConn) Close() error {
 	c.server.mu.Lock()
 	for k, other := range c.server.open {
 		if other == c {
@@ -130,7 +130,7 @@
 	}
 	err := s.listener.Close()
 	s.mu.Lock()
-	open := append([]*callConn(nil), s.open...)
+	open := append([]*requestConn(nil), s.open...)
 	s.mu.Unlock()
 	for _, c := range open {
 		c.Close()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -89,26 +89,26 @@
 
 // Reload reads and checks the file again. ROUTER_DISCOVERY applies to the start only: the file's value is
 // newer. changed names the keys that differ and take effect only after a restart.
-func Reload(getenv func(string) string, old Config) (c Config, changed []string, err error) {
+func Reload(getenv func(string) string, old Config) (c Config, needsRestart []string, err error) {
 	if c, err = load(getenv, ""); err != nil {
 		return old, nil, err
 	}
 	c.Settings.Seed, c.Temp = old.Settings.Seed, old.Temp // these stay as they were at the start
-	changed = c.needsRestart(old)
+	needsRestart = c.needsRestart(old)
 	newValue, oldValue := reflect.ValueOf(c), reflect.ValueOf(old)
 	for k := range newValue.NumField() {
 		name := newValue.Type().Field(k).Name
-		if !slices.Contains(reloadable, name) && !reflect.DeepEqual(newValue.Field(k).Interface(), oldValue.Field(k).Interface()) {
-			changed = append(changed, name)
+		if !slices.Contains(notComparedByField, name) && !reflect.DeepEqual(newValue.Field(k).Interface(), oldValue.Field(k).Interface()) {
+			needsRestart = append(needsRestart, name)
 		}
 	}
-	return c, changed, nil
+	return c, needsRestart, nil
 }
 
 // reloadable are the fields that take effect at a reload, that don't matter to a running program, or that are
 // compared key by key.
 // needsRestart compares the last three
-var reloadable = []string{"Discovery", "Known", "Unserved", "Text", "Mark", "Settings", "Links", "Names"}
+var notComparedByField = []string{"Discovery", "Known", "Unserved", "Text", "Mark", "Settings", "Links", "Names"}
 
 func load(getenv func(string) string, discovery string) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
--- a/internal/program/fleet_commands.go
+++ b/internal/program/fleet_commands.go
@@ -35,7 +35,7 @@
 }
 
 // asking holds the flags that all fleet commands share.
-type asking struct {
+type fleetFlags struct {
 	At      string `arg:"--at" placeholder:"ADDRESS:PORT" help:"a member's address; else the voters of the operator's file are tried in turn"`
 	Fleet   string `arg:"--fleet" placeholder:"NAME" help:"the fleet's name, with --at"`
 	File    string `arg:"-f,--file" placeholder:"PATH" help:"the operator's file; WELDMAST_FILE names it as well"`
@@ -44,14 +44,14 @@
 }
 
 type (
-	fleetStatus struct{ asking }
+	fleetStatus struct{ fleetFlags }
 	fleetAudit  struct {
-		asking
+		fleetFlags
 		Version uint64 `arg:"--version" help:"only this one"`
 		Since   string `arg:"--since" placeholder:"TIME" help:"only versions published since: 2026-12-01T10:00:00Z, or 15m for a time ago"`
 	}
 	fleetPublish struct {
-		asking
+		fleetFlags
 		Text  string  `arg:"positional,required" placeholder:"FILE" help:"a JSON merge patch over each member's configuration; it may say discovery, mark, settings"`
 		Fence bool    `arg:"--fence" help:"tell, once it is true, that nobody acts on an older one"`
 		Least string  `arg:"--least" placeholder:"VERSION" help:"least program version that understands it"`
@@ -59,11 +59,11 @@
 		Wait  bool    `arg:"--wait" help:"wait until all that can be reached have it in force, with --fence until that is complete"`
 	}
 	fleetMemberCommand struct {
-		asking
+		fleetFlags
 		Member string `arg:"positional,required" placeholder:"NAME"`
 	}
 	fleetVoters struct {
-		asking
+		fleetFlags
 		Replace string `arg:"--replace" placeholder:"NAME"`
 	}
 )
@@ -76,13 +76,13 @@
 
 // fleetClient sends requests to members of a fleet.
 type fleetClient struct {
-	asking
+	fleetFlags
 	client *fleetrpc.Client
 	addrs  []string
 }
 
-func (a asking) newClient() (*fleetClient, error) {
-	x := &fleetClient{asking: a, addrs: []string{a.At}}
+func (a fleetFlags) newClient() (*fleetClient, error) {
+	x := &fleetClient{fleetFlags: a, addrs: []string{a.At}}
 	name := a.Fleet
 	if a.At == "" || name == "" {
 		o, err := config.LoadOperatorFile(a.File, os.Getenv)
@@ -197,7 +197,7 @@
 }
 
 // print prints v as JSON if that was requested, otherwise the text.
-func (a asking) print(out io.Writer, v any, text string) error {
+func (a fleetFlags) print(out io.Writer, v any, text string) error {
 	if !a.JSON {
 		_, err := io.WriteString(out, text)
 		return err
@@ -280,11 +280,11 @@
 	return ", ends in " + formatInterval(ms)
 }
 
-func formatTime(unix float64) string {
-	if unix <= 0 {
+func formatTime(unixMillis float64) string {
+	if unixMillis <= 0 {
 		return "-"
 	}
-	return time.UnixMilli(int64(unix)).UTC().Format("2006-01-02T15:04:05.000Z")
+	return time.UnixMilli(int64(unixMillis)).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
 func (s *fleetAudit) execute(out io.Writer) error {
--- a/internal/program/fleet_member.go
+++ b/internal/program/fleet_member.go
@@ -76,7 +76,7 @@
 }
 
 // applyVersion brings a version of the fleet into force.
-func (f *activeConfig) applyVersion(version fleet.Version, applied func(waits string)) error {
+func (f *activeConfig) applyVersion(version fleet.Version, applied func(needsRestart string)) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, err := f.overlay(version, applied)
@@ -117,7 +117,7 @@
 	ownConfig  config.Config
 	active     *activeConfig
 	clock      fleetagent.Clock
-	gate       *fleetagent.LeaseGuard
+	guard      *fleetagent.LeaseGuard
 	runID      string
 	seed       uint64
 	startVoter StartVoter
@@ -127,12 +127,12 @@
 	addressBound atomic.Bool // whether this process listens at the member's address
 	mu           sync.Mutex
 	voter        fleetrpc.VoterService
-	member       *fleetagent.Agent
+	agent        *fleetagent.Agent
 	server       *fleetrpc.Server
 }
 
 // joinFleet prepares the membership; start starts it.
-func joinFleet(f *config.Fleet, own config.Config, active *activeConfig, startVoter StartVoter) (*fleetMember, error) {
+func newFleetMember(f *config.Fleet, own config.Config, active *activeConfig, startVoter StartVoter) (*fleetMember, error) {
 	m, err := f.MembershipFor(own.Name)
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 	}
 	p := &fleetMember{membership: m, ownConfig: own, active: active, clock: fleetagent.NewClock(), runID: hex.EncodeToString(random[:8]), startVoter: startVoter, stop: make(chan struct{}),
 		seed: binary.BigEndian.Uint64(random[8:])}
-	p.gate = fleetagent.NewLeaseGuard(p.clock, p.runID)
+	p.guard = fleetagent.NewLeaseGuard(p.clock, p.runID)
 	return p, nil
 }
 
@@ -186,7 +186,7 @@
 		}
 		if first {
 			slog.Warn("fleet", "fleet", "waiting until its address is free", "listen", p.membership.Listen, "err", err)
-			p.startMember(p.membership.Listen, nil)
+			p.startAgent(p.membership.Listen, nil)
 		}
 		select {
 		case <-p.stop:
@@ -207,7 +207,7 @@
 		}
 	}
 	slog.Info("fleet", "fleet", p.membership.Fleet, "member", p.membership.Name, "listen", addr, "run", p.runID)
-	p.startMember(addr, voter)
+	p.startAgent(addr, voter)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.voter = voter
@@ -215,20 +215,20 @@
 	case <-p.stop:
 		l.Close()
 	default:
-		p.server = fleetrpc.Serve(l, p.membership.Fleet, p.maxDescriptors(), voter, p.member)
+		p.server = fleetrpc.Serve(l, p.membership.Fleet, p.maxDescriptors(), voter, p.agent)
 	}
 }
 
 // startMember starts following the fleet. If it already does, it only sets the voter.
-func (p *fleetMember) startMember(addr string, voter fleetrpc.VoterService) {
+func (p *fleetMember) startAgent(addr string, voter fleetrpc.VoterService) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.member != nil {
-		p.member.SetVoter(voter)
+	if p.agent != nil {
+		p.agent.SetVoter(voter)
 		return
 	}
-	p.member = fleetagent.Start(fleetagent.Options{Fleet: p.membership.Fleet, Name: p.membership.Name, Address: addr, IsolationPolicy: p.membership.WhenIsolated, Voters: p.membership.Voters, AddressMap: p.membership.AddressMap, Dir: p.membership.Folder,
-		Timing: p.membership.Timing, ProgramVersion: release, RunID: p.runID, Seed: p.seed, Clock: p.clock, Voter: voter, OwnsAddress: p.addressBound.Load, ApplyVersion: p.active.applyVersion, CheckVersion: p.active.checkVersion}, p.gate)
+	p.agent = fleetagent.Start(fleetagent.Options{Fleet: p.membership.Fleet, Name: p.membership.Name, Address: addr, IsolationPolicy: p.membership.WhenIsolated, Voters: p.membership.Voters, AddressMap: p.membership.AddressMap, Dir: p.membership.Folder,
+		Timing: p.membership.Timing, ProgramVersion: release, RunID: p.runID, Seed: p.seed, Clock: p.clock, Voter: voter, OwnsAddress: p.addressBound.Load, ApplyVersion: p.active.applyVersion, CheckVersion: p.active.checkVersion}, p.guard)
 }
 
 // close stops the fleet's components, after the dispatcher has ended.
@@ -239,7 +239,7 @@
 	close(p.stop)
 	p.goroutines.Wait()
 	p.mu.Lock()
-	m, voter, server := p.member, p.voter, p.server
+	m, voter, server := p.agent, p.voter, p.server
 	p.mu.Unlock()
 	if m != nil {
 		m.Close()
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -134,18 +134,18 @@
 	active := &activeConfig{own: c.Config}
 	var fleetMember *fleetMember
 	if operator.Fleet != nil {
-		if fleetMember, err = joinFleet(operator.Fleet, c.Config, active, startVoter); err != nil {
+		if fleetMember, err = newFleetMember(operator.Fleet, c.Config, active, startVoter); err != nil {
 			return err
 		}
 		defer fleetMember.close()
-		nodeOptions.Guard, options.Guard = fleetMember.gate, fleetMember.gate
+		nodeOptions.Guard, options.Guard = fleetMember.guard, fleetMember.guard
 		options.MaxSockets -= fleetMember.maxDescriptors()
 		active.maxClients = options.MaxSockets / 2
 		nodeOptions.MaxOpen = active.limitClients(nodeOptions.MaxOpen)
 	}
 	// descriptors reserved for other components; at most half of the available ones
 	reserved := c.Sockets - options.MaxSockets
-	options.SystemSocketLimit = func() int { now := descriptorLimit(c.Sockets); return max(now-reserved, now/2) }
+	options.SystemSocketLimit = func() int { limit := descriptorLimit(c.Sockets); return max(limit-reserved, limit/2) }
 	n := node.New(nodeOptions)
 	active.node = n
 	p, err := transport.Start(options, n)
@@ -176,13 +176,13 @@
 					slog.Error("reload", "reload", "refused", "err", err)
 					continue
 				}
-				next, untilRestart, err := config.Reload(os.Getenv, c.Config)
+				next, needsRestart, err := config.Reload(os.Getenv, c.Config)
 				if err != nil {
 					slog.Error("reload", "reload", "refused", "err", err)
 					continue
 				}
 				applyLogging(operator)
-				slog.Info("reload", "reload", "taken", "until_restart", fmt.Sprint(untilRestart))
+				slog.Info("reload", "reload", "taken", "until_restart", fmt.Sprint(needsRestart))
 				active.reload(next)
 			}
 		}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -30,13 +30,13 @@
 	id         int64
 	dispatcher *dispatch.Dispatcher
 	names      nameLists
-	host       *host
+	session    *session
 	events     []event
 	queued     bool
 	err        error
 }
 
-type host struct {
+type session struct {
 	in          *bufio.Reader
 	out         *bufio.Writer
 	lineNumber  int
@@ -51,7 +51,7 @@
 
 // Serve processes batches until the input ends. An error names the line and what is wrong with it.
 func Serve(in io.Reader, out io.Writer) error {
-	h := &host{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18),
+	h := &session{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18),
 		instances: map[int64]*instance{}}
 	for {
 		more, err := h.runBatch()
@@ -65,7 +65,7 @@
 }
 
 // readLine reads one line and strips its terminator. It returns io.EOF only at the end of a complete line.
-func (h *host) readLine() ([]byte, error) {
+func (h *session) readLine() ([]byte, error) {
 	line, err := h.in.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
 		h.longLine = append(h.longLine[:0], line...)
@@ -88,7 +88,7 @@
 	return bytes.TrimSuffix(line[:len(line)-1], []byte{'\r'}), nil
 }
 
-func (h *host) runBatch() (bool, error) {
+func (h *session) runBatch() (bool, error) {
 	line, err := h.readLine()
 	if err == io.EOF {
 		return false, nil
@@ -143,7 +143,7 @@
 
 // enqueue stores one line of a batch with its instance. References to worker lists are resolved here, in the
 // order of the lines, because a later line of the batch may reuse a list's number.
-func (h *host) enqueue(line []byte) error {
+func (h *session) enqueue(line []byte) error {
 	m := &h.msg
 	if m.name() == "inventory" {
 		return h.readInventory()
@@ -155,7 +155,7 @@
 	n := h.instances[id]
 	switch m.name() {
 	case "configure":
-		n = &instance{id: id, host: h}
+		n = &instance{id: id, session: h}
 		settings, err := n.configure(m)
 		if err != nil {
 			return err
@@ -216,13 +216,13 @@
 func (n *instance) activate() {
 	if !n.queued {
 		n.queued = true
-		n.host.active = append(n.host.active, n)
+		n.session.active = append(n.session.active, n)
 	}
 }
 
 // readInventory reads a numbered worker list. It always allocates a new list, so that earlier references to
 // the same number keep their content.
-func (h *host) readInventory() error {
+func (h *session) readInventory() error {
 	m := &h.msg
 	set, count := m.int("set_id"), m.int("records")
 	if m.err == nil && (set < 0 || set >= int64(len(h.workerLists)) || count < 0) {
@@ -272,12 +272,12 @@
 	defer func() {
 		if p := recover(); p != nil {
 			n.beginLine("fault")
-			n.host.out.WriteString("\tmsg=")
+			n.session.out.WriteString("\tmsg=")
 			for _, c := range []byte(fmt.Sprint(p)) {
 				if c < ' ' {
 					c = ' '
 				}
-				n.host.out.WriteByte(c)
+				n.session.out.WriteByte(c)
 			}
 			n.endLine()
 		}
@@ -288,10 +288,10 @@
 
 // Deliver calls the event handler for each line received.
 func (n *instance) Deliver(d dispatch.EventHandler) {
-	m := &n.host.msg
+	m := &n.session.msg
 	for _, ev := range n.events {
-		n.host.lineNumber = ev.line
-		m.split(n.host.batchText[ev.start:ev.end])
+		n.session.lineNumber = ev.line
+		m.split(n.session.batchText[ev.start:ev.end])
 		if n.handle(d, m, ev); m.err != nil {
 			n.err = m.err
 			return
@@ -369,12 +369,12 @@
 	if m.err != nil {
 		return
 	}
-	entries := n.host.entries[:0]
+	entries := n.session.entries[:0]
 	for _, r := range list {
 		e := r.entry
 		e.Zone, e.Kind = indexOf(n.names.Zones, []byte(r.zone)), indexOf(n.names.Kinds, []byte(r.kind))
 		entries = append(entries, e)
 	}
-	n.host.entries = entries
+	n.session.entries = entries
 	d.Listed(form, entries)
 }
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -9,29 +9,29 @@
 // This file implements the dispatcher's writer interface on instance. Each decision is written as one line.
 
 func (n *instance) beginLine(action string) {
-	n.host.out.WriteString(action)
+	n.session.out.WriteString(action)
 	n.putInt("i", n.id)
 }
 
 func (n *instance) putInt(key string, v int64) {
-	w := n.host.out
+	w := n.session.out
 	w.WriteByte('\t')
 	w.WriteString(key)
 	w.WriteByte('=')
-	n.host.putInt(v)
+	n.session.putInt(v)
 }
 
-func (h *host) putInt(v int64) { h.out.Write(strconv.AppendInt(h.out.AvailableBuffer(), v, 10)) }
+func (h *session) putInt(v int64) { h.out.Write(strconv.AppendInt(h.out.AvailableBuffer(), v, 10)) }
 
 func (n *instance) putText(key, v string) {
-	w := n.host.out
+	w := n.session.out
 	w.WriteByte('\t')
 	w.WriteString(key)
 	w.WriteByte('=')
 	w.WriteString(v)
 }
 
-func (n *instance) endLine() { n.host.out.WriteByte('\n') }
+func (n *instance) endLine() { n.session.out.WriteByte('\n') }
 
 func micros(ms float64) int64 { return int64(math.Round(ms * 1000)) }
 
@@ -96,8 +96,8 @@
 	n.putInt("to", int64(to))
 	n.putText("contents", "")
 	if len(data) == 0 {
-		n.host.out.WriteByte('-')
+		n.session.out.WriteByte('-')
 	}
-	n.host.out.Write(hex.AppendEncode(n.host.out.AvailableBuffer(), data))
+	n.session.out.Write(hex.AppendEncode(n.session.out.AvailableBuffer(), data))
 	n.endLine()
 }
