--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -28,10 +28,11 @@
 	maxHeader      = 4 << 10
 )
 
-// Options are the sources of the answers.
+// Options configure a Server.
 type Options struct {
-	Listen  netip.AddrPort
-	Ready   func() (cause string, ready bool) // cause is one word; must not block
+	Listen netip.AddrPort
+	// cause is one word for the current phase, also when ready; must not block
+	Ready   func() (cause string, ready bool)
 	Metrics *metrics.Metrics
 }
 
@@ -44,7 +45,7 @@
 	open     []*requestConn // in the order in which they were accepted
 }
 
-// callConn is the connection of one request.
+// requestConn is the connection of one request.
 type requestConn struct {
 	net.Conn
 	server *Server
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,8 @@
-// Package config reads the program's configuration, at the start and at a reload. It alone reads the
-// environment and the JSON file; it checks both and fills in defaults. It must never open a socket or make
-// dispatching decisions, and no other package may read the environment.
+// Package config reads the program's configuration, at the start and at a reload: the JSON file, the
+// operator's TOML file, and the environment variables that override values or name these files. It checks all
+// of them and fills in defaults. It must never open a socket or make dispatching decisions. Other packages
+// must not read the environment, except that program tests whether ROUTER_CONFIG is set and passes os.Getenv
+// to this package.
 package config
 
 import (
@@ -20,7 +22,8 @@
 	"weldmast/internal/settings"
 )
 
-// Config is a checked configuration with all defaults filled in. Reload reports its field names in the log.
+// Config is a checked configuration with all defaults filled in. Reload returns names of its fields, which
+// the serve command logs.
 type Config struct {
 	Name       string
 	Listen     netip.AddrPort
@@ -29,17 +32,18 @@
 	Temp       string         // folder in which processes of this dispatcher find each other; empty: they don't
 	PeerListen netip.AddrPort // not valid: no messages between peers
 	Peers      []netip.AddrPort
-	PeersAll   netip.AddrPort // address that reaches all peers; not valid: each of Peers gets its own message
-	Known      json.RawMessage
+	PeersAll   netip.AddrPort  // address that reaches all peers; not valid: each of Peers gets its own message
+	Known      json.RawMessage // workers to start with until discovery answers; may be empty or null
 	Settings   dispatch.Settings
 	Names      settings.Names
-	Links      settings.ConnectionSettings
-	Unserved   []string // settings for which the protocol on sockets has no message
-	Cores      int      // number of CPUs to use at once
-	MemoryMB   int
-	Sockets    int
-	Text       []byte // the file as read
-	Mark       string // sent with each hand-off as X-Release; empty: no such header
+	Links      settings.ConnectionSettings // connections to workers; MaxOpen is the limit on clients that wait at once
+	// notes on settings that have no effect in this program, as the connections to workers carry no such data
+	Unserved []string
+	Cores    int    // number of CPUs to use at once
+	MemoryMB int    // memory limit of the process, in MiB
+	Sockets  int    // limit on file descriptors of the process
+	Text     []byte // the file as read, before any version is merged
+	Mark     string // sent with each hand-off as X-Release; empty: no such header
 }
 
 // Lower bounds with which the program can serve.
@@ -87,8 +91,9 @@
 	return c, err
 }
 
-// Reload reads and checks the file again. ROUTER_DISCOVERY applies to the start only: the file's value is
-// newer. changed names the keys that differ and take effect only after a restart.
+// Reload reads and checks the file again. It ignores ROUTER_DISCOVERY, as the file's value is newer; Overlay
+// doesn't ignore it. needsRestart lists what differs from old and takes effect only after a restart: keys of
+// settings with the prefix "settings.", and names of Config fields for the rest.
 func Reload(getenv func(string) string, old Config) (c Config, needsRestart []string, err error) {
 	if c, err = load(getenv, ""); err != nil {
 		return old, nil, err
@@ -105,9 +110,10 @@
 	return c, needsRestart, nil
 }
 
-// reloadable are the fields that take effect at a reload, that don't matter to a running program, or that are
-// compared key by key.
-// needsRestart compares the last three
+// notComparedByField are the fields that Reload doesn't compare as a whole. Discovery, Known and Mark take
+// effect at a reload. Unserved and Text don't matter to a running program. Settings and the timeouts of Links
+// are compared key by key by the method needsRestart, which needs Names for that; Links.MaxOpen takes effect
+// at a reload.
 var notComparedByField = []string{"Discovery", "Known", "Unserved", "Text", "Mark", "Settings", "Links", "Names"}
 
 func load(getenv func(string) string, discovery string) (Config, error) {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -1,5 +1,7 @@
 // This file reads the configuration of a fleet's member: the fleet table in the operator's file, and a
-// version merged over the member's own configuration. It must never use another member's configuration.
+// configuration version merged over the member's own configuration. A configuration version, in this package
+// "version", is a numbered JSON merge patch that the fleet publishes to all members. This file must never use
+// another member's configuration.
 
 package config
 
@@ -51,7 +53,7 @@
 	AddressMap map[string]string
 }
 
-// check finds faults that involve more than one value.
+// check finds the faults that the field tags cannot express.
 func (f *Fleet) check(addFault func(key, format string, a ...any)) {
 	if n := len(f.Voters); n != 0 && n != 1 && n != 3 && n != 5 {
 		addFault("fleet.voters", "%d voters; there must be 1, 3 or 5", n)
@@ -92,8 +94,8 @@
 	}
 }
 
-// checkLoopback rejects an address that is not on loopback unless the file allows it: whoever reaches the
-// link can publish versions and exclude members.
+// checkLoopback rejects an address that is not on loopback unless the file allows it: whoever can connect to
+// such an address can publish configuration versions and exclude members.
 func (f *Fleet) checkLoopback(key string, at netip.AddrPort, addFault func(key, format string, a ...any)) {
 	if !at.Addr().IsLoopback() && !f.BeyondLoopback {
 		addFault(key, "%s is not on loopback; the link has no authentication: on a private network set beyond_loopback = true", at)
@@ -146,9 +148,11 @@
 	return nil
 }
 
-// Overlay merges a version of the fleet over the file's configuration (a JSON merge patch, RFC 7386).
-// needsRestart names the settings that differ from the running ones and take effect only after a restart. An
-// error names the key at fault.
+// Overlay merges a configuration version (a JSON merge patch, RFC 7386) over own.Text, the text of this
+// process's configuration file. ROUTER_DISCOVERY overrides the file's address of discovery, also after a
+// reload, unless the version has the key. The result keeps own's Text, which is the unmerged one, and own's
+// Seed and Temp, which stay as they were at the start. needsRestart names the settings that differ from own's
+// and take effect only after a restart. An error names the key at fault.
 func Overlay(own Config, getenv func(string) string, version []byte) (c Config, needsRestart []string, err error) {
 	var patch map[string]json.RawMessage
 	if err := json.Unmarshal(version, &patch); err != nil {
@@ -191,8 +195,7 @@
 	return c, c.needsRestart(own), nil
 }
 
-// needsRestart names the settings that differ from those of the running program and take effect only after a
-// restart.
+// needsRestart names the settings that differ from those of running and take effect only after a restart.
 func (c Config) needsRestart(running Config) []string {
 	_, keys := settings.MergeReloadable(running.Settings, c.Settings, running.Names.Equal(c.Names))
 	if c.Links.IdleTimeout != running.Links.IdleTimeout || c.Links.ConnectTimeout != running.Links.ConnectTimeout {
@@ -239,8 +242,8 @@
 	return keys
 }
 
-// ReadVersion reads the text of a version that is to be published. It only checks that the text is a JSON
-// object: each member checks the version against its own configuration.
+// ReadVersion reads the text of a configuration version that is to be published. It only checks that the text
+// is a JSON object: each member checks the version against its own configuration.
 func ReadVersion(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -12,8 +12,8 @@
 	"weldmast/internal/migrate"
 )
 
-// PlanMigration returns the migration plan for the file at path; fault is what the program's own check finds
-// wrong with the result.
+// PlanMigration converts the configuration in the file at path and returns the new text with the report,
+// without writing a file. fault is what the program's own check finds wrong with the new text.
 func PlanMigration(path string, values migrate.OperatorValues) (r migrate.Result, fault error, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,6 +1,8 @@
 // Package logs limits the log: the number of lines per second of each kind (lines with the same message), and
 // the length of a line. Otherwise clients, workers or networks could fill a disk or use up the CPU by causing
-// log lines. It must never drop a line without logging how many were dropped, nor drop a line of a rare kind.
+// log lines. The number of lines dropped in a second is logged before the next line of that kind in a later
+// second. Frequent kinds must never cause lines of a rare kind to be dropped; only kinds beyond the first
+// maxKinds share one limit.
 package logs
 
 import (
@@ -12,7 +14,7 @@
 	"time"
 )
 
-// Limits are the limits of a Writer. DefaultLimits has the values for fields that need no others.
+// Limits are the limits of a Writer. All fields must be set; DefaultLimits has the usual values.
 type Limits struct {
 	Lines     int // per second and kind
 	LineBytes int // maximum length; the rest of a line is cut off
@@ -21,7 +23,7 @@
 // DefaultLimits apply if the operator's file sets no others.
 var DefaultLimits = Limits{Lines: 20, LineBytes: 400}
 
-const maxKinds = 64 // kinds that are counted separately; the program has fewer
+const maxKinds = 64 // kinds that are counted separately, all others share the kind "other"; the program has fewer
 
 // kindCount counts the lines of one kind in the current second.
 type kindCount struct {
@@ -60,7 +62,8 @@
 	}})
 }
 
-// Write writes one line, or counts it as dropped.
+// Write writes one line, or counts it as dropped. The first line of a kind in a new second is preceded by the
+// number of lines of that kind dropped before, if any.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -3,7 +3,7 @@
 //
 // In shape 1 each client has a dispatcher of its own, and the dispatchers may exchange messages as peers. In
 // shape 2 a pool of dispatchers runs behind a load balancer and shares nothing, so the settings must say how
-// load is reported and whether a fetch has a price.
+// load is reported and whether a fetch (a worker loading the data of a work item's key) has a price.
 package migrate
 
 import (
@@ -18,7 +18,7 @@
 	"weldmast/internal/settings"
 )
 
-// Shape is the value of the key "shape" in a configuration of the new shape.
+// Shape is the value of the key "shape" in a configuration of shape 2, for a pool of dispatchers.
 const Shape = 2
 
 // OperatorValues are what only the operator knows of the new deployment. An empty value is left to be filled
@@ -26,7 +26,7 @@
 type OperatorValues struct {
 	Weights string // what the weights in the list of workers mean
 	Load    string // how workers report their load
-	Origin  string // price of a fetch, a number
+	Origin  string // price of a fetch for each work item, a number; 0 where keys cost nothing
 }
 
 // Result is a migrated configuration and the report about it. Each line of the report starts with the key
@@ -52,7 +52,7 @@
 	reviewKeys = []string{"siblings", "position", "localities", "locality", "machine_types", "categories", "realms", "allowed", "safety"}
 )
 
-// Plan converts a configuration. The same input gives the same bytes.
+// Plan converts a configuration of shape 1. The same input gives the same bytes.
 func Plan(old []byte, given OperatorValues) (r Result, err error) {
 	tree, err := decodeObject(old)
 	if err != nil {
--- a/internal/program/fleet_commands.go
+++ b/internal/program/fleet_commands.go
@@ -34,7 +34,7 @@
 	Voters  *fleetVoters        `arg:"subcommand:voters" help:"who votes; --replace NAME seats one anew that lost its folder"`
 }
 
-// asking holds the flags that all fleet commands share.
+// fleetFlags holds the flags that all fleet commands share.
 type fleetFlags struct {
 	At      string `arg:"--at" placeholder:"ADDRESS:PORT" help:"a member's address; else the voters of the operator's file are tried in turn"`
 	Fleet   string `arg:"--fleet" placeholder:"NAME" help:"the fleet's name, with --at"`
@@ -112,7 +112,9 @@
 	return x, nil
 }
 
-// query asks the members in turn until one answers and can reach the leader of the voters.
+// query asks the members in turn until one answers and can reach the leader of the voters. Otherwise it
+// returns the last answer received, in which NoLeader is set, and the error of the last member asked if that
+// one did not answer.
 func (x *fleetClient) query(q fleetrpc.AdminRequest) (a fleetrpc.AdminReply, err error) {
 	err = errNoAnswer
 	for _, addr := range x.addrs {
--- a/internal/program/fleet_member.go
+++ b/internal/program/fleet_member.go
@@ -75,7 +75,9 @@
 	f.node.Enqueue(node.DiscoveryMoved{Discovery: updated.Discovery.String()}) // an unchanged address is queried again as well
 }
 
-// applyVersion brings a version of the fleet into force.
+// applyVersion brings a version of the fleet into force. applied is called in a goroutine of its own, once
+// the event loop uses the version and no hand-off that began under an earlier version remains to be written.
+// Its argument lists the settings that take effect only after a restart, separated by commas.
 func (f *activeConfig) applyVersion(version fleet.Version, applied func(needsRestart string)) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,8 +96,9 @@
 	return err
 }
 
-// overlay merges a version over the process's own configuration and queues the result for the event loop. The
-// caller holds the lock.
+// overlay merges a version over the process's own configuration and queues the result for the event loop. It
+// calls applied as applyVersion describes, if it isn't nil, and returns the settings that take effect only
+// after a restart. The caller holds the lock.
 func (f *activeConfig) overlay(version fleet.Version, applied func(needsRestart string)) (needsRestart []string, err error) {
 	c, needsRestart, err := config.Overlay(f.own, os.Getenv, version.Text)
 	if err != nil {
@@ -131,7 +134,8 @@
 	server       *fleetrpc.Server
 }
 
-// joinFleet prepares the membership; start starts it.
+// newFleetMember prepares this process's membership: it checks it, creates the member's folder and chooses
+// the run ID. start then starts it.
 func newFleetMember(f *config.Fleet, own config.Config, active *activeConfig, startVoter StartVoter) (*fleetMember, error) {
 	m, err := f.MembershipFor(own.Name)
 	if err != nil {
@@ -219,7 +223,8 @@
 	}
 }
 
-// startMember starts following the fleet. If it already does, it only sets the voter.
+// startAgent starts the agent, which follows the fleet. If the agent already runs, it only sets the agent's
+// voter.
 func (p *fleetMember) startAgent(addr string, voter fleetrpc.VoterService) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -60,9 +60,9 @@
 	}, nil
 }
 
-// setMemoryLimit sets the memory target of the garbage collector to 60% of mb, below the limit at which the
-// operators' system kills the process. With half set it is half of that, as another process of the dispatcher
-// uses the rest.
+// setMemoryLimit sets the memory target of the garbage collector to 60% of mb, below the memory limit at
+// which the platform kills the process. With half set it is half of that, as another process of the
+// dispatcher uses the rest.
 func setMemoryLimit(mb int, half bool) {
 	limit := int64(mb) << 20 * 6 / 10
 	if half {
@@ -143,8 +143,9 @@
 		active.maxClients = options.MaxSockets / 2
 		nodeOptions.MaxOpen = active.limitClients(nodeOptions.MaxOpen)
 	}
-	// descriptors reserved for other components; at most half of the available ones
+	// file descriptors reserved for components other than the transport
 	reserved := c.Sockets - options.MaxSockets
+	// If the system's limit falls, the reservation takes at most half of what is available.
 	options.SystemSocketLimit = func() int { limit := descriptorLimit(c.Sockets); return max(limit-reserved, limit/2) }
 	n := node.New(nodeOptions)
 	active.node = n
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -14,7 +14,7 @@
 
 // event is one line stored until the instance's round. workers is set for discovery events only.
 type event struct {
-	start, end int // offsets in host.batchText
+	start, end int // offsets in session.batchText
 	line       int
 	workers    []listEntry
 }
@@ -36,6 +36,7 @@
 	err        error
 }
 
+// session reads batches from the input and holds all instances.
 type session struct {
 	in          *bufio.Reader
 	out         *bufio.Writer
@@ -45,8 +46,8 @@
 	instances   map[int64]*instance
 	active      []*instance // instances with events in this batch, in order of arrival
 	msg         message
-	longLine    []byte
-	entries     []dispatch.Entry
+	longLine    []byte           // buffer of readLine, reused
+	entries     []dispatch.Entry // buffer of handleDiscovery, reused
 }
 
 // Serve processes batches until the input ends. An error names the line and what is wrong with it.
@@ -318,6 +319,7 @@
 	case "notice":
 		wi, ho, what, level := m.id("job"), m.int("shot"), m.int("what"), m.numOr("level", 0)
 		m.required("worker")
+		// 1 is a start notice, 2 a progress notice; others are ignored
 		if m.err == nil && (what == 1 || what == 2) {
 			d.HandOffProgressed(wi, int(ho), what == 1, level)
 		}
--- a/internal/takeover/exchange.go
+++ b/internal/takeover/exchange.go
@@ -46,8 +46,9 @@
 	SetHalfLimits(half bool)
 	// ImportState takes over the state that the predecessor exported.
 	ImportState(state []byte) error
-	// SuccessorConnected reports that a successor has connected. If this process was told to stop before, it
-	// calls HandOver once more.
+	// SuccessorConnected reports that a successor has connected. If the host was told to stop before, it must
+	// call HandOver again, but only after SuccessorConnected has returned: the Exchange holds its lock during
+	// this call.
 	SuccessorConnected()
 	// ForwardedCallback handles a worker's callback that the other process has no job for.
 	ForwardedCallback(callback []byte, fromSuccessor bool, reply func(CallbackResult))
@@ -179,8 +180,10 @@
 	x.goroutines.Wait()
 }
 
-// HandOver hands this process's state over to a successor and returns true, or returns false if there is no
-// successor to hand over to. It calls exportState only in the first case, before it returns.
+// HandOver starts to hand this process's state over to a successor and returns true. It returns false if no
+// successor is connected or this process doesn't accept connections. It calls exportState only in the first
+// case, before it returns. The state is sent in the background; if that fails, the link to the successor is
+// closed, and this process accepts again unless the successor has a successor of its own.
 func (x *Exchange) HandOver(exportState func() []byte) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -189,7 +192,9 @@
 	return len(actions) > 0
 }
 
-// perform carries out the actions. The caller holds the lock; nothing here waits for the other process.
+// perform carries out all actions but SendSockets. The caller holds the lock. Only ReportSuccessor may block
+// on the other process: its write takes up to writeTimeout, after any writes to the link that are in
+// progress.
 func (x *Exchange) perform(actions []Action, exportState func() []byte) {
 	for _, a := range actions {
 		switch a {
@@ -201,7 +206,7 @@
 			x.host.Resume()
 		case ReportSuccessor:
 			if x.predecessor.send(msgHasSuccessor, []byte(fmt.Sprint(x.successor != nil))) != nil {
-				x.predecessor.conn.Close() // its reader cleans up
+				x.predecessor.conn.Close() // readMessages then ends and cleans up
 			}
 		case HalveLimits:
 			x.host.SetHalfLimits(true)
@@ -213,7 +218,7 @@
 			slog.Info("takeover", "takeover", "handed over", "bytes", len(state))
 			x.goroutines.Go(func() {
 				if l.sendState(state) != nil {
-					l.conn.Close() // its reader cleans up
+					l.conn.Close() // readMessages then ends and cleans up
 					return
 				}
 				x.host.TransferIdle(func(c syscall.Conn) bool { return l.sendSockets(msgConn, nil, c) == nil })
@@ -311,7 +316,7 @@
 	x.perform(actions, nil)
 	if err := l.sendSockets(msgWelcome, nil, x.host.ListeningSockets()...); err != nil {
 		slog.Warn("takeover", "takeover", "sending the sockets to the newer process failed", "err", err)
-		conn.Close() // its reader cleans up
+		conn.Close() // readMessages, started below, then ends and cleans up
 	}
 	slog.Info("takeover", "takeover", "a newer process is there")
 	x.goroutines.Go(func() { x.readMessages(l, true) })
@@ -400,7 +405,9 @@
 	return l.sendSockets(msgJob, job, c)
 }
 
-// HasPredecessor reports whether a predecessor is connected, or was until at most callbackTimeout ago.
+// HasPredecessor reports whether a predecessor is connected, or was until at most callbackTimeout ago. The
+// time is added because the result of a callback that was forwarded to the predecessor may arrive after its
+// end, and the predecessor may have handed the callback's job over in the meantime.
 func (x *Exchange) HasPredecessor() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/takeover/link.go
+++ b/internal/takeover/link.go
@@ -113,8 +113,9 @@
 			return err
 		}
 		var failed error
-		// fd is valid only inside this function; the copy that File returns could switch the socket to
-		// blocking mode
+		// fd is valid only inside this function, so the recursion keeps all descriptors valid until the send.
+		// The File method of the connections is no alternative: the copy that it returns could switch the
+		// socket to blocking mode.
 		if err = raw.Control(func(fd uintptr) {
 			fds = append(fds, int(fd))
 			failed = sendRest(rest[1:])
@@ -186,7 +187,7 @@
 	l.mu.Unlock()
 	time.AfterFunc(callbackTimeout, func() { l.resolve(id, ResultUnknown) })
 	if l.send(msgCallback, append(binary.BigEndian.AppendUint64(nil, id), callback...)) != nil {
-		l.conn.Close() // its reader cleans up
+		l.conn.Close() // readMessages then ends and closes the link, which calls reply
 	}
 }
 
--- a/internal/takeover/machine.go
+++ b/internal/takeover/machine.go
@@ -16,13 +16,15 @@
 
 // Actions of a Machine.
 const (
-	StartAccepting  Action = iota // accept connections, receive messages of peers, listen for the next process
-	SendSockets                   // send the listening sockets to the successor, after the actions before this one
-	HandOverState                 // stop accepting and hand over the state, then the idle connections
-	ResumeAccepting               // accept again, because the successor died
-	ReportSuccessor               // tell the predecessor whether this process has a successor now
-	HalveLimits                   // use half of the resource limits
-	RestoreLimits                 // use all of the resource limits again
+	StartAccepting Action = iota // accept connections, receive messages of peers, listen for the next process
+	// not handled by perform: acceptSuccessor sends the listening sockets to the successor after performing
+	// all other actions
+	SendSockets
+	HandOverState   // stop accepting and hand over the state, then the idle connections
+	ResumeAccepting // accept again, because the successor died
+	ReportSuccessor // tell the predecessor whether this process has a successor now
+	HalveLimits     // use half of the resource limits
+	RestoreLimits   // use all of the resource limits again
 )
 
 // Refusal is the reason for refusing a process that connects; empty if it is accepted.
@@ -80,7 +82,8 @@
 // SuccessorReport handles the successor's report of whether it has a successor of its own.
 func (m *Machine) SuccessorReport(hasSuccessor bool) { m.successorHasSuccessor = hasSuccessor }
 
-// Stop handles the order to stop. It is called again when a successor connects after the order.
+// Stop handles the order to stop: it hands over if this process accepts connections and a successor is
+// connected; otherwise it does nothing. It is called again when a successor connects after the order.
 func (m *Machine) Stop() []Action {
 	if !m.accepting || !m.successor {
 		return nil
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -4,8 +4,8 @@
 //
 // A struct describes the file by field tags: toml (the key), min and max (inclusive bounds of a number or
 // Millis), oneof (allowed texts, separated by blanks) and need ("true": required). Keys that the file leaves
-// out keep the values that the struct had. Elements of a list start with the values that their Defaults
-// method sets, if they have one.
+// out keep the values that the struct had. List elements and optional tables (pointers) are created when the
+// file has them; they start with the values that their Defaults method sets, if they have one.
 package tomlfile
 
 import (
@@ -64,7 +64,8 @@
 	faults []Fault
 }
 
-// Defaulter is implemented by tables and list elements whose defaults are not the zero values.
+// Defaulter is implemented by list elements and optional tables (pointers) whose defaults are not the zero
+// values. Decode doesn't call Defaults for a table that is a plain struct.
 type Defaulter interface{ Defaults() }
 
 // Parse parses the text of the named file. If it is not valid TOML, Err returns the fault.
@@ -159,7 +160,8 @@
 	return &Faults{d.file, d.faults}
 }
 
-// Decode fills the struct that into points at. Err returns its faults.
+// Decode fills the struct that into points at. It adds the faults that it finds to those that Err returns. If
+// there are faults already, as after a failed Parse, it does nothing.
 func (d *Doc) Decode(into any) {
 	if len(d.faults) == 0 {
 		d.decodeTable("", d.tree, reflect.ValueOf(into).Elem())
--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -1,5 +1,5 @@
-// This file implements FS on the operating system's file system. Each method must make no more than one such
-// operation per call.
+// This file implements FS on the operating system's file system. Each method must perform
+// the operation of FS that it is named after, once, and no other.
 
 package wal
 
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -83,9 +83,9 @@
 	dir     string
 	opts    Options
 	dirLock io.Closer
-	writeMu sync.Mutex // held by the goroutine that writes to the file
+	writeMu sync.Mutex // held while writing to the file; guards nextNumber, segments, file, fileSize and buf
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards pending, lastErr and closed
 	pending    []*batch
 	lastErr    error // result of the last commit; nil: it succeeded
 	closed     bool
@@ -212,8 +212,10 @@
 var errTornTail = errors.New("torn")
 
 // ScanSegment reads the data of one segment. It calls visit for each complete record and returns the number
-// of bytes up to the end of the last one. What follows is a torn tail left by a crash or, if a complete
-// record comes later, corruption.
+// of bytes up to the end of the last one. If more data follows, it returns errTornTail, for a torn tail left
+// by a crash, or an error that wraps ErrCorrupt if a complete record comes later. It also returns errTornTail
+// for an incomplete header, an error that wraps ErrNewerVersion or ErrCorrupt for a header that doesn't match,
+// and the error of visit.
 func ScanSegment(data []byte, first uint64, visit func(Record) error) (validSize int64, err error) {
 	if len(data) < segmentHeaderSize {
 		return 0, errTornTail
@@ -272,7 +274,8 @@
 
 // findValidRecordAfter looks for a complete record with a higher number and returns its number; 0: there is
 // none. A batch that a crash cut off leaves none, unless the disk wrote its blocks out of order. In that case
-// no record of the batch was acknowledged as durable.
+// no record of the batch was acknowledged as durable, but ScanSegment still reports corruption, as this case
+// cannot be told apart from damage to a durable record.
 func findValidRecordAfter(data []byte, from int, number uint64) uint64 {
 	for offset := from; offset+recordHeaderSize <= len(data); offset++ {
 		n := binary.LittleEndian.Uint64(data[offset+8:])
