--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -141,7 +141,7 @@
 	}
 	for _, f := range files {
 		name := ExperimentName(f)
-		if strings.HasPrefix(name, "capacity") { // a plan of a scale run, for internal/scale
+		if strings.HasPrefix(name, "capacity") { // a plan of a scale run, for internal/scaletest
 			text, err := os.ReadFile(f)
 			if err == nil {
 				_, err = scaletest.ParsePlan(f, text)
